--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -10,9 +10,9 @@
 
 #include "audit/audit.hpp"
 #include "charts/charts.hpp"
+#include "fakes/caller.hpp"
 #include "front/front.hpp"
-#include "stage.hpp"
-#include "standins/caller.hpp"
+#include "front_fixture.hpp"
 
 namespace valekeel {
 namespace {
@@ -308,18 +308,18 @@
 int weather(int many, const char* ledgerFile) {
     net::raiseDescriptorLimit();
     net::EpollNet net(3);
-    standins::Ledger ledger;
-    standins::BoxMake make;
+    fakes::Ledger ledger;
+    fakes::BoxMake make;
     make.rungKb = {10};
     make.rateFactors = {{"open", 1}, {"paid", 1}};
     make.setUp = 300'000;
     make.setUpsAtOnce = 10'000;
     make.forgetAfter = 600 * kSecond;
-    standins::BoxFleet fleet(net, make, 1, 0, 1, ledger);
-    standins::ListServer list(net, *net::endpointOf("127.0.0.1:0"), ledger);
+    fakes::BoxFleet fleet(net, make, 1, 0, 1, ledger);
+    fakes::ListServer list(net, *net::endpointOf("127.0.0.1:0"), ledger);
     for (int i = 0; i < 4; ++i) {
         auto& box = fleet.add(i, i, 1e6, 10'000, *net::endpointOf("127.0.0.1:0"));
-        standins::ListedBox listed;
+        fakes::ListedBox listed;
         listed.id = i;
         listed.cell = i;
         listed.at = net::text(box.at());
@@ -342,11 +342,11 @@
     };
     turnUntil([] { return false; }, kSecond);
     int active = 0;
-    std::vector<std::unique_ptr<standins::Caller>> callers;
+    std::vector<std::unique_ptr<fakes::Caller>> callers;
     std::mt19937_64 chance(11);
     const Micros from = net.now();
     for (int i = 0; i < many; ++i) {
-        standins::CallPlan plan;
+        fakes::CallPlan plan;
         plan.title = "t";
         plan.room = i % 2 ? "paid" : "open";
         plan.timeout = 4 * kSecond;
@@ -357,9 +357,9 @@
         plan.refreshes = plan.says;
         if (i % 7 == 0) plan.cancelAfter = std::uniform_int_distribution<Micros>(1, 2 * kSecond)(chance);
         ++active;
-        callers.push_back(std::make_unique<standins::Caller>(net, i, front.sip()->at(), "a", plan,
-                                                             standins::Weather{0.1, 0.05, 800'000}, chance(),
-                                                             ledger, [&] { --active; }));
+        callers.push_back(std::make_unique<fakes::Caller>(net, i, front.sip()->at(), "a", plan,
+                                                          fakes::Weather{0.1, 0.05, 800'000}, chance(),
+                                                          ledger, [&] { --active; }));
         callers.back()->start();
         turnUntil([] { return false; }, 25'000);
     }
@@ -373,7 +373,7 @@
     std::map<int, int> finals;
     int charged = 0, twice = 0, never = 0, plays = 0, given = 0;
     std::set<std::string> paid;
-    for (const standins::Line& l : ledger.lines()) {
+    for (const fakes::Line& l : ledger.lines()) {
         if (l.what == "answer") ++finals[l.status];
         if (l.what == "second-answer") ++twice;
         if (l.what == "no-answer") ++never;
--- a/bench/front.cpp
+++ b/bench/front.cpp
@@ -8,8 +8,8 @@
 #include <filesystem>
 #include <fstream>
 
+#include "front_fixture.hpp"
 #include "http/client.hpp"
-#include "stage.hpp"
 
 namespace valekeel {
 namespace {
--- a/bench/stage.hpp
+++ b/bench/front_fixture.hpp
@@ -7,19 +7,19 @@
 #include <filesystem>
 #include <fstream>
 
+#include "fakes/box.hpp"
+#include "fakes/list_server.hpp"
 #include "net/epoll.hpp"
 #include "net/process.hpp"
-#include "standins/box.hpp"
-#include "standins/list.hpp"
 
 namespace valekeel {
 
 struct Stage {
     net::EpollNet net{1};
-    standins::Ledger ledger;
-    standins::BoxMake make;
-    std::unique_ptr<standins::BoxFleet> fleet;
-    std::unique_ptr<standins::ListServer> list;
+    fakes::Ledger ledger;
+    fakes::BoxMake make;
+    std::unique_ptr<fakes::BoxFleet> fleet;
+    std::unique_ptr<fakes::ListServer> list;
     std::filesystem::path folder;
     net::Process front;
     net::Endpoint at, sip;
@@ -35,11 +35,11 @@
         make.setUpsAtOnce = 10'000;
         make.segments = 100;
         make.forgetAfter = 600 * kSecond;
-        fleet = std::make_unique<standins::BoxFleet>(net, make, 1, 0, 1, ledger);
-        list = std::make_unique<standins::ListServer>(net, *net::endpointOf("127.0.0.1:0"), ledger);
+        fleet = std::make_unique<fakes::BoxFleet>(net, make, 1, 0, 1, ledger);
+        list = std::make_unique<fakes::ListServer>(net, *net::endpointOf("127.0.0.1:0"), ledger);
         for (int i = 0; i < 8; ++i) {
             auto& box = fleet->add(i, i, 1e9, places, *net::endpointOf("127.0.0.1:0"));
-            standins::ListedBox listed;
+            fakes::ListedBox listed;
             listed.id = i;
             listed.cell = i;
             listed.at = net::text(box.at());
--- a/bench/structures.cpp
+++ b/bench/structures.cpp
@@ -6,9 +6,9 @@
 #include <random>
 #include <vector>
 
-#include "admission/networks.hpp"
-#include "crowd/fairshare.hpp"
-#include "net/wheel.hpp"
+#include "admission/prefix_trie.hpp"
+#include "net/timer_wheel.hpp"
+#include "workload/fairshare.hpp"
 
 namespace valekeel {
 namespace {
@@ -174,14 +174,14 @@
 void fairShareIndexed(benchmark::State& state) {
     const auto many = static_cast<std::size_t>(state.range(0));
     Sites sites(many);
-    crowd::FairShare share;
+    workload::FairShare share;
     for (const double c : sites.capacities) share.addLink(c);
     const auto one = [&] {
         const auto p = sites.path();
-        return share.join(std::array{crowd::LinkNo{p[0]}, crowd::LinkNo{p[1]}, crowd::LinkNo{p[2]}},
+        return share.join(std::array{workload::LinkNo{p[0]}, workload::LinkNo{p[1]}, workload::LinkNo{p[2]}},
                           sites.cap());
     };
-    std::vector<crowd::BundleNo> flows;
+    std::vector<workload::BundleNo> flows;
     for (std::size_t i = 0; i < many; ++i) flows.push_back(one());
     share.settle();
     for (auto _ : state) {
--- a/fuzz/hints.cpp
+++ b/fuzz/hints.cpp
@@ -4,7 +4,7 @@
 
 #include "hints/cmcd.hpp"
 #include "hints/cmsd.hpp"
-#include "record/trace.hpp"
+#include "logging/trace_context.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace valekeel::hints;
@@ -27,6 +27,6 @@
     entry.by = "f";
     if (!parseList(appended(text, entry))) std::abort();
     parseCmsdStatic(text);
-    valekeel::record::parseTraceParent(text);
+    valekeel::logging::parseTraceParent(text);
     return 0;
 }
--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -1,13 +1,12 @@
-#include "list/list.hpp"
-
 #include <cstdint>
 #include <cstdlib>
 
-#include "list/events.hpp"
+#include "discovery/server_list.hpp"
+#include "discovery/sse_reader.hpp"
 #include "settings/kdl.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    using namespace valekeel::list;
+    using namespace valekeel::discovery;
     const std::string text(reinterpret_cast<const char*>(data), size);
     std::size_t events = 0;
     EventReader reader(200, [&](const Event& e) { events += e.data.size(); });
--- a/fuzz/sip.cpp
+++ b/fuzz/sip.cpp
@@ -2,8 +2,8 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "sip/glance.hpp"
 #include "sip/message.hpp"
+#include "sip/prefilter.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace valekeel::sip;
--- a/src/wirehost/main.cpp
+++ b/src/adapter/main.cpp
@@ -2,11 +2,11 @@
 #include <iostream>
 #include <string>
 
-#include "wirehost/wire.hpp"
+#include "adapter/simulator_adapter.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
-    valekeel::wire::Wire wire;
+    valekeel::adapter::Wire wire;
     std::string line;
     for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
         try {
--- a/src/wirehost/wire.cpp
+++ b/src/adapter/simulator_adapter.cpp
@@ -1,11 +1,11 @@
-#include "wirehost/wire.hpp"
+#include "adapter/simulator_adapter.hpp"
 
 #include <nlohmann/json.hpp>
 
 #include "logic.hpp"
 #include "setup/setup.hpp"
 
-namespace valekeel::wire {
+namespace valekeel::adapter {
 
 using namespace setup;
 
@@ -231,4 +231,4 @@
     return Json{{"cmds", std::move(cmds)}}.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-}  // namespace valekeel::wire
+}  // namespace valekeel::adapter
--- a/src/wirehost/wire.hpp
+++ b/src/adapter/simulator_adapter.hpp
@@ -10,7 +10,7 @@
 
 #include "setup/values.hpp"
 
-namespace valekeel::wire {
+namespace valekeel::adapter {
 
 using BadLine = setup::Bad;  // what is wrong with a line, and where
 
@@ -27,4 +27,4 @@
     std::map<std::int64_t, nlohmann::json> lists_;  // by number: kinds and zones are named by each front
 };
 
-}  // namespace valekeel::wire
+}  // namespace valekeel::adapter
--- a/src/admission/gate.cpp
+++ b/src/admission/admission_controller.cpp
@@ -1,4 +1,4 @@
-#include "admission/gate.hpp"
+#include "admission/admission_controller.hpp"
 
 #include <algorithm>
 
--- a/src/admission/gate.hpp
+++ b/src/admission/admission_controller.hpp
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "admission/bound.hpp"
-#include "admission/networks.hpp"
-#include "admission/returns.hpp"
-#include "admission/ways.hpp"
+#include "admission/concurrency_limit.hpp"
+#include "admission/path_capacity.hpp"
+#include "admission/prefix_trie.hpp"
+#include "admission/retry_limiter.hpp"
 #include "model/ids.hpp"
 
 namespace valekeel::admission {
--- a/src/admission/bound.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-#include "admission/bound.hpp"
+#include "admission/concurrency_limit.hpp"
 
 #include <algorithm>
 
--- a/src/admission/ways.cpp
+++ b/src/admission/path_capacity.cpp
@@ -1,4 +1,4 @@
-#include "admission/ways.hpp"
+#include "admission/path_capacity.hpp"
 
 #include <algorithm>
 
--- a/src/admission/networks.cpp
+++ b/src/admission/prefix_trie.cpp
@@ -1,4 +1,4 @@
-#include "admission/networks.hpp"
+#include "admission/prefix_trie.hpp"
 
 #include <algorithm>
 #include <bit>
--- a/src/admission/returns.cpp
+++ b/src/admission/retry_limiter.cpp
@@ -1,4 +1,4 @@
-#include "admission/returns.hpp"
+#include "admission/retry_limiter.hpp"
 
 #include <algorithm>
 
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -7,8 +7,8 @@
 
 namespace valekeel::audit {
 
-using standins::Ledger;
-using standins::Line;
+using fakes::Ledger;
+using fakes::Line;
 
 namespace {
 
--- a/src/audit/audit.hpp
+++ b/src/audit/audit.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "fakes/ledger.hpp"
 #include "model/ids.hpp"
-#include "standins/ledger.hpp"
 
 namespace valekeel::audit {
 
@@ -38,12 +38,12 @@
 // `down`: when a front was not running, killed or standing still, by name: from and until.
 using Down = std::multimap<std::string, std::pair<Micros, Micros>>;
 
-std::vector<Breach> oneAnswer(const standins::Ledger&, const Terms&, const Down&);
-std::vector<Breach> noSetUpTwice(const standins::Ledger&, const Terms&);
-std::vector<Breach> drainsKept(const standins::Ledger&, const Terms&);
-std::vector<Breach> coldSpared(const standins::Ledger&, const Terms&);
-std::vector<Breach> termsKept(const standins::Ledger&, const Terms&);
-std::vector<Breach> budgetKept(const standins::Ledger&, const Terms&);
-std::vector<Breach> all(const standins::Ledger&, const Terms&, const Down&);
+std::vector<Breach> oneAnswer(const fakes::Ledger&, const Terms&, const Down&);
+std::vector<Breach> noSetUpTwice(const fakes::Ledger&, const Terms&);
+std::vector<Breach> drainsKept(const fakes::Ledger&, const Terms&);
+std::vector<Breach> coldSpared(const fakes::Ledger&, const Terms&);
+std::vector<Breach> termsKept(const fakes::Ledger&, const Terms&);
+std::vector<Breach> budgetKept(const fakes::Ledger&, const Terms&);
+std::vector<Breach> all(const fakes::Ledger&, const Terms&, const Down&);
 
 }  // namespace valekeel::audit
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -12,13 +12,13 @@
 #include <random>
 
 #include "experiment/experiment.hpp"
+#include "fakes/list_server.hpp"
 #include "front/front.hpp"
 #include "net/epoll.hpp"
 #include "net/process.hpp"
 #include "node/node.hpp"
-#include "rehearse/baselines.hpp"
-#include "rehearse/drill.hpp"
-#include "standins/list.hpp"
+#include "simulation/baselines.hpp"
+#include "simulation/drill.hpp"
 
 namespace valekeel::cli {
 namespace {
@@ -38,7 +38,8 @@
     net::raiseDescriptorLimit();
     const std::uint64_t used = seed ? seed : someSeed();
     net::EpollNet real(used);
-    const front::OtherDecide other = decisions.empty() ? front::OtherDecide{} : rehearse::baseline(decisions);
+    const front::OtherDecide other =
+        decisions.empty() ? front::OtherDecide{} : simulation::baseline(decisions);
     front::Front front(real, document, used, static_cast<std::uint64_t>(real.wallNow() / 1000), other);
     std::fprintf(stderr, "valekeel: serving on http://%s\n", net::text(front.http()).c_str());
     if (!portFile.empty()) {
@@ -65,7 +66,7 @@
     if (!path) throw std::invalid_argument("BALANCER_CONFIG names no file");
     const std::string text = settings::textOfFile(path);
     net::EpollNet real(node::seedOf(node::readConfiguration(path, text)));
-    record::Log log("-", record::levelOf(level), 5);
+    logging::Log log("-", logging::levelOf(level), 5);
     node::Node front(real, path, text, log);
     real.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int which) {
         if (which != SIGHUP) return front.stop([&] { real.stop(); });
@@ -101,27 +102,26 @@
     const settings::Machines machines = settings::readMachines(top);
     net::raiseDescriptorLimit();
     net::EpollNet net(7);
-    standins::Ledger ledger;
-    standins::BoxMake make;
+    fakes::Ledger ledger;
+    fakes::BoxMake make;
     make.rungKb = ladder.kb;
     for (const RoomType& r : rooms.types) make.rateFactors[r.name] = r.rateFactor;
-    standins::BoxFleet fleet(net, make, machines.fleet.racks, machines.fleet.uplinkKb, 7, ledger);
-    list::BoxList told;
+    fakes::BoxFleet fleet(net, make, machines.fleet.racks, machines.fleet.uplinkKb, 7, ledger);
+    discovery::BoxList told;
     told.version = 1;
     for (int id = 0; id < count; ++id) {
         auto at = *net::endpointOf("127.0.0.1:0");
         if (firstPort > 0) at.port = static_cast<std::uint16_t>(firstPort + id);
         const double link = linkKb > 0 ? linkKb : std::max(1.0, machines.fleet.linkKbPerSize);
-        standins::Box& box =
-            fleet.add(id, id % machines.fleet.cells, link, machines.fleet.places.front(), at);
-        list::BoxLine line;
+        fakes::Box& box = fleet.add(id, id % machines.fleet.cells, link, machines.fleet.places.front(), at);
+        discovery::BoxLine line;
         line.sfu.id = SfuId{static_cast<std::uint32_t>(id)};
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
         line.at = box.at();
         told.boxes.push_back(line);
         std::cerr << "valekeel: box " << id << " on " << net::text(box.at()) << "\n";
     }
-    list::keepList(listFile, told, machines.kinds);
+    discovery::keepList(listFile, told, machines.kinds);
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
     net::Timer end(net, [&] { net.stop(); });
     if (length > 0) end.after(length);
@@ -138,8 +138,8 @@
     const auto at = net::endpointOf(listen);
     if (!at) throw std::invalid_argument("--listen takes an address and port, as 127.0.0.1:9000");
     net::EpollNet net(5);
-    standins::Ledger ledger;
-    standins::ListServer server(net, *at, ledger);
+    fakes::Ledger ledger;
+    fakes::ListServer server(net, *at, ledger);
     std::string last;
     net::Timer look(net, [&] {
         look.after(200'000);
@@ -151,9 +151,9 @@
         const auto document = settings::Document::fromText(file, last);
         settings::Cursor top(document);
         top.one("version");
-        std::vector<standins::ListedBox> all;
+        std::vector<fakes::ListedBox> all;
         for (settings::Cursor& node : top.each("box")) {
-            standins::ListedBox box;
+            fakes::ListedBox box;
             box.id = static_cast<int>(node.numbers("a box's number", 0, 1e9).front());
             box.at = node.text("at", "");
             box.standing = node.choice("standing", {"on", "fading", "off"}, "on");
@@ -179,22 +179,22 @@
     if (!front) throw std::invalid_argument("--front takes an address and port, as 127.0.0.1:8080");
     net::raiseDescriptorLimit();
     net::EpollNet net(11);
-    standins::Ledger ledger;
-    std::vector<std::unique_ptr<standins::Player>> players;
+    fakes::Ledger ledger;
+    std::vector<std::unique_ptr<fakes::Player>> players;
     int active = count;
     for (int i = 0; i < count; ++i) {
-        standins::PlayerPlan plan;
+        fakes::PlayerPlan plan;
         plan.title = title;
         plan.room.name = room;
         plan.room.clientTimeout = 5 * kSecond;
         plan.watch = watch;
-        players.push_back(std::make_unique<standins::Player>(
+        players.push_back(std::make_unique<fakes::Player>(
             net, i, plan,
             [&] {
-                return standins::Player::FrontAt{"front", *front};
+                return fakes::Player::FrontAt{"front", *front};
             },
             100 + i, std::vector<double>{}, ledger,
-            [&](standins::Player&) {
+            [&](fakes::Player&) {
                 if (--active == 0) net.stop();
             }));
         players.back()->start();
@@ -202,7 +202,7 @@
     if (active > 0) net.run();
     std::uint64_t segments = 0;
     std::map<int, int> answers;
-    for (const standins::Line& l : ledger.lines()) {
+    for (const fakes::Line& l : ledger.lines()) {
         if (l.what == "segment") ++segments;
         if (l.what == "answer") ++answers[l.status];
         if (l.what == "no-answer") ++answers[0];
@@ -236,8 +236,8 @@
         changes.emplace_back(one.substr(0, equals), one.substr(equals + 1));
     }
     const auto document = settings::Document::fromText(
-        file, changes.empty() ? text : rehearse::withSettings(file, text, changes));
-    rehearse::Day day = rehearse::readDay(document);
+        file, changes.empty() ? text : simulation::withSettings(file, text, changes));
+    simulation::Day day = simulation::readDay(document);
     if (seed) day.seed = seed;
     const bool own = folder.empty();
     if (own)
@@ -246,17 +246,17 @@
                    std::to_string(std::chrono::steady_clock::now().time_since_epoch().count())))
                      .string();
     std::filesystem::create_directories(folder);
-    rehearse::DrillWays ways;
+    simulation::DrillWays ways;
     ways.real = real;
     ways.program = net::ownProgram();
     ways.folder = folder;
     ways.decisions = decisions;
     if (!quiet) ways.say = [](const std::string& words) { std::cerr << "drill: " << words << std::endl; };
-    standins::Ledger ledger;
-    const rehearse::DrillResult result = rehearse::drill(day, ways, ledger);
-    if (!quiet || jsonFile.empty()) std::cout << rehearse::told(result);
+    fakes::Ledger ledger;
+    const simulation::DrillResult result = simulation::drill(day, ways, ledger);
+    if (!quiet || jsonFile.empty()) std::cout << simulation::told(result);
     if (!jsonFile.empty()) {  // whole or not at all
-        std::ofstream(jsonFile + ".new") << rehearse::asJson(result);
+        std::ofstream(jsonFile + ".new") << simulation::asJson(result);
         std::filesystem::rename(jsonFile + ".new", jsonFile);
     }
     if (!ledgerFile.empty()) {
@@ -298,7 +298,7 @@
 }
 
 int listTroubles() {
-    for (const rehearse::TroubleKind& k : rehearse::troubleKinds()) {
+    for (const simulation::TroubleKind& k : simulation::troubleKinds()) {
         std::string takes;
         for (const std::string& t : k.takes) takes += (takes.empty() ? "" : " ") + t;
         std::printf("%-17s %s\n%-17s takes: %s%s\n", k.name.c_str(), k.what.c_str(), "",
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -10,8 +10,8 @@
 #include <memory>
 #include <string>
 
-#include "core/decides.hpp"
-#include "core/delivery.hpp"
+#include "core/decision_module.hpp"
+#include "core/delivery_meter.hpp"
 #include "net/net.hpp"
 
 namespace valekeel::core {
--- a/src/core/delivery.cpp
+++ b/src/core/delivery_meter.cpp
@@ -1,4 +1,4 @@
-#include "core/delivery.hpp"
+#include "core/delivery_meter.hpp"
 
 #include <algorithm>
 
--- a/src/list/follow.cpp
+++ b/src/discovery/list_follower.cpp
@@ -1,13 +1,13 @@
-#include "list/follow.hpp"
+#include "discovery/list_follower.hpp"
 
 #include <charconv>
 #include <fstream>
 #include <sstream>
 
+#include "settings/document.hpp"
 #include "settings/kdl.hpp"
-#include "settings/reading.hpp"
 
-namespace valekeel::list {
+namespace valekeel::discovery {
 namespace {
 
 class FileFollower final : public Follower {
@@ -199,4 +199,4 @@
     settings::keepText(path, writeList(list, names));
 }
 
-}  // namespace valekeel::list
+}  // namespace valekeel::discovery
--- a/src/list/follow.hpp
+++ b/src/discovery/list_follower.hpp
@@ -9,12 +9,12 @@
 #include <memory>
 #include <string>
 
+#include "discovery/server_list.hpp"
+#include "discovery/sse_reader.hpp"
 #include "http/client.hpp"
-#include "list/events.hpp"
-#include "list/list.hpp"
 #include "net/net.hpp"
 
-namespace valekeel::list {
+namespace valekeel::discovery {
 
 class ListUser {
   public:
@@ -48,4 +48,4 @@
 // Written beside, synced, then renamed: a reader finds the old one or the new one, whole.
 void keepList(const std::string& path, const BoxList&, const Names&);
 
-}  // namespace valekeel::list
+}  // namespace valekeel::discovery
--- a/src/list/list.cpp
+++ b/src/discovery/server_list.cpp
@@ -1,11 +1,11 @@
-#include "list/list.hpp"
+#include "discovery/server_list.hpp"
 
 #include <algorithm>
 #include <set>
 
-#include "settings/reading.hpp"
+#include "settings/document.hpp"
 
-namespace valekeel::list {
+namespace valekeel::discovery {
 namespace {
 
 // Days since 1970 of a date of the proleptic Gregorian calendar.
@@ -121,4 +121,4 @@
     return settings::printKdl(nodes);
 }
 
-}  // namespace valekeel::list
+}  // namespace valekeel::discovery
--- a/src/list/list.hpp
+++ b/src/discovery/server_list.hpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "model/records.hpp"
+#include "model/types.hpp"
 #include "net/address.hpp"
 
-namespace valekeel::list {
+namespace valekeel::discovery {
 
 struct BoxLine {
     ListedSfu sfu;     // `launched` on the wall clock
@@ -41,4 +41,4 @@
 BoxList parseList(const std::string& file, const std::string& text, const Names&, const ListLimits&);
 std::string writeList(const BoxList&, const Names&);
 
-}  // namespace valekeel::list
+}  // namespace valekeel::discovery
--- a/src/list/events.cpp
+++ b/src/discovery/sse_reader.cpp
@@ -1,8 +1,8 @@
-#include "list/events.hpp"
+#include "discovery/sse_reader.hpp"
 
 #include <algorithm>
 
-namespace valekeel::list {
+namespace valekeel::discovery {
 
 void EventReader::reset() {
     line_.clear();
@@ -77,4 +77,4 @@
     }
 }
 
-}  // namespace valekeel::list
+}  // namespace valekeel::discovery
--- a/src/list/events.hpp
+++ b/src/discovery/sse_reader.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace valekeel::list {
+namespace valekeel::discovery {
 
 struct Event {
     std::string type = "message", data, id;
@@ -33,4 +33,4 @@
     std::size_t tooLong_ = 0;
 };
 
-}  // namespace valekeel::list
+}  // namespace valekeel::discovery
--- a/src/learnt/learnt.cpp
+++ b/src/evidence/evidence_file.cpp
@@ -1,12 +1,12 @@
-#include "learnt/learnt.hpp"
+#include "evidence/evidence_file.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <set>
 
-#include "settings/reading.hpp"
+#include "settings/document.hpp"
 
-namespace valekeel::learnt {
+namespace valekeel::evidence {
 namespace {
 
 constexpr Micros kDay = 86'400 * kSecond;
@@ -64,4 +64,4 @@
     settings::keepText(path, writeKept(kept));
 }
 
-}  // namespace valekeel::learnt
+}  // namespace valekeel::evidence
--- a/src/learnt/learnt.hpp
+++ b/src/evidence/evidence_file.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "model/records.hpp"
+#include "model/types.hpp"
 
-namespace valekeel::learnt {
+namespace valekeel::evidence {
 
 struct BoxLearnt {
     Learnt what;
@@ -31,4 +31,4 @@
 // Written beside, then renamed: a reader finds the old one or the new one, whole. Throws std::runtime_error.
 void keep(const std::string& path, const Kept&);
 
-}  // namespace valekeel::learnt
+}  // namespace valekeel::evidence
--- a/src/experiment/experiment.cpp
+++ b/src/experiment/experiment.cpp
@@ -14,7 +14,7 @@
 #include "charts/charts.hpp"
 #include "net/epoll.hpp"
 #include "net/process.hpp"
-#include "rehearse/day.hpp"
+#include "simulation/scenario.hpp"
 
 namespace valekeel::experiment {
 namespace {
@@ -83,8 +83,8 @@
     for (const Run& run : plan.runs()) {
         const Case& c = cases[run.of];
         Job job;
-        const std::string day = rehearse::withSettings(c.day, settings::textOfFile(ways.folder + "/" + c.day),
-                                                       plan.settingsOf(c));
+        const std::string day = simulation::withSettings(
+            c.day, settings::textOfFile(ways.folder + "/" + c.day), plan.settingsOf(c));
         job.kept.plan = plan.name;
         job.kept.caseName = plan.nameOf(c);
         job.kept.seed = run.seed;
@@ -97,7 +97,7 @@
             continue;
         }
         // Checked before anything starts: a wrong level must not be found after an hour.
-        rehearse::readDay(settings::Document::fromText(c.day, day));
+        simulation::readDay(settings::Document::fromText(c.day, day));
         job.day = (folder / (job.kept.key + ".kdl")).string();
         job.json = (folder / (job.kept.key + ".json")).string();
         std::ofstream(job.day) << day;
--- a/src/experiment/plan.hpp
+++ b/src/experiment/plan.hpp
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "settings/reading.hpp"
+#include "settings/document.hpp"
 
 namespace valekeel::experiment {
 
--- a/src/standins/box.cpp
+++ b/src/fakes/box.cpp
@@ -1,10 +1,10 @@
-#include "standins/box.hpp"
+#include "fakes/box.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 namespace {
 
 constexpr Micros kTick = 20'000;
@@ -87,7 +87,7 @@
     double kb = 0;
     double credit = 0;
     std::uint64_t left = 0;
-    crowd::Transfers::Id travels = 0;
+    workload::Transfers::Id travels = 0;
 };
 
 Box::Box(BoxFleet& fleet, int id, int cell, int rack, double linkKb, int places, const net::Endpoint& at)
@@ -470,7 +470,7 @@
 
 void Box::travel(Job& job) {
     BoxFleet::Roads& r = *fleet_.roads_;
-    std::vector<crowd::LinkNo> path{r.boxes.at(id_)};
+    std::vector<workload::LinkNo> path{r.boxes.at(id_)};
     if (!r.racks.empty()) path.push_back(r.racks[static_cast<std::size_t>(rack_)]);
     const auto sub = subs_.find(job.sub);
     const int member = sub == subs_.end() ? -1 : r.memberOf(sub->second.trace);
@@ -589,7 +589,7 @@
 
 void BoxFleet::capacities() {
     const Micros now = net_.now();
-    const auto set = [&](crowd::LinkNo link, double bytes) {
+    const auto set = [&](workload::LinkNo link, double bytes) {
         if (std::abs(roads_->links.capacity(link) - bytes) > 1e-9 * bytes)
             roads_->transfers.capacity(now, link, bytes);
     };
@@ -604,7 +604,7 @@
 }
 
 void BoxFleet::arrive() {
-    for (const crowd::Transfers::Id id : roads_->transfers.ended(net_.now())) {
+    for (const workload::Transfers::Id id : roads_->transfers.ended(net_.now())) {
         const auto it = roads_->jobs.find(id);
         if (it == roads_->jobs.end()) continue;
         const auto [box, job] = it->second;
@@ -625,4 +625,4 @@
     for (auto& [id, box] : boxes_) box->tick(dt);
 }
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/box.hpp
+++ b/src/fakes/box.hpp
@@ -16,12 +16,12 @@
 #include <string>
 #include <vector>
 
-#include "crowd/fairshare.hpp"
+#include "fakes/ledger.hpp"
 #include "http/server.hpp"
 #include "net/net.hpp"
-#include "standins/ledger.hpp"
+#include "workload/fairshare.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 struct BoxMake {  // of all boxes of a fleet
     std::vector<double> rungKb;
@@ -134,13 +134,13 @@
   private:
     friend class Box;
     struct Roads {
-        crowd::FairShare links;
-        crowd::Transfers transfers{links};
-        std::vector<crowd::LinkNo> members, racks;
-        std::map<int, crowd::LinkNo> boxes;
+        workload::FairShare links;
+        workload::Transfers transfers{links};
+        std::vector<workload::LinkNo> members, racks;
+        std::map<int, workload::LinkNo> boxes;
         std::vector<double> memberKb;
         std::function<int(const std::string&)> memberOf;
-        std::map<crowd::Transfers::Id, std::pair<int, std::uint64_t>> jobs;  // box, and job there
+        std::map<workload::Transfers::Id, std::pair<int, std::uint64_t>> jobs;  // box, and job there
     };
     void tick();
     void arrive();  // of what the roads brought to an end
@@ -157,4 +157,4 @@
     Micros lastTick_;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/caller.cpp
+++ b/src/fakes/caller.cpp
@@ -1,10 +1,10 @@
-#include "standins/caller.hpp"
+#include "fakes/caller.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 namespace {
 
 // The first header of that name, by plain search: a stand-in reads no more than it must.
@@ -220,4 +220,4 @@
     done_();
 }
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/caller.hpp
+++ b/src/fakes/caller.hpp
@@ -10,10 +10,10 @@
 #include <random>
 #include <string>
 
+#include "fakes/ledger.hpp"
 #include "net/net.hpp"
-#include "standins/ledger.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 struct Weather {  // each way
     double lose = 0, twice = 0;
@@ -70,4 +70,4 @@
     std::vector<std::unique_ptr<net::Timer>> onTheWay_;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/ledger.cpp
+++ b/src/fakes/ledger.cpp
@@ -1,4 +1,4 @@
-#include "standins/ledger.hpp"
+#include "fakes/ledger.hpp"
 
 #include <cstdio>
 #include <istream>
@@ -6,7 +6,7 @@
 #include <ostream>
 #include <stdexcept>
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 std::string hex(std::uint64_t v) {
     char out[17];
@@ -72,4 +72,4 @@
     return out;
 }
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/ledger.hpp
+++ b/src/fakes/ledger.hpp
@@ -8,7 +8,7 @@
 
 #include "model/ids.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 struct Line {
     Micros at = 0;     // monotonic, one clock for all on this machine
@@ -34,4 +34,4 @@
     std::vector<Line> lines_;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/list.cpp
+++ b/src/fakes/list_server.cpp
@@ -1,6 +1,6 @@
-#include "standins/list.hpp"
+#include "fakes/list_server.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 class ListServer::Stream final : public http::ExchangeUser {
   public:
@@ -140,4 +140,4 @@
     }
 }
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/list.hpp
+++ b/src/fakes/list_server.hpp
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
+#include "fakes/ledger.hpp"
 #include "http/server.hpp"
 #include "net/net.hpp"
-#include "standins/ledger.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 struct ListedBox {
     int id = 0, cell = 0;
@@ -53,4 +53,4 @@
     std::vector<std::unique_ptr<net::Timer>> later_;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/platform.cpp
+++ b/src/fakes/platform.cpp
@@ -1,8 +1,8 @@
-#include "standins/platform.hpp"
+#include "fakes/platform.hpp"
 
 #include <array>
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 using Json = nlohmann::json;
 
@@ -213,4 +213,4 @@
     following_ = false;
 }
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/platform.hpp
+++ b/src/fakes/platform.hpp
@@ -13,7 +13,7 @@
 
 #include "net/net.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 // One connection, cut into lines.
 class PlatformLine final : public net::StreamUser {
@@ -105,4 +105,4 @@
     net::Timer beat_;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/player.cpp
+++ b/src/fakes/player.cpp
@@ -1,9 +1,9 @@
-#include "standins/player.hpp"
+#include "fakes/player.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 Player::Player(net::Net& net, int number, const PlayerPlan& plan, Pick pick, std::uint64_t seed,
                const std::vector<double>& worth, Ledger& ledger, std::function<void(Player&)> done)
     : net_(net),
@@ -201,8 +201,8 @@
     timer_.cancel();
     const bool timeLeft = until_ == 0 || net_.now() < until_;
     if (state_ == State::Asking) waited_ += net_.now() - askedAt_;
-    const auto wait = crowd::comesAgain({plan_.returns, plan_.back, plan_.honours, plan_.atOnce}, returns_,
-                                        told, std::uniform_real_distribution<double>(0, 1)(chance_));
+    const auto wait = workload::comesAgain({plan_.returns, plan_.back, plan_.honours, plan_.atOnce}, returns_,
+                                           told, std::uniform_real_distribution<double>(0, 1)(chance_));
     if (!mayRepeat || !wait || !timeLeft) return leave();
     ++returns_;
     state_ = State::Idle;
@@ -349,4 +349,4 @@
     fetch(hls::resolved(base_, s.uri).value_or("/"));
 }
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/player.hpp
+++ b/src/fakes/player.hpp
@@ -1,5 +1,5 @@
 // Scripted players: a standard HLS client each, with give-up times, returns and hints good and bad. Thin on
-// purpose; whole crowds are src/rehearse's.
+// purpose; whole crowds are src/simulation's.
 //
 // Ledger lines of a player: "ask" (status 0; number: join objective in us), "answer" (status as it came;
 // number: us since the ask), "no-answer" (the connection broke, or nothing came by the client timeout: status
@@ -15,13 +15,13 @@
 #include <string>
 #include <vector>
 
-#include "crowd/viewer.hpp"
+#include "fakes/ledger.hpp"
 #include "hls/playlist.hpp"
 #include "http/client.hpp"
 #include "net/net.hpp"
-#include "standins/ledger.hpp"
+#include "workload/viewer.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 struct PlayerRoom {
     std::string name;
@@ -42,11 +42,11 @@
     bool honours = true;        // Retry-After
     std::int64_t topKbits = 0;  // of its device
     // What a modelled viewer has beyond a scripted one.
-    bool atOnce = false;                      // comes again at once, whatever it was told
-    int member = -1;                          // whose link it watches through
-    std::optional<crowd::Patience> patience;  // none: it waits as long as its client timeout
-    Micros startWith = 0, bufferMost = 0;     // of its playout buffer; 0: it fetches without a pause
-    std::vector<double> ownLadderKb;          // with it, its own measure lowers what it says it can use
+    bool atOnce = false;                         // comes again at once, whatever it was told
+    int member = -1;                             // whose link it watches through
+    std::optional<workload::Patience> patience;  // none: it waits as long as its client timeout
+    Micros startWith = 0, bufferMost = 0;        // of its playout buffer; 0: it fetches without a pause
+    std::vector<double> ownLadderKb;             // with it, its own measure lowers what it says it can use
     std::function<void(const std::string& trace)> asking;  // called with each ask
 };
 
@@ -106,12 +106,12 @@
     std::uint64_t nextNo_ = 0;
     std::string map_;
     double buffered_ = 0;
-    std::optional<crowd::Playout> playout_;
-    std::optional<crowd::Abr> abr_;
+    std::optional<workload::Playout> playout_;
+    std::optional<workload::Abr> abr_;
     Micros waited_ = 0, stalledTold_ = 0;
     std::uint64_t bytes_ = 0;
     std::uint64_t segments_ = 0;
     bool haveNo_ = false;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <sstream>
 
-#include "admission/gate.hpp"
-#include "learnt/learnt.hpp"
-#include "record/log.hpp"
+#include "admission/admission_controller.hpp"
+#include "evidence/evidence_file.hpp"
+#include "logging/log.hpp"
 
 namespace valekeel::front {
 namespace {
@@ -31,15 +31,15 @@
     settings::Talks talks;
     net::Endpoint http;
     std::optional<net::Endpoint> sip;
-    faces::SipTerms sipTerms;
+    frontends::SipTerms sipTerms;
     http::WireLimits wire;
     hints::HintLimits hints;
-    faces::HttpTerms terms;
-    boxes::BoxLimits boxes;
+    frontends::HttpTerms terms;
+    upstream::BoxLimits boxes;
     core::CoreLimits core;
     Micros deliveryWindow = kSecond;
-    list::ListLimits listLimits;
-    list::FollowTimes listTimes;
+    discovery::ListLimits listLimits;
+    discovery::FollowTimes listTimes;
     std::string listFile, listPath, listKept;
     std::string learntFile;
     Micros learntEvery = 2 * kSecond, learntFor = 60 * kSecond;
@@ -51,7 +51,7 @@
     int prefix4 = 24, prefix6 = 56;
     std::vector<std::pair<admission::Prefix, std::string>> networks;
     std::string logFile = "-";
-    record::Level logLevel = record::Level::Info;
+    logging::Level logLevel = logging::Level::Info;
     int logWarnings = 20;
     Micros stopWithin = 10 * kSecond;
 };
@@ -82,7 +82,7 @@
     }
     {
         Cursor node = top.here("viewers");
-        faces::HttpTerms& v = t.terms;
+        frontends::HttpTerms& v = t.terms;
         v.window.ahead = node.time("ahead", 0, kHour, v.window.ahead);
         v.window.behind = node.time("behind", 0, kHour, v.window.behind);
         v.silentAfter = node.time("silent-after", 100'000, kHour, v.silentAfter);
@@ -103,7 +103,7 @@
             top.wrong("a client timeout of a room type is expected to be over twice viewers answer-margin=");
     {
         Cursor node = top.here("boxes");
-        boxes::BoxLimits& b = t.boxes;
+        upstream::BoxLimits& b = t.boxes;
         b.connections = static_cast<std::size_t>(node.whole("connections", 1, 100'000, 256));
         b.waiting = static_cast<std::size_t>(node.whole("waiting", 0, 1'000'000, 1'024));
         b.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, b.connectWithin);
@@ -120,7 +120,7 @@
     auto node = top.one("sip");
     if (!node) return;
     t.sip = node->address("listen");
-    faces::SipTerms& s = t.sipTerms;
+    frontends::SipTerms& s = t.sipTerms;
     s.limits.bytes = static_cast<std::size_t>(node->whole("message-bytes", 1'024, 65'535, 65'535));
     s.limits.headers = static_cast<std::size_t>(node->whole("headers", 16, 10'000, 100));
     s.transactions = static_cast<std::size_t>(node->whole("transactions", 1, 10'000'000, 20'000));
@@ -226,7 +226,7 @@
     }
     Cursor log = top.here("log");
     t.logFile = log.text("file", "-");
-    t.logLevel = record::levelOf(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
+    t.logLevel = logging::levelOf(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
     t.logWarnings = static_cast<int>(log.whole("warnings-a-second", 1, 100'000, 20));
     log.finish();
     top.finish();
@@ -235,20 +235,20 @@
 
 }  // namespace
 
-struct Front::Parts final : core::Watcher, list::ListUser {
+struct Front::Parts final : core::Watcher, discovery::ListUser {
     net::Net& net;
     Told told;
-    record::Log log;
+    logging::Log log;
     Micros wallOffset;  // of the wall clock over the front's own, as at the start
-    boxes::Boxes boxes;
-    boxes::Joins joins;
+    upstream::Boxes boxes;
+    upstream::Joins joins;
     admission::Gate gate;
     std::unique_ptr<core::Core> core;
-    std::unique_ptr<faces::HttpFace> face;
-    std::unique_ptr<faces::SipFace> sip;
-    std::unique_ptr<list::Follower> follower;
-    list::BoxList held;
-    learnt::Kept earlier;  // what an earlier life had learnt, until the list has come
+    std::unique_ptr<frontends::HttpFace> face;
+    std::unique_ptr<frontends::SipFace> sip;
+    std::unique_ptr<discovery::Follower> follower;
+    discovery::BoxList held;
+    evidence::Kept earlier;  // what an earlier life had learnt, until the list has come
     net::Timer stopping, flushing, keeping;
     std::function<void()> stopped;
     Micros stopBy = 0;
@@ -276,10 +276,10 @@
               keeping.after(told.learntEvery);
           }) {
         for (const auto& [prefix, member] : told.networks) gate.name(prefix, member);
-        follower = told.listAt ? list::followStream(net, *told.listAt, told.listPath, names(),
-                                                    told.listLimits, told.listTimes, *this)
-                               : list::followFile(net, told.listFile, names(), told.listLimits,
-                                                  told.listTimes, *this);
+        follower = told.listAt ? discovery::followStream(net, *told.listAt, told.listPath, names(),
+                                                         told.listLimits, told.listTimes, *this)
+                               : discovery::followFile(net, told.listFile, names(), told.listLimits,
+                                                       told.listTimes, *this);
         core = std::make_unique<core::Core>(
             net, told.rooms.types, told.core, told.deliveryWindow, joins, *this,
             [&](Host& host, Micros now) -> std::unique_ptr<core::Decides> {
@@ -294,21 +294,21 @@
         joins.connect(*core);
         readLearnt();
         readKept();
-        const faces::Surroundings around{net,  told.name, told.talks, told.rooms, told.ladder,
-                                         gate, *core,     boxes,      joins,      log};
-        face = std::make_unique<faces::HttpFace>(around, told.http, told.wire, told.terms, told.hints);
-        if (told.sip) sip = std::make_unique<faces::SipFace>(around, *told.sip, told.sipTerms, seed);
+        const frontends::Surroundings around{net,  told.name, told.talks, told.rooms, told.ladder,
+                                             gate, *core,     boxes,      joins,      log};
+        face = std::make_unique<frontends::HttpFace>(around, told.http, told.wire, told.terms, told.hints);
+        if (told.sip) sip = std::make_unique<frontends::SipFace>(around, *told.sip, told.sipTerms, seed);
         flushing.after(kSecond);
         if (!told.learntFile.empty()) keeping.after(told.learntEvery);
-        line(record::Level::Info, "started",
+        line(logging::Level::Info, "started",
              {{"front", told.name}, {"http", net::text(face->at())}, {"seed", seed}});
     }
 
-    void line(record::Level level, std::string_view what, nlohmann::ordered_json fields) {
+    void line(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
         log.line(level, net.now(), net.wallNow(), what, std::move(fields));
     }
 
-    list::Names names() const { return {told.machines.kinds, told.machines.zones}; }
+    discovery::Names names() const { return {told.machines.kinds, told.machines.zones}; }
 
     // ---- core::Watcher ----
     nlohmann::ordered_json of(SubId id) const {
@@ -329,7 +329,7 @@
             fields["score"] = std::round(*score * 1e4) / 1e4;
         else
             fields["fits"] = false;
-        line(record::Level::Info, "chosen", std::move(fields));
+        line(logging::Level::Info, "chosen", std::move(fields));
     }
     void joinSent(SubId id, int joinNo, SfuId at, int rung, Micros timeOut) override {
         auto fields = of(id);
@@ -337,7 +337,7 @@
         fields["box"] = at.v;
         fields["rung"] = rung;
         fields["within_us"] = timeOut;
-        line(record::Level::Info, "join-sent", std::move(fields));
+        line(logging::Level::Info, "join-sent", std::move(fields));
     }
     void joinEnded(SubId id, int joinNo, SfuId at, const core::JoinOutcome& outcome) override {
         auto fields = of(id);
@@ -346,7 +346,7 @@
         fields["outcome"] = outcome.why;
         fields["never_ran"] = outcome.neverRan;
         fields["took_us"] = outcome.took;
-        line(record::Level::Info, "join-ended", std::move(fields));
+        line(logging::Level::Info, "join-ended", std::move(fields));
     }
     void answered(SubId id, std::string_view how, Micros took) override {
         if (how == "throttled")
@@ -357,22 +357,24 @@
         auto fields = of(id);
         fields["how"] = how;
         fields["took_us"] = took;
-        line(record::Level::Info, "answered", std::move(fields));
+        line(logging::Level::Info, "answered", std::move(fields));
+    }
+    void guarded(SubId id) override { line(logging::Level::Error, "guard-answered", of(id)); }
+    void said(const std::string& words) override {
+        line(logging::Level::Debug, "module", {{"words", words}});
     }
-    void guarded(SubId id) override { line(record::Level::Error, "guard-answered", of(id)); }
-    void said(const std::string& words) override { line(record::Level::Debug, "module", {{"words", words}}); }
 
     // ---- list::ListUser ----
-    std::vector<ListedSfu> taken(const std::vector<list::BoxLine>& lines) {
+    std::vector<ListedSfu> taken(const std::vector<discovery::BoxLine>& lines) {
         std::vector<ListedSfu> out;
-        for (const list::BoxLine& one : lines) {
+        for (const discovery::BoxLine& one : lines) {
             ListedSfu sfu = one.sfu;
             // The list speaks of the wall clock. A start that seems to lie ahead is one of just now.
             if (sfu.launched > 0)
                 sfu.launched =
                     std::clamp<Micros>(sfu.launched - wallOffset, 1, std::max<Micros>(1, net.now()));
             if (sfu.cell.v >= static_cast<std::uint32_t>(told.machines.fleet.cells)) {
-                line(record::Level::Warning, "list-odd",
+                line(logging::Level::Warning, "list-odd",
                      {{"why", "box " + std::to_string(sfu.id.v) +
                                   " stands in a cell that the settings do not have"}});
                 continue;
@@ -385,11 +387,12 @@
         }
         return out;
     }
-    void merge(const std::vector<list::BoxLine>& lines, bool whole) {
+    void merge(const std::vector<discovery::BoxLine>& lines, bool whole) {
         if (whole) held.boxes.clear();
-        for (const list::BoxLine& one : lines) {
-            const auto same = std::find_if(held.boxes.begin(), held.boxes.end(),
-                                           [&](const list::BoxLine& b) { return b.sfu.id == one.sfu.id; });
+        for (const discovery::BoxLine& one : lines) {
+            const auto same =
+                std::find_if(held.boxes.begin(), held.boxes.end(),
+                             [&](const discovery::BoxLine& b) { return b.sfu.id == one.sfu.id; });
             if (same == held.boxes.end())
                 held.boxes.push_back(one);
             else if (one.sfu.standing == Standing::Off)
@@ -399,29 +402,29 @@
         }
         if (told.listKept.empty()) return;
         try {
-            list::keepList(told.listKept, held, names());
+            discovery::keepList(told.listKept, held, names());
         } catch (const std::exception& e) {
-            line(record::Level::Warning, "list-not-kept", {{"why", e.what()}});
+            line(logging::Level::Warning, "list-not-kept", {{"why", e.what()}});
         }
     }
-    void listIs(const std::vector<list::BoxLine>& lines, bool stale) override {
-        line(record::Level::Info, "list", {{"boxes", lines.size()}, {"stale", stale}});
+    void listIs(const std::vector<discovery::BoxLine>& lines, bool stale) override {
+        line(logging::Level::Info, "list", {{"boxes", lines.size()}, {"stale", stale}});
         core->listed(taken(lines), stale);
         if (stale) return;
         merge(lines, true);
         recall();
     }
-    void listChangedBy(const std::vector<list::BoxLine>& lines) override {
-        line(record::Level::Info, "list-changed", {{"boxes", lines.size()}});
+    void listChangedBy(const std::vector<discovery::BoxLine>& lines) override {
+        line(logging::Level::Info, "list-changed", {{"boxes", lines.size()}});
         core->listChanged(taken(lines));
         merge(lines, false);
     }
     void listUnreachable(const std::string& why) override {
-        line(record::Level::Warning, "list-unreachable", {{"why", why}});
+        line(logging::Level::Warning, "list-unreachable", {{"why", why}});
         core->listFailed();
     }
     void listOdd(const std::string& why) override {
-        line(record::Level::Warning, "list-odd", {{"why", why}});
+        line(logging::Level::Warning, "list-odd", {{"why", why}});
     }
 
     // A file that is missing, torn, of another version or too old is said, and all begins afresh.
@@ -429,19 +432,19 @@
         if (told.learntFile.empty()) return;
         try {
             if (!std::filesystem::exists(told.learntFile)) throw std::runtime_error("there is none");
-            learnt::Kept kept = learnt::parseKept(told.learntFile, settings::textOfFile(told.learntFile),
-                                                  told.listLimits.boxes);
+            evidence::Kept kept = evidence::parseKept(told.learntFile, settings::textOfFile(told.learntFile),
+                                                      told.listLimits.boxes);
             const Micros since = net.wallNow() - kept.savedAt;
             if (since < 0 || since > told.learntFor) throw std::runtime_error("it is of another time");
-            for (learnt::BoxLearnt& b : kept.boxes) b.what.age += since;
+            for (evidence::BoxLearnt& b : kept.boxes) b.what.age += since;
             earlier = std::move(kept);
         } catch (const std::exception& e) {
-            line(record::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
+            line(logging::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
         }
     }
     std::map<SfuId, Micros> launchedOf() const {  // of all boxes listed, on the wall clock
         std::map<SfuId, Micros> out;
-        for (const list::BoxLine& box : held.boxes) out.emplace(box.sfu.id, box.sfu.launched);
+        for (const discovery::BoxLine& box : held.boxes) out.emplace(box.sfu.id, box.sfu.launched);
         return out;
     }
     // Only of boxes that the list has now, and whose process is still the same.
@@ -449,36 +452,36 @@
         if (earlier.boxes.empty()) return;
         const auto launched = launchedOf();
         std::vector<Learnt> same;
-        for (const learnt::BoxLearnt& b : earlier.boxes)
+        for (const evidence::BoxLearnt& b : earlier.boxes)
             if (const auto now = launched.find(b.what.id); now != launched.end() && now->second == b.launched)
                 same.push_back(b.what);
-        line(record::Level::Info, "learnt-taken",
+        line(logging::Level::Info, "learnt-taken",
              {{"boxes", same.size()}, {"passed_over", earlier.boxes.size() - same.size()}});
         earlier.boxes.clear();
         core->recall(same);
     }
     void keepLearnt() {
         if (!earlier.boxes.empty()) return;  // no list has come yet: what was kept is all that is known
-        learnt::Kept kept{net.wallNow(), {}};
+        evidence::Kept kept{net.wallNow(), {}};
         const auto launched = launchedOf();
         for (const Learnt& what : core->learnt())
             if (const auto now = launched.find(what.id); now != launched.end())
                 kept.boxes.push_back({what, now->second});
         try {
-            learnt::keep(told.learntFile, kept);
+            evidence::keep(told.learntFile, kept);
         } catch (const std::exception& e) {
-            line(record::Level::Warning, "learnt-not-kept", {{"why", e.what()}});
+            line(logging::Level::Warning, "learnt-not-kept", {{"why", e.what()}});
         }
     }
 
     void readKept() {
         if (told.listKept.empty() || !std::filesystem::exists(told.listKept)) return;
         try {
-            held =
-                list::parseList(told.listKept, settings::textOfFile(told.listKept), names(), told.listLimits);
+            held = discovery::parseList(told.listKept, settings::textOfFile(told.listKept), names(),
+                                        told.listLimits);
             listIs(held.boxes, true);
         } catch (const std::exception& e) {
-            line(record::Level::Warning, "kept-list-odd", {{"why", e.what()}});
+            line(logging::Level::Warning, "kept-list-odd", {{"why", e.what()}});
         }
     }
 
@@ -492,7 +495,7 @@
         if (sip) sip->finishUp();
         face->finishUp([this] {
             const core::Counts& c = core->counts();
-            line(record::Level::Info, "stopped",
+            line(logging::Level::Info, "stopped",
                  {{"asked", c.asked},
                   {"played", c.played},
                   {"throttled", c.throttled},
@@ -517,17 +520,17 @@
 net::Endpoint Front::http() const {
     return parts_->face->at();
 }
-faces::HttpFace& Front::face() {
+frontends::HttpFace& Front::face() {
     return *parts_->face;
 }
-faces::SipFace* Front::sip() {
+frontends::SipFace* Front::sip() {
     return parts_->sip.get();
 }
 core::Core& Front::core() {
     return *parts_->core;
 }
 void Front::stop(Micros playOn, std::function<void()> done) {
-    parts_->line(record::Level::Info, "stopping", {{"play_on_us", playOn}});
+    parts_->line(logging::Level::Info, "stopping", {{"play_on_us", playOn}});
     parts_->face->stopTaking();
     if (parts_->sip) parts_->sip->stopTaking();
     parts_->stopped = std::move(done);
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -6,12 +6,12 @@
 #include <memory>
 #include <string>
 
-#include "boxes/joins.hpp"
 #include "core/core.hpp"
-#include "faces/http/face.hpp"
-#include "faces/sip/face.hpp"
-#include "list/follow.hpp"
-#include "settings/reading.hpp"
+#include "discovery/list_follower.hpp"
+#include "frontends/http/http_frontend.hpp"
+#include "frontends/sip/sip_frontend.hpp"
+#include "settings/document.hpp"
+#include "upstream/join_client.hpp"
 
 namespace valekeel::front {
 
@@ -29,8 +29,8 @@
     ~Front();
 
     net::Endpoint http() const;
-    faces::HttpFace& face();
-    faces::SipFace* sip();  // nothing where the settings name none
+    frontends::HttpFace& face();
+    frontends::SipFace* sip();  // nothing where the settings name none
     core::Core& core();
     // Nothing new is taken; what was taken is answered; what plays goes on for `playOn`, then ends. Calls
     // back once all is said.
--- a/src/faces/asking.hpp
+++ b/src/frontends/frontend_context.hpp
@@ -4,13 +4,13 @@
 #include <algorithm>
 #include <string>
 
-#include "admission/gate.hpp"
-#include "boxes/joins.hpp"
+#include "admission/admission_controller.hpp"
 #include "core/core.hpp"
-#include "record/log.hpp"
-#include "settings/site.hpp"
+#include "logging/log.hpp"
+#include "settings/site_settings.hpp"
+#include "upstream/join_client.hpp"
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 
 // What each face of a front stands among: the talks and room types that it may be asked for, and the one
 // gate, core and record that it shares with the others. All of it outlives the faces.
@@ -22,9 +22,9 @@
     const Ladder& ladder_;
     admission::Gate& gate_;
     core::Core& core_;
-    boxes::Boxes& boxes_;
-    boxes::Joins& joins_;
-    record::Log& log_;
+    upstream::Boxes& boxes_;
+    upstream::Joins& joins_;
+    logging::Log& log_;
 };
 
 // Whole seconds, rounded up, one at least: as Retry-After and the SIP timers' headers want them.
@@ -47,4 +47,4 @@
     return wish;
 }
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/http/face.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -1,11 +1,11 @@
-#include "faces/http/face.hpp"
+#include "frontends/http/http_frontend.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 namespace {
 
 constexpr std::string_view kPlaylistType = "application/vnd.apple.mpegurl";
@@ -18,7 +18,7 @@
     RoomTypeId room;
     std::uint32_t network = 0;
     bool inGate = false, playing = false, paused = false;
-    record::TraceContext trace;
+    logging::TraceContext trace;
     hints::Cmcd hints;
     SfuId at;
     int rung = 0, rungSeen = 0;
@@ -56,7 +56,7 @@
 };
 
 // One fetch from a box for a viewer: the playlist first, where it isn't known, then what was asked for.
-class HttpFace::Relay final : public boxes::RequestUser, public http::ExchangeUser {
+class HttpFace::Relay final : public upstream::RequestUser, public http::ExchangeUser {
   public:
     enum class What { Window, Init, Segment };
     Relay(HttpFace& face, std::uint64_t key, Viewer& viewer, http::Exchange& exchange, What what,
@@ -133,9 +133,9 @@
                 const std::string value = hints::writeCmcdHeader(on, i);
                 if (!value.empty()) fields.add(hints::kCmcdHeaders[i], value);
             }
-            record::TraceContext trace = viewer->trace;
-            trace.parent = record::hex64(face_.net_.draw() | 1);
-            fields.add("traceparent", record::write(trace));
+            logging::TraceContext trace = viewer->trace;
+            trace.parent = logging::hex64(face_.net_.draw() | 1);
+            fields.add("traceparent", logging::write(trace));
         }
         if (range)
             fields.add("Range", "bytes=" + std::to_string(range->offset) + "-" +
@@ -151,7 +151,7 @@
 
     void head(const http::ResponseHead& head) override {
         status_ = head.status;
-        const Load load = boxes::loadOf(head.fields);
+        const Load load = upstream::loadOf(head.fields);
         toHead_ = face_.net_.now() - sentAt_;
         if (status_ == wanted_ && !playlist_ && exchange_) {
             Viewer* viewer = face_.byToken(token_);
@@ -196,7 +196,7 @@
     void whole() override {
         if (playlist_) {
             playlist_ = false;
-            if (status_ == 410) return lost(boxes::WireEnd::BrokenAnswer);
+            if (status_ == 410) return lost(upstream::WireEnd::BrokenAnswer);
             if (status_ != 200) return end(502, "the box has no playlist");
             auto read = hls::readMedia(body_);
             std::string().swap(body_);
@@ -213,7 +213,7 @@
             finished_ = std::move(request_);
             return start();
         }
-        if (status_ == 410) return lost(boxes::WireEnd::BrokenAnswer);
+        if (status_ == 410) return lost(upstream::WireEnd::BrokenAnswer);
         if (!begun_) return end(502, "the box answered " + std::to_string(status_));
         if (got_ < length_) return cutShort();
         const Micros now = face_.net_.now();
@@ -237,15 +237,15 @@
         }
     }
 
-    void failed(boxes::WireEnd how) override {
+    void failed(upstream::WireEnd how) override {
         // A kept connection that the box had just closed: what is fetched may be fetched again, on a fresh
         // one.
-        if (how == boxes::WireEnd::BrokenOutKept && !again_ && !begun_ && exchange_) {
+        if (how == upstream::WireEnd::BrokenOutKept && !again_ && !begun_ && exchange_) {
             again_ = true;
             finished_ = std::move(request_);
             return start();
         }
-        if (how == boxes::WireEnd::NoRoomToSend || how == boxes::WireEnd::NoDescriptor)
+        if (how == upstream::WireEnd::NoRoomToSend || how == upstream::WireEnd::NoDescriptor)
             return end(503, "too much is being fetched from the box");
         if (const Viewer* viewer = face_.byToken(token_)) tellWay(*viewer, face_.net_.now());
         lost(how);
@@ -278,12 +278,12 @@
         over();
     }
 
-    void lost(boxes::WireEnd how) {
+    void lost(upstream::WireEnd how) {
         const SubId sub = sub_;
         HttpFace& face = face_;
-        end(how == boxes::WireEnd::TimedOutOut ? 504 : 502, boxes::meaningOf(how).name);
-        face.core_.lost(sub,
-                        how == boxes::WireEnd::BrokenAnswer ? JoinEnd::Reset : boxes::meaningOf(how).end);
+        end(how == upstream::WireEnd::TimedOutOut ? 504 : 502, upstream::meaningOf(how).name);
+        face.core_.lost(
+            sub, how == upstream::WireEnd::BrokenAnswer ? JoinEnd::Reset : upstream::meaningOf(how).end);
     }
     void cutShort() {
         if (http::Exchange* exchange = std::exchange(exchange_, nullptr)) {
@@ -319,7 +319,7 @@
     std::uint64_t no_;
     int rung_;
     http::Exchange* exchange_;
-    std::unique_ptr<boxes::Request> request_, finished_;
+    std::unique_ptr<upstream::Request> request_, finished_;
     std::string path_, body_;
     bool playlist_ = false, begun_ = false, held_ = false, heldEver_ = false, again_ = false;
     int status_ = 0, wanted_ = 200;
@@ -351,7 +351,7 @@
     const auto it = subs_.find(id);
     return it == subs_.end() ? nullptr : it->second;
 }
-const record::TraceContext* HttpFace::traceOf(SubId id) const {
+const logging::TraceContext* HttpFace::traceOf(SubId id) const {
     const auto it = subs_.find(id);
     return it == subs_.end() ? nullptr : &it->second->trace;
 }
@@ -372,7 +372,7 @@
 }
 void HttpFace::malformed(const net::Endpoint& peer, int status, const std::string& why) {
     ++badRequests_;
-    log_.line(record::Level::Warning, net_.now(), net_.wallNow(), "bad-request",
+    log_.line(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-request",
               {{"peer", net::text(peer)}, {"status", status}, {"why", why}});
 }
 
@@ -382,7 +382,7 @@
     fields.add("Content-Type", "text/plain; charset=utf-8");
     fields.add("Cache-Control", "no-store");
     if (const auto* dynamic = exchange.head().fields.find("traceparent");
-        dynamic && record::parseTraceParent(*dynamic))
+        dynamic && logging::parseTraceParent(*dynamic))
         fields.add("traceparent", *dynamic);
     exchange.respond(status, fields, std::string(why) + "\n");
 }
@@ -511,7 +511,7 @@
     }
     auto made = std::make_unique<Viewer>(terms_.window);
     Viewer& viewer = *made;
-    viewer.token = record::hex64(net_.draw()) + record::hex64(net_.draw());
+    viewer.token = logging::hex64(net_.draw()) + logging::hex64(net_.draw());
     viewer.sidKey = sidKey;
     viewer.title = title;
     viewer.sub = *id;
@@ -520,8 +520,8 @@
     viewer.inGate = true;
     viewer.hints = hint;
     const std::string* parent = head.fields.find("traceparent");
-    auto trace = parent ? record::parseTraceParent(*parent) : std::nullopt;
-    viewer.trace = trace ? *trace : record::newTrace(net_.draw(), net_.draw(), net_.draw());
+    auto trace = parent ? logging::parseTraceParent(*parent) : std::nullopt;
+    viewer.trace = trace ? *trace : logging::newTrace(net_.draw(), net_.draw(), net_.draw());
     viewer.silence = std::make_unique<net::Timer>(net_, [this, token = viewer.token] {
         Viewer* silent = byToken(token);
         if (!silent) return;
@@ -543,7 +543,7 @@
                                   {"max_rung", wish.maxRung},
                                   {"network", gate_.nameOf(network)}};
     if (hint.sid) fields["sid"] = *hint.sid;
-    log_.line(record::Level::Info, net_.now(), net_.wallNow(), "asked", std::move(fields));
+    log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "asked", std::move(fields));
     viewers_.emplace(viewer.token, std::move(made));
     core_.begin(*id);
 }
@@ -629,7 +629,7 @@
     if (toHead) entry.rd = *toHead / 1000;
     entry.du = gate_.held() * 2 > gate_.bound();
     fields.add("CMSD-Dynamic", hints::appended(standingDynamic, entry));
-    fields.add("traceparent", record::write(viewer.trace));
+    fields.add("traceparent", logging::write(viewer.trace));
     return fields;
 }
 
@@ -662,7 +662,7 @@
 }
 
 void HttpFace::answerPlaying(Viewer& viewer, http::Exchange& exchange) {
-    const boxes::JoinAnswer* answer = joins_.answerOf(viewer.sub);
+    const upstream::JoinAnswer* answer = joins_.answerOf(viewer.sub);
     if (!answer) return refuse(exchange, 410, "the subscription is over");
     // One variant: which rung plays is the front's to say, and the window's maps carry each change.
     hls::Variant best;
@@ -704,7 +704,7 @@
 
 void HttpFace::endViewer(Viewer& viewer, bool tellCore) {
     const SubId id = viewer.sub;
-    log_.line(record::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
+    log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
               {{"trace", viewer.trace.trace},
                {"sub", id.v},
                {"segments", viewer.segments},
@@ -724,8 +724,8 @@
     joins_.forget(id);
 }
 
-boxes::JoinWords HttpFace::wordsFor(SubId id, int) {
-    boxes::JoinWords words;
+upstream::JoinWords HttpFace::wordsFor(SubId id, int) {
+    upstream::JoinWords words;
     const Viewer* viewer = bySub(id);
     if (!viewer) return words;
     words.title = viewer->title;
@@ -737,9 +737,9 @@
         const std::string value = hints::writeCmcdHeader(on, i);
         if (!value.empty()) words.fields.add(hints::kCmcdHeaders[i], value);
     }
-    record::TraceContext trace = viewer->trace;
-    trace.parent = record::hex64(net_.draw() | 1);
-    words.fields.add("traceparent", record::write(trace));
+    logging::TraceContext trace = viewer->trace;
+    trace.parent = logging::hex64(net_.draw() | 1);
+    words.fields.add("traceparent", logging::write(trace));
     return words;
 }
 
@@ -778,4 +778,4 @@
     return out.dump() + "\n";
 }
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/http/face.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -14,13 +14,13 @@
 #include <memory>
 #include <string>
 
-#include "faces/asking.hpp"
-#include "faces/http/viewer.hpp"
+#include "frontends/frontend_context.hpp"
+#include "frontends/http/playlist_window.hpp"
 #include "hints/cmcd.hpp"
 #include "http/server.hpp"
-#include "record/trace.hpp"
+#include "logging/trace_context.hpp"
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 
 struct HttpTerms {
     WindowTerms window;
@@ -34,7 +34,7 @@
     Micros retryWhenFull = 1'000'000;   // named to those that admission turns away
 };
 
-class HttpFace final : public core::Face, public http::Handler, public boxes::JoinScribe, Surroundings {
+class HttpFace final : public core::Face, public http::Handler, public upstream::JoinScribe, Surroundings {
   public:
     HttpFace(const Surroundings&, const net::Endpoint&, const http::WireLimits&, const HttpTerms&,
              const hints::HintLimits&);
@@ -47,7 +47,7 @@
     void finishUp(std::function<void()> done);
     std::size_t viewers() const { return viewers_.size(); }
     const hints::DropCounts& hintsDropped() const { return hintsDropped_; }
-    const record::TraceContext* traceOf(SubId) const;
+    const logging::TraceContext* traceOf(SubId) const;
     std::string statusText() const;
 
   private:
@@ -73,7 +73,7 @@
     void rungSet(SubId, int rung) override;
     void broke(SubId) override;
 
-    boxes::JoinWords wordsFor(SubId, int joinNo) override;
+    upstream::JoinWords wordsFor(SubId, int joinNo) override;
 
     void countDropped(const hints::CmcdReader&);
     hints::Cmcd hintsOf(const http::RequestHead&);
@@ -117,4 +117,4 @@
     bool stopping_ = false;
 };
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/http/viewer.cpp
+++ b/src/frontends/http/playlist_window.cpp
@@ -1,9 +1,9 @@
-#include "faces/http/viewer.hpp"
+#include "frontends/http/playlist_window.hpp"
 
 #include <algorithm>
 #include <map>
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 
 void Window::extend(Micros played, int rung, const std::vector<Micros>& durations) {
     while (next_ < durations.size() && nextAt_ <= played + terms_.ahead) {
@@ -45,4 +45,4 @@
     return out;
 }
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/http/viewer.hpp
+++ b/src/frontends/http/playlist_window.hpp
@@ -10,7 +10,7 @@
 
 #include "hls/playlist.hpp"
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 
 struct WindowTerms {
     Micros ahead = 8'000'000;    // of playing, that a viewer may fetch and keep
@@ -44,4 +44,4 @@
     Micros nextAt_ = 0, firstAt_ = 0;  // where in the talk the next and the first listed one begin
 };
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/sip/face.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -1,10 +1,10 @@
-#include "faces/sip/face.hpp"
+#include "frontends/sip/sip_frontend.hpp"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 namespace {
 
 constexpr const char* kAllow = "INVITE, ACK, CANCEL, BYE, OPTIONS, UPDATE";
@@ -30,7 +30,7 @@
     sip::Way way;
     sip::Message invite;
     sip::Offer offer;
-    record::TraceContext trace;
+    logging::TraceContext trace;
     RoomTypeId room;
     std::uint32_t network = 0;
     bool inGate = false, playing = false, updateOut = false, updateDue = false;
@@ -160,15 +160,15 @@
 };
 
 // Asks the box whether it still holds what plays.
-class SipFace::Hold final : public boxes::RequestUser {
+class SipFace::Hold final : public upstream::RequestUser {
   public:
     Hold(SipFace& face, SubId sub) : face_(face), sub_(sub) {}
-    std::unique_ptr<boxes::Request> request;
+    std::unique_ptr<upstream::Request> request;
 
   private:
     void head(const http::ResponseHead& h) override {
         status_ = h.status;
-        load_ = boxes::loadOf(h.fields);
+        load_ = upstream::loadOf(h.fields);
     }
     void piece(std::string_view) override {}
     void whole() override {
@@ -178,15 +178,15 @@
         face_.core_.figures(sub_, call->at, load_.linkUse, load_.uplinkUse);
         call->holdTimer->after(face_.terms_.holdEvery);
     }
-    void failed(boxes::WireEnd how) override {
+    void failed(upstream::WireEnd how) override {
         Call* call = face_.bySub(sub_);
         if (!call) return;
-        if (how == boxes::WireEnd::NoRoomToSend || how == boxes::WireEnd::NoDescriptor ||
-            how == boxes::WireEnd::BrokenOutKept) {  // says nothing of the box
+        if (how == upstream::WireEnd::NoRoomToSend || how == upstream::WireEnd::NoDescriptor ||
+            how == upstream::WireEnd::BrokenOutKept) {  // says nothing of the box
             call->holdTimer->after(face_.terms_.holdEvery / 4);
             return;
         }
-        face_.core_.lost(sub_, boxes::meaningOf(how).end);
+        face_.core_.lost(sub_, upstream::meaningOf(how).end);
     }
     SipFace& face_;
     SubId sub_;
@@ -253,7 +253,7 @@
     const auto it = byDialog_.find(m.callId + "|" + m.to.tag + "|" + m.from.tag);
     return it == byDialog_.end() ? nullptr : it->second;
 }
-const record::TraceContext* SipFace::traceOf(SubId id) const {
+const logging::TraceContext* SipFace::traceOf(SubId id) const {
     const auto it = calls_.find(id);
     return it == calls_.end() ? nullptr : &it->second->trace;
 }
@@ -292,7 +292,7 @@
     sip::Parsed parsed = sip::parse(bytes, terms_.limits);
     if (!parsed.got) {
         ++counts_.malformed;
-        log_.line(record::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
+        log_.line(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
                   {{"peer", net::text(way.peer)}, {"status", parsed.status}, {"why", parsed.why}});
         if (parsed.enough && parsed.status) replyStateless(*parsed.enough, way, parsed.status);
         return;
@@ -317,14 +317,14 @@
     std::vector<std::pair<std::string, std::string>> more;
     if (comeBack > 0) more.emplace_back("Retry-After", wholeSecondsUp(comeBack));
     sendOn(way, sip::response(withControl(m), status,
-                              record::hex64(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more, "",
-                              &way.peer));
+                              logging::hex64(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more,
+                              "", &way.peer));
 }
 
 void SipFace::reply(const std::string& key, const sip::Message& m, int status,
                     std::vector<std::pair<std::string, std::string>> more, const std::string& body) {
     const auto call = byKey_.find(key);
-    const std::string tag = call != byKey_.end() ? call->second->localTag : record::hex64(net_.draw());
+    const std::string tag = call != byKey_.end() ? call->second->localTag : logging::hex64(net_.draw());
     const net::Endpoint* from = call != byKey_.end() ? &call->second->way.peer : nullptr;
     transactions_.answer(key, status, sip::response(withControl(m), status, tag, more, body, from));
 }
@@ -414,7 +414,7 @@
                 ? std::string()
                 : std::string(g.via.substr(at + 9, g.via.find(';', at + 9) - at - 9)));
     }
-    sendOn(way, sip::refusal(g, "503 Service Unavailable", record::hex64(name ^ salt_), more,
+    sendOn(way, sip::refusal(g, "503 Service Unavailable", logging::hex64(name ^ salt_), more,
                              static_cast<long>((terms_.retryWhenFull + kSecond - 1) / kSecond), way.peer));
     return true;
 }
@@ -470,15 +470,15 @@
     Call& call = *made;
     call.sub = *id;
     call.key = key;
-    call.localTag = record::hex64(net_.draw());
+    call.localTag = logging::hex64(net_.draw());
     call.dialog = m.callId + "|" + call.localTag + "|" + m.from.tag;
     call.title = m.user;
     call.way = way;
     call.offer = std::move(offer);
     call.answerDue = m.body.empty();
     const auto parent = m.others.find("traceparent");
-    const auto trace = parent == m.others.end() ? std::nullopt : record::parseTraceParent(parent->second);
-    call.trace = trace ? *trace : record::newTrace(net_.draw(), net_.draw(), net_.draw());
+    const auto trace = parent == m.others.end() ? std::nullopt : logging::parseTraceParent(parent->second);
+    call.trace = trace ? *trace : logging::newTrace(net_.draw(), net_.draw(), net_.draw());
     call.room = *room;
     call.network = network;
     call.inGate = true;
@@ -510,7 +510,7 @@
     mergedUntil_.emplace_back(net_.now() + 65 * terms_.times.t1, mergeKey);
     calls_[*id] = std::move(made);
     joins_.scribe(*id, *this);
-    log_.line(record::Level::Info, net_.now(), net_.wallNow(), "asked",
+    log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "asked",
               {{"trace", call.trace.trace},
                {"sub", id->v},
                {"title", call.title},
@@ -599,7 +599,7 @@
     call->holdTimer->after(terms_.holdEvery);
     auto more = dialogFields(*call);
     if (call->callerRefreshes) more.emplace_back("Require", "timer");
-    more.emplace_back("traceparent", record::write(call->trace));
+    more.emplace_back("traceparent", logging::write(call->trace));
     reply(call->key, call->invite, 200, std::move(more), answerBody(*call));
 }
 
@@ -646,7 +646,7 @@
 // ================= within a dialog =================
 
 void SipFace::sendInDialog(Call& call, const char* method, const std::string& body) {
-    const std::string branch = "z9hG4bK" + record::hex64(net_.draw());
+    const std::string branch = "z9hG4bK" + logging::hex64(net_.draw());
     const sip::Message& m = call.invite;
     std::string text = std::string(method) + " " + sip::headerSafe(call.target) +
                        " SIP/2.0\r\nVia: SIP/2.0/" + (call.way.stream ? "TCP " : "UDP ") +
@@ -681,7 +681,7 @@
 
 void SipFace::forget(Call& call, bool tellCore) {
     const SubId id = call.sub;
-    log_.line(record::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
+    log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
               {{"trace", call.trace.trace}, {"sub", id.v}, {"face", "sip"}});
     if (std::exchange(call.inGate, false)) gate_.answered(call.network);
     transactions_.acknowledged(call.key);  // whatever became of its 200, it is sent no more
@@ -713,18 +713,18 @@
                                      terms_.holdWithin, *call.hold);
 }
 
-boxes::JoinWords SipFace::wordsFor(SubId id, int) {
-    boxes::JoinWords words;
+upstream::JoinWords SipFace::wordsFor(SubId id, int) {
+    upstream::JoinWords words;
     const Call* call = bySub(id);
     if (!call) return words;
     words.title = call->title;
     words.room = rooms_.types[call->room.v].name;
     // A front that was started again knows nothing of this INVITE, and its copies go on coming: the box must
     // tell that it began this very one already.
-    if (rooms_.types[call->room.v].paid) words.once = record::hex64(hashOf(call->key, 0));
-    record::TraceContext trace = call->trace;
-    trace.parent = record::hex64(net_.draw() | 1);
-    words.fields.add("traceparent", record::write(trace));
+    if (rooms_.types[call->room.v].paid) words.once = logging::hex64(hashOf(call->key, 0));
+    logging::TraceContext trace = call->trace;
+    trace.parent = logging::hex64(net_.draw() | 1);
+    words.fields.add("traceparent", logging::write(trace));
     return words;
 }
 
@@ -736,4 +736,4 @@
         if (call->playing) hangUp(*call, true);
 }
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/sip/face.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -16,13 +16,13 @@
 #include <memory>
 #include <string>
 
-#include "faces/asking.hpp"
-#include "record/trace.hpp"
-#include "sip/glance.hpp"
+#include "frontends/frontend_context.hpp"
+#include "logging/trace_context.hpp"
 #include "sip/overload.hpp"
+#include "sip/prefilter.hpp"
 #include "sip/transactions.hpp"
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 
 struct SipTerms {
     sip::SipTimes times;
@@ -43,7 +43,7 @@
 };
 
 class SipFace final : public core::Face,
-                      public boxes::JoinScribe,
+                      public upstream::JoinScribe,
                       sip::TransactionUser,
                       net::DatagramUser,
                       net::ListenerUser,
@@ -60,7 +60,7 @@
     std::uint64_t absorbed() const { return transactions_.absorbed(); }
     const SipCounts& counts() const { return counts_; }
     const sip::Overload& overload() const { return overload_; }
-    const record::TraceContext* traceOf(SubId) const;
+    const logging::TraceContext* traceOf(SubId) const;
 
   private:
     struct Call;
@@ -88,7 +88,7 @@
     void terminated(SubId, core::Ended) override;
     void rungSet(SubId, int rung) override;
     void broke(SubId) override;
-    boxes::JoinWords wordsFor(SubId, int joinNo) override;
+    upstream::JoinWords wordsFor(SubId, int joinNo) override;
 
     void sendOn(const sip::Way&, const std::string& bytes) override;
     void neverAcknowledged(const std::string& key) override;
@@ -131,4 +131,4 @@
     bool stopping_ = false;
 };
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/record/log.cpp
+++ b/src/logging/log.cpp
@@ -1,11 +1,11 @@
-#include "record/log.hpp"
+#include "logging/log.hpp"
 
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/sinks/null_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
-namespace valekeel::record {
+namespace valekeel::logging {
 
 Level levelOf(const std::string& name) {
     if (name == "debug") return Level::Debug;
@@ -65,4 +65,4 @@
     out_->flush();
 }
 
-}  // namespace valekeel::record
+}  // namespace valekeel::logging
--- a/src/record/log.hpp
+++ b/src/logging/log.hpp
@@ -16,7 +16,7 @@
 class logger;
 }
 
-namespace valekeel::record {
+namespace valekeel::logging {
 
 enum class Level { Debug, Info, Warning, Error };
 
@@ -44,4 +44,4 @@
 
 Level levelOf(const std::string& name);  // "debug", "info", "warning", "error"
 
-}  // namespace valekeel::record
+}  // namespace valekeel::logging
--- a/src/record/trace.cpp
+++ b/src/logging/trace_context.cpp
@@ -1,8 +1,8 @@
-#include "record/trace.hpp"
+#include "logging/trace_context.hpp"
 
 #include <algorithm>
 
-namespace valekeel::record {
+namespace valekeel::logging {
 namespace {
 
 bool lowerHex(std::string_view text) {
@@ -47,4 +47,4 @@
     return {hex64(a) + hex64(b), hex64(c), 1};
 }
 
-}  // namespace valekeel::record
+}  // namespace valekeel::logging
--- a/src/record/trace.hpp
+++ b/src/logging/trace_context.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace valekeel::record {
+namespace valekeel::logging {
 
 struct TraceContext {
     std::string trace;   // 32 hex digits
@@ -20,4 +20,4 @@
 std::string hex64(std::uint64_t);
 TraceContext newTrace(std::uint64_t a, std::uint64_t b, std::uint64_t c);
 
-}  // namespace valekeel::record
+}  // namespace valekeel::logging
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -1,5 +1,5 @@
 // valekeel's decisions: all of them, with every table and tuned value. The interface is src/logic.hpp; the
-// adapter (src/wirehost) makes one Logic for each front and calls one method for each thing that happens, in
+// adapter (src/adapter) makes one Logic for each front and calls one method for each thing that happens, in
 // order, with the time. The module answers by calling the Host that it was handed, at once or from woken().
 //
 // The ordinary path is ES-HAS (docs/design.md): subscribe() gathers requests for a slot, place() gives each
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -1,5 +1,5 @@
 // The interface of the decision module: what a front tells it, and the Host through which it acts. It knows
-// no wire; src/wirehost drives it on the bench, a session front will drive it in service.
+// no wire; src/adapter drives it on the bench, a session front will drive it in service.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "model/ids.hpp"
-#include "model/records.hpp"
+#include "model/types.hpp"
 
 namespace valekeel {
 
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -13,7 +13,7 @@
 
 #include "model/ids.hpp"
 #include "net/address.hpp"
-#include "net/wheel.hpp"
+#include "net/timer_wheel.hpp"
 
 namespace valekeel::net {
 
--- a/src/net/wheel.cpp
+++ b/src/net/timer_wheel.cpp
@@ -1,4 +1,4 @@
-#include "net/wheel.hpp"
+#include "net/timer_wheel.hpp"
 
 #include <algorithm>
 #include <bit>
--- a/src/node/changelog.hpp
+++ b/src/node/changelog.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "list/list.hpp"
+#include "discovery/server_list.hpp"
 #include "net/net.hpp"
 #include "setup/values.hpp"
 
@@ -15,12 +15,12 @@
 
 struct ChangeEvent {
     std::uint64_t number = 0;
-    bool whole = false;                // the whole list, else changes
-    std::vector<list::BoxLine> boxes;  // `launched` in Unix microseconds
+    bool whole = false;                     // the whole list, else changes
+    std::vector<discovery::BoxLine> boxes;  // `launched` in Unix microseconds
 };
 
 // What `known` of the configuration holds. Throws setup::Bad.
-std::vector<ChangeEvent> knownEvents(const setup::Json& known, const list::Names&);
+std::vector<ChangeEvent> knownEvents(const setup::Json& known, const discovery::Names&);
 
 class FrameReader {
   public:
--- a/src/node/wire.cpp
+++ b/src/node/line_connection.cpp
@@ -1,4 +1,4 @@
-#include "node/wire.hpp"
+#include "node/line_connection.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -8,7 +8,7 @@
 #include "node/changelog.hpp"
 #include "node/servers.hpp"
 #include "node/viewers.hpp"
-#include "settings/reading.hpp"
+#include "settings/document.hpp"
 #include "setup/setup.hpp"
 
 namespace valekeel::node {
@@ -135,7 +135,7 @@
 }
 
 struct Node::Parts final : core::Watcher, ChangeLogUser {
-    Parts(net::Net& net, const std::string& file, const Json& all, record::Log& log)
+    Parts(net::Net& net, const std::string& file, const Json& all, logging::Log& log)
         : net(net),
           file(file),
           log(log),
@@ -159,7 +159,7 @@
           status(net, [this] { tellStatus(); }),
           stopping(net, [this] { mayStop(); }) {
         const auto odd = [this](const char* what, std::string_view detail) {
-            say(record::Level::Warning, what, {{"seen", detail.substr(0, 400)}});
+            say(logging::Level::Warning, what, {{"seen", detail.substr(0, 400)}});
         };
         viewers.onOdd(odd);
         servers.onOdd(odd);
@@ -180,7 +180,7 @@
         std::vector<ListedSfu> entries;
         std::vector<std::pair<SfuId, Micros>> anew;
         std::set<SfuId> named;
-        for (const list::BoxLine& line : event.boxes) {
+        for (const discovery::BoxLine& line : event.boxes) {
             ListedSfu entry = line.sfu;
             const Micros started = line.sfu.launched;
             const auto it = listed.find(entry.id);
@@ -209,7 +209,7 @@
         }
         // Only now: what the servers' side takes back is placed again at once, by what the module has just
         // heard.
-        for (const list::BoxLine& line : event.boxes)
+        for (const discovery::BoxLine& line : event.boxes)
             if (line.sfu.standing != Standing::Off) servers.at(line.sfu.id, line.at);
         for (const auto& [id, launched] : anew) servers.startedAnew(id, launched);
         for (const ListedSfu& entry : entries) {
@@ -220,9 +220,9 @@
     }
     void changed(const ChangeEvent& event) override {
         nlohmann::ordered_json told{{"number", event.number}, {"whole", event.whole}};
-        for (const list::BoxLine& line : event.boxes)
+        for (const discovery::BoxLine& line : event.boxes)
             told["boxes"].push_back({line.sfu.id.v, static_cast<int>(line.sfu.standing)});
-        say(record::Level::Info, "list", std::move(told));
+        say(logging::Level::Info, "list", std::move(told));
         take(event, false);
     }
     // What was known at the start is as new as the change log, once that has nothing more to tell.
@@ -232,10 +232,10 @@
         std::vector<ListedSfu> all;
         for (const auto& [id, one] : listed) all.push_back(one.entry);
         core.listed(all, false);
-        say(record::Level::Info, "list current", {{"boxes", all.size()}});
+        say(logging::Level::Info, "list current", {{"boxes", all.size()}});
     }
     void unreachable(const std::string& why) override {
-        say(record::Level::Warning, "change log lost", {{"why", why}, {"last", log_.last()}});
+        say(logging::Level::Warning, "change log lost", {{"why", why}, {"last", log_.last()}});
         core.listFailed();
     }
 
@@ -244,25 +244,25 @@
         servers.forget(id);
         viewers.forget(id);
     }
-    void guarded(SubId id) override { say(record::Level::Error, "answered by the guard", {{"sub", id.v}}); }
+    void guarded(SubId id) override { say(logging::Level::Error, "answered by the guard", {{"sub", id.v}}); }
     void chose(SubId, SfuId, const double* score, int among, std::uint64_t) override {
         fits += score != nullptr;
         chosen += 1;
         holders += among;
     }
     void joinSent(SubId id, int no, SfuId at, int rung, Micros timeOut) override {
-        if (log.wants(record::Level::Debug))
-            say(record::Level::Debug, "join",
+        if (log.wants(logging::Level::Debug))
+            say(logging::Level::Debug, "join",
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"rung", rung}, {"time_out", timeOut}});
     }
     void joinEnded(SubId id, int no, SfuId at, const core::JoinOutcome& how) override {
         ++ends[static_cast<std::size_t>(how.end)];
-        if (how.end != JoinEnd::Played && log.wants(record::Level::Debug))
-            say(record::Level::Debug, "join ended",
+        if (how.end != JoinEnd::Played && log.wants(logging::Level::Debug))
+            say(logging::Level::Debug, "join ended",
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"why", how.why}, {"took", how.took}});
     }
 
-    void say(record::Level level, std::string_view what, nlohmann::ordered_json fields) {
+    void say(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
         log.line(level, net.now(), net.wallNow(), what, std::move(fields));
     }
     void tellStatus() {
@@ -270,7 +270,7 @@
         const auto& c = core.counts();
         const auto& v = viewers.counts();
         const auto& s = servers.counts();
-        say(record::Level::Info, "status",
+        say(logging::Level::Info, "status",
             {{"held", core.held()},
              {"unanswered", core.unanswered()},
              {"conns", viewers.connections()},
@@ -336,17 +336,17 @@
         viewers.closeAll();
         if (viewers.connections() + viewers.lingering() > 0 && !past(kEndBefore)) return;
         stopping.cancel();
-        say(record::Level::Info, "stopped", {{"after", since}});
+        say(logging::Level::Info, "stopped", {{"after", since}});
         if (done) std::exchange(done, {})();
     }
 
     net::Net& net;
     std::string file;
-    record::Log& log;
+    logging::Log& log;
     Json settings;
     std::string where;
     setup::Names names;
-    list::Names listNames;
+    discovery::Names listNames;
     Micros killed;  // no sooner, after SIGTERM
     net::Endpoint changelogAt;
     std::vector<ChangeEvent> known;
@@ -371,7 +371,7 @@
     std::function<void()> done;
 };
 
-Node::Node(net::Net& net, const std::string& file, const std::string& text, record::Log& log)
+Node::Node(net::Net& net, const std::string& file, const std::string& text, logging::Log& log)
     : parts_(std::make_unique<Parts>(net, file, readConfiguration(file, text), log)) {}
 Node::~Node() = default;
 
@@ -391,10 +391,10 @@
     try {
         const Json all = readConfiguration(parts_->file, text);
         const net::Endpoint to = changeLogOf(all, parts_->file);
-        parts_->say(record::Level::Info, "configuration replaced", {{"changelog", net::text(to)}});
+        parts_->say(logging::Level::Info, "configuration replaced", {{"changelog", net::text(to)}});
         parts_->log_.moveTo(to);
     } catch (const setup::Bad& wrong) {
-        parts_->say(record::Level::Error, "configuration passed over", {{"why", wrong.what()}});
+        parts_->say(logging::Level::Error, "configuration passed over", {{"why", wrong.what()}});
     }
 }
 
@@ -402,7 +402,7 @@
     if (parts_->done) return;
     parts_->done = std::move(done);
     parts_->stopAt = parts_->net.now();
-    parts_->say(record::Level::Info, "stopping", {});
+    parts_->say(logging::Level::Info, "stopping", {});
     parts_->mayStop();
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -5,8 +5,8 @@
 #include <memory>
 #include <string>
 
+#include "logging/log.hpp"
 #include "net/net.hpp"
-#include "record/log.hpp"
 #include "setup/values.hpp"
 
 namespace valekeel::node {
@@ -18,7 +18,7 @@
 class Node {
   public:
     // Throws setup::Bad before anything is started, std::runtime_error if the address can't be had.
-    Node(net::Net&, const std::string& file, const std::string& text, record::Log&);
+    Node(net::Net&, const std::string& file, const std::string& text, logging::Log&);
     ~Node();
     net::Endpoint at() const;
     // The configuration was replaced. One that can't be read is passed over: the one held applies.
--- a/src/node/servers.hpp
+++ b/src/node/servers.hpp
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "core/core.hpp"
+#include "node/line_connection.hpp"
 #include "node/message.hpp"
-#include "node/wire.hpp"
 
 namespace valekeel::node {
 
--- a/src/node/viewers.hpp
+++ b/src/node/viewers.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "core/core.hpp"
+#include "node/line_connection.hpp"
 #include "node/message.hpp"
 #include "node/servers.hpp"
-#include "node/wire.hpp"
 
 namespace valekeel::node {
 
--- a/src/settings/reading.cpp
+++ b/src/settings/document.cpp
@@ -1,4 +1,4 @@
-#include "settings/reading.hpp"
+#include "settings/document.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/settings/site.cpp
+++ b/src/settings/site_settings.cpp
@@ -1,4 +1,4 @@
-#include "settings/site.hpp"
+#include "settings/site_settings.hpp"
 
 #include <algorithm>
 
--- a/src/settings/site.hpp
+++ b/src/settings/site_settings.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "model/records.hpp"
-#include "settings/reading.hpp"
+#include "model/types.hpp"
+#include "settings/document.hpp"
 
 namespace valekeel::settings {
 
--- a/src/rehearse/baselines.cpp
+++ b/src/simulation/baselines.cpp
@@ -1,11 +1,11 @@
-#include "rehearse/baselines.hpp"
+#include "simulation/baselines.hpp"
 
 #include <algorithm>
 #include <map>
 #include <random>
 #include <stdexcept>
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 namespace {
 
 class Baseline final : public core::Decides {
@@ -137,4 +137,4 @@
     };
 }
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/baselines.hpp
+++ b/src/simulation/baselines.hpp
@@ -8,9 +8,9 @@
 
 #include "front/front.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 
 // "random" or "least-load"; throws std::invalid_argument for any other.
 front::OtherDecide baseline(const std::string& name);
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/drill.cpp
+++ b/src/simulation/drill.cpp
@@ -1,4 +1,4 @@
-#include "rehearse/drill.hpp"
+#include "simulation/drill.hpp"
 
 #include <algorithm>
 #include <boost/histogram.hpp>
@@ -8,13 +8,13 @@
 #include <set>
 #include <sstream>
 
-#include "rehearse/house.hpp"
-#include "standins/list.hpp"
+#include "fakes/list_server.hpp"
+#include "simulation/environment.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 namespace {
 
-using standins::Line;
+using fakes::Line;
 
 // One front under a name that stays over its lives.
 struct FrontHere {
@@ -28,7 +28,7 @@
 
 class Drill {
   public:
-    Drill(const Day& day, const DrillWays& ways, standins::Ledger& ledger)
+    Drill(const Day& day, const DrillWays& ways, fakes::Ledger& ledger)
         : day_(day),
           ways_(ways),
           ledger_(ledger),
@@ -153,8 +153,8 @@
 
     // ---- the list ----
     void tell(int id, const std::string& standing) {
-        standins::Box& box = fleet_.box(id);
-        standins::ListedBox listed;
+        fakes::Box& box = fleet_.box(id);
+        fakes::ListedBox listed;
         listed.id = id;
         listed.cell = box.cell();
         listed.at = net::text(box.at());
@@ -174,39 +174,39 @@
         if (up.empty() || closing_) return nullptr;
         return up[std::uniform_int_distribution<std::size_t>(0, up.size() - 1)(chance_)];
     }
-    std::optional<standins::Player::FrontAt> pickFront() {
+    std::optional<fakes::Player::FrontAt> pickFront() {
         const FrontHere* f = pick(&FrontHere::at);
         if (!f) return std::nullopt;
-        return standins::Player::FrontAt{f->name, *f->at};
+        return fakes::Player::FrontAt{f->name, *f->at};
     }
 
-    standins::PlayerPlan planOf(const Crowd& crowd) {
+    fakes::PlayerPlan planOf(const Crowd& crowd) {
         const auto roll = [&] { return std::uniform_real_distribution<double>(0, 1)(chance_); };
-        standins::PlayerPlan plan;
+        fakes::PlayerPlan plan;
         plan.room = oneOf(crowd.rooms, chance_);
         plan.title = oneOf(crowd.titles, chance_);
         plan.watch = std::uniform_int_distribution<Micros>(crowd.watchLeast, crowd.watchMost)(chance_);
         plan.returns = crowd.returns;
         plan.honours = roll() < crowd.honours;
         if (roll() < crowd.badHints) {
-            constexpr standins::HintStyle kBad[] = {
-                standins::HintStyle::None, standins::HintStyle::Broken, standins::HintStyle::Doubled,
-                standins::HintStyle::Oversized, standins::HintStyle::Contradicting};
+            constexpr fakes::HintStyle kBad[] = {fakes::HintStyle::None, fakes::HintStyle::Broken,
+                                                 fakes::HintStyle::Doubled, fakes::HintStyle::Oversized,
+                                                 fakes::HintStyle::Contradicting};
             plan.hints = kBad[std::uniform_int_distribution<std::size_t>(0, 4)(chance_)];
         } else {
-            plan.hints = roll() < 0.5 ? standins::HintStyle::Headers : standins::HintStyle::Query;
+            plan.hints = roll() < 0.5 ? fakes::HintStyle::Headers : fakes::HintStyle::Query;
         }
         if (roll() < crowd.smallScreens && day_.ladder.kb.size() > 1)
             plan.topKbits = std::llround(day_.ladder.kb[day_.ladder.kb.size() - 2] * 8);
         return plan;
     }
 
-    standins::PlayerPlan planOf(const Audience& a, int member) {
-        const auto roll = [&] { return crowd::unit(crowdChance_); };
-        standins::PlayerPlan plan;
+    fakes::PlayerPlan planOf(const Audience& a, int member) {
+        const auto roll = [&] { return workload::unit(crowdChance_); };
+        fakes::PlayerPlan plan;
         plan.room = oneOf(a.rooms, crowdChance_);
         plan.title = a.titles[a.wanted.draw(crowdChance_)];
-        plan.watch = crowd::lognormal(a.watchMedian, a.watchSigma, 6, crowdChance_);
+        plan.watch = workload::lognormal(a.watchMedian, a.watchSigma, 6, crowdChance_);
         plan.returns = a.returns;
         plan.back = a.back;
         plan.honours = roll() < a.honours;
@@ -215,9 +215,9 @@
         plan.patience.emplace(a.patience, a.stallWeight, -std::log(1 - roll()));
         plan.startWith = a.startWith;
         plan.bufferMost = a.bufferMost;
-        plan.hints = roll() < a.badHints ? standins::HintStyle::None
-                     : roll() < 0.5      ? standins::HintStyle::Headers
-                                         : standins::HintStyle::Query;
+        plan.hints = roll() < a.badHints ? fakes::HintStyle::None
+                     : roll() < 0.5      ? fakes::HintStyle::Headers
+                                         : fakes::HintStyle::Query;
         if (roll() < a.smallScreens && day_.ladder.kb.size() > 1)
             plan.topKbits = std::llround(day_.ladder.kb[day_.ladder.kb.size() - 2] * 8);
         if (roll() < a.ownAbr) plan.ownLadderKb = day_.ladder.kb;
@@ -232,10 +232,10 @@
         return static_cast<int>(
             std::discrete_distribution<std::size_t>(parts.begin(), parts.end())(crowdChance_));
     }
-    void come(net::Net& net, const standins::PlayerPlan& plan, std::uint64_t seed) {
-        players_.push_back(std::make_unique<standins::Player>(
+    void come(net::Net& net, const fakes::PlayerPlan& plan, std::uint64_t seed) {
+        players_.push_back(std::make_unique<fakes::Player>(
             net, static_cast<int>(players_.size()), plan, [this] { return pickFront(); }, seed,
-            day_.ladder.worth, ledger_, [this](standins::Player&) { --active_; }));
+            day_.ladder.worth, ledger_, [this](fakes::Player&) { --active_; }));
         ++active_;
         players_.back()->start();
     }
@@ -261,8 +261,8 @@
         const FrontHere* f = pick(&FrontHere::sip);
         if (!f) return;
         const auto roll = [&] { return std::uniform_real_distribution<double>(0, 1)(chance_); };
-        const standins::PlayerRoom& room = oneOf(some.rooms, chance_);
-        standins::CallPlan plan;
+        const fakes::PlayerRoom& room = oneOf(some.rooms, chance_);
+        fakes::CallPlan plan;
         plan.title = oneOf(some.titles, chance_);
         plan.room = room.name;
         plan.timeout = room.clientTimeout;
@@ -273,7 +273,7 @@
             plan.cancelAfter = std::uniform_int_distribution<Micros>(1, kSecond)(chance_);
         ++active_;
         // Their numbers lie behind those of all players.
-        callers_.push_back(std::make_unique<standins::Caller>(
+        callers_.push_back(std::make_unique<fakes::Caller>(
             net_, 1'000'000 + static_cast<int>(callers_.size()), *f->sip, f->name, plan, some.weather,
             chance_(), ledger_, [this] { --active_; }));
         callers_.back()->start();
@@ -301,7 +301,7 @@
             nextOf(a, 0);
             for (const Audience::Train& t : a.trains)
                 for (int i = 0; i < t.viewers; ++i)
-                    at(t.at + static_cast<Micros>(crowd::unit(crowdChance_) * static_cast<double>(t.over)),
+                    at(t.at + static_cast<Micros>(workload::unit(crowdChance_) * static_cast<double>(t.over)),
                        [this, &a, &t] { comeOne(a, t.member); });
         }
         for (const Callers& some : day_.callers)
@@ -325,7 +325,7 @@
     // A box's process is replaced: it drains where told, goes, and comes back cold.
     void takeAway(int id, const char* why) { fleet_.box(id).die(why); }
     void bringBack(int id) {
-        standins::Box& box = fleet_.box(id);
+        fakes::Box& box = fleet_.box(id);
         if (box.up()) return;
         box.start(true);
         launched_[id] = net_.wallNow();
@@ -481,20 +481,20 @@
 
     const Day& day_;
     const DrillWays& ways_;
-    standins::Ledger& ledger_;
+    fakes::Ledger& ledger_;
     std::unique_ptr<House> house_;
     net::Net& net_;
     std::mt19937_64 chance_;
     std::knuth_b crowdChance_;
     std::map<std::string, int> memberOf_;  // by trace
     std::chrono::steady_clock::time_point startedReal_ = std::chrono::steady_clock::now();
-    standins::BoxFleet fleet_;
-    standins::ListServer list_;
+    fakes::BoxFleet fleet_;
+    fakes::ListServer list_;
     net::Timer watch_;
     std::vector<FrontHere> fronts_;
     std::map<int, Micros> launched_;
-    std::vector<std::unique_ptr<standins::Player>> players_;
-    std::vector<std::unique_ptr<standins::Caller>> callers_;
+    std::vector<std::unique_ptr<fakes::Player>> players_;
+    std::vector<std::unique_ptr<fakes::Caller>> callers_;
     std::deque<std::unique_ptr<net::Timer>> timers_;
     std::vector<std::tuple<Micros, Micros, std::set<int>>> lies_;
     audit::Down down_;
@@ -505,11 +505,11 @@
 
 }  // namespace
 
-DrillResult drill(const Day& day, const DrillWays& ways, standins::Ledger& ledger) {
+DrillResult drill(const Day& day, const DrillWays& ways, fakes::Ledger& ledger) {
     return Drill(day, ways, ledger).run();
 }
 
-void judge(const Day& day, const standins::Ledger& ledger, DrillResult& result) {
+void judge(const Day& day, const fakes::Ledger& ledger, DrillResult& result) {
     namespace bh = boost::histogram;
     // A log axis from 0.1 ms to 100 s, 40 bins a decade: within 6% of the true value.
     using Histogram =
@@ -750,4 +750,4 @@
     return j.dump();
 }
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/drill.hpp
+++ b/src/simulation/drill.hpp
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "audit/audit.hpp"
-#include "rehearse/day.hpp"
-#include "standins/ledger.hpp"
+#include "fakes/ledger.hpp"
+#include "simulation/scenario.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 
 struct DrillResult {
     std::uint64_t asked = 0, firstAsks = 0, played = 0, throttled = 0, terminated = 0, never = 0, twice = 0;
@@ -55,12 +55,12 @@
     std::function<void(const std::string&)> say = [](const std::string&) {};
 };
 
-DrillResult drill(const Day&, const DrillWays&, standins::Ledger&);
+DrillResult drill(const Day&, const DrillWays&, fakes::Ledger&);
 
 // What the ledger says of answers and service; used by drill().
-void judge(const Day&, const standins::Ledger&, DrillResult&);
+void judge(const Day&, const fakes::Ledger&, DrillResult&);
 std::string told(const DrillResult&);
 // One object, names in our words; what an experiment keeps.
 std::string asJson(const DrillResult&);
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/house.cpp
+++ b/src/simulation/environment.cpp
@@ -1,4 +1,4 @@
-#include "rehearse/house.hpp"
+#include "simulation/environment.hpp"
 
 #include <boost/asio/ip/address_v4.hpp>
 #include <filesystem>
@@ -9,9 +9,9 @@
 #include "net/epoll.hpp"
 #include "net/process.hpp"
 #include "net/virtual.hpp"
-#include "rehearse/baselines.hpp"
+#include "simulation/baselines.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 namespace {
 
 // ---- on real sockets ----
@@ -164,4 +164,4 @@
     return std::make_unique<VirtualHouse>(folder, seed);
 }
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/house.hpp
+++ b/src/simulation/environment.hpp
@@ -8,7 +8,7 @@
 
 #include "net/net.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 
 // One front, over all its lives.
 class FrontLife {
@@ -40,4 +40,4 @@
 std::unique_ptr<House> realHouse(const std::string& program, const std::string& folder, std::uint64_t seed);
 std::unique_ptr<House> virtualHouse(const std::string& folder, std::uint64_t seed);
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/day.cpp
+++ b/src/simulation/scenario.cpp
@@ -1,11 +1,11 @@
-#include "rehearse/day.hpp"
+#include "simulation/scenario.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 #include <stdexcept>
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 
 using settings::Cursor;
 
@@ -71,8 +71,8 @@
     return out;
 }
 
-std::vector<std::pair<double, standins::PlayerRoom>> roomsOf(Cursor& node, const Day& day) {
-    std::vector<std::pair<double, standins::PlayerRoom>> out;
+std::vector<std::pair<double, fakes::PlayerRoom>> roomsOf(Cursor& node, const Day& day) {
+    std::vector<std::pair<double, fakes::PlayerRoom>> out;
     for (Cursor& room : node.each("room")) {
         const std::string name = room.argument("a room type");
         const auto id = day.rooms.find(name);
@@ -88,7 +88,7 @@
 
 // Wanted by a Zipf law, in the order of their names.
 std::vector<std::pair<double, std::string>> titlesOf(Cursor& node, const settings::Talks& talks) {
-    const crowd::Zipf wanted(talks.size(), node.number("zipf", 0, 5, 0.8), 0);
+    const workload::Zipf wanted(talks.size(), node.number("zipf", 0, 5, 0.8), 0);
     std::vector<std::pair<double, std::string>> out;
     for (const auto& [title, talk] : talks) out.emplace_back(wanted.part(out.size()), title);
     return out;
@@ -123,16 +123,16 @@
     a.startWith = node.time("start-with", 0, kDay, kSecond);
     a.bufferMost = node.time("buffer", kSecond, kDay, 8 * kSecond);
     const double zipf = node.number("zipf", 0, 5, 0.8), hot = node.number("hot", 0, 1, 0);
-    a.wanted = crowd::Zipf(talks.size(), zipf, hot);
+    a.wanted = workload::Zipf(talks.size(), zipf, hot);
     if (node.has("member")) a.member = memberNamed(node, day);
     a.rooms = roomsOf(node, day);
     for (const auto& [title, talk] : talks) a.titles.push_back(title);
-    std::vector<crowd::Flash> flashes;
+    std::vector<workload::Flash> flashes;
     for (Cursor& one : node.each("flash")) {
         flashes.push_back({one.time("at", 0, kDay), one.time("for", 1, kDay), one.number("times", 0, 1e4)});
         one.finish();
     }
-    a.stream = crowd::Arrivals(rate, from, until, swing, period, std::move(flashes));
+    a.stream = workload::Arrivals(rate, from, until, swing, period, std::move(flashes));
     for (Cursor& one : node.each("train")) {
         Audience::Train t;
         t.viewers = static_cast<int>(one.whole("viewers", 0, 1'000'000));
@@ -227,7 +227,7 @@
         site.one(passed);  // a front reads them
     site.finish();
 
-    standins::BoxMake& make = day.make;
+    fakes::BoxMake& make = day.make;
     if (auto node = top.one("box-make")) {
         make.segment = node->time("segment", 100'000, 60 * kSecond, kSecond);
         make.segments = static_cast<int>(node->whole("segments", 1, 100'000, 600));
@@ -329,4 +329,4 @@
     return day;
 }
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/day.hpp
+++ b/src/simulation/scenario.hpp
@@ -5,14 +5,14 @@
 #include <vector>
 
 #include "audit/audit.hpp"
-#include "crowd/arrivals.hpp"
-#include "settings/reading.hpp"
-#include "settings/site.hpp"
-#include "standins/box.hpp"
-#include "standins/caller.hpp"
-#include "standins/player.hpp"
+#include "fakes/box.hpp"
+#include "fakes/caller.hpp"
+#include "fakes/player.hpp"
+#include "settings/document.hpp"
+#include "settings/site_settings.hpp"
+#include "workload/arrivals.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 
 struct TroubleKind {
     std::string name, what, benchName;
@@ -31,9 +31,9 @@
 
 struct Crowd {
     int players = 0;
-    Micros over = 0, at = 0;                                     // they come within this time, from then on
-    std::vector<std::pair<double, standins::PlayerRoom>> rooms;  // with their parts
-    std::vector<std::pair<double, std::string>> titles;          // with their weights
+    Micros over = 0, at = 0;                                  // they come within this time, from then on
+    std::vector<std::pair<double, fakes::PlayerRoom>> rooms;  // with their parts
+    std::vector<std::pair<double, std::string>> titles;       // with their weights
     Micros watchLeast = 0, watchMost = 0;
     double badHints = 0, smallScreens = 0, honours = 1;
     int returns = 1;
@@ -43,11 +43,11 @@
 struct Callers {
     int callers = 0;
     Micros over = 0, at = 0;
-    std::vector<std::pair<double, standins::PlayerRoom>> rooms;
+    std::vector<std::pair<double, fakes::PlayerRoom>> rooms;
     std::vector<std::pair<double, std::string>> titles;
     Micros talkLeast = 0, talkMost = 0, t1 = 0;
     double cancels = 0;  // the part of them that cancel, within a second
-    standins::Weather weather;
+    fakes::Weather weather;
 };
 
 struct Member {
@@ -57,16 +57,16 @@
 
 // A modelled crowd: viewers who come by a stream, watch through their member's link, and have a patience.
 struct Audience {
-    crowd::Arrivals stream{0, 0, 0, 0, 1, {}};
+    workload::Arrivals stream{0, 0, 0, 0, 1, {}};
     struct Train {
         int viewers = 0, member = 0;
         Micros at = 0, over = 0;
     };
     std::vector<Train> trains;
     int member = -1;  // all of them watch through this one's link; -1: by the members' parts
-    std::vector<std::pair<double, standins::PlayerRoom>> rooms;
+    std::vector<std::pair<double, fakes::PlayerRoom>> rooms;
     std::vector<std::string> titles;
-    crowd::Zipf wanted{1, 0, 0};  // of the titles
+    workload::Zipf wanted{1, 0, 0};  // of the titles
     Micros watchMedian = 0, patience = 0, back = 0;
     double watchSigma = 0, stallWeight = 0;
     double badHints = 0, smallScreens = 0, honours = 1, atOnce = 0, ownAbr = 0;
@@ -80,7 +80,7 @@
     std::uint64_t seed = 1;
     int fronts = 1, boxes = 1;
     double linkKb = 0;
-    standins::BoxMake make;
+    fakes::BoxMake make;
     Ladder ladder;
     settings::RoomTypes rooms;
     settings::Machines machines;
@@ -103,4 +103,4 @@
 // Throws settings::Wrong.
 Day readDay(const settings::Document&);
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/sip/glance.cpp
+++ b/src/sip/prefilter.cpp
@@ -1,4 +1,4 @@
-#include "sip/glance.hpp"
+#include "sip/prefilter.hpp"
 
 #include <algorithm>
 
--- a/src/boxes/reuse.cpp
+++ b/src/upstream/connection_reuse.cpp
@@ -1,8 +1,8 @@
-#include "boxes/reuse.hpp"
+#include "upstream/connection_reuse.hpp"
 
 #include <algorithm>
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 
 // The one used last is taken first: the others grow old and are closed, so a quiet front holds few.
 Reuse::Choice Reuse::choose(Micros now, Need need) const {
@@ -41,4 +41,4 @@
     return idle_.begin()->second;
 }
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/boxes/reuse.hpp
+++ b/src/upstream/connection_reuse.hpp
@@ -9,7 +9,7 @@
 
 #include "model/ids.hpp"
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 
 using ConnId = Id<struct ConnTag, std::uint64_t>;
 
@@ -43,4 +43,4 @@
     std::set<std::pair<Micros, ConnId>> idle_;  // by when they became idle
 };
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/boxes/joins.cpp
+++ b/src/upstream/join_client.cpp
@@ -1,6 +1,6 @@
-#include "boxes/joins.hpp"
+#include "upstream/join_client.hpp"
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 
 class Joins::Out final : public RequestUser {
   public:
@@ -118,4 +118,4 @@
     boxes_.tell(at, "DELETE", "/sub/" + keyOf(id), {});
 }
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/boxes/joins.hpp
+++ b/src/upstream/join_client.hpp
@@ -1,5 +1,5 @@
 // Joins on the wire: the front's first fetch of a talk at the box that the module chose. What its end proves
-// is read off the table in outcome.hpp, here and nowhere else.
+// is read off the table in request_result.hpp, here and nowhere else.
 #pragma once
 
 #include <map>
@@ -7,11 +7,11 @@
 #include <set>
 #include <string>
 
-#include "boxes/boxes.hpp"
 #include "core/core.hpp"
 #include "hls/playlist.hpp"
+#include "upstream/upstream_client.hpp"
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 
 // What a join says. The face that asked for the subscription knows it.
 struct JoinWords {
@@ -75,4 +75,4 @@
     net::Timer bury_;
 };
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/boxes/outcome.cpp
+++ b/src/upstream/request_result.cpp
@@ -1,8 +1,8 @@
-#include "boxes/outcome.hpp"
+#include "upstream/request_result.hpp"
 
 #include <array>
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 namespace {
 
 using E = JoinEnd;
@@ -31,4 +31,4 @@
     return kTable[static_cast<std::size_t>(end)];
 }
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/boxes/outcome.hpp
+++ b/src/upstream/request_result.hpp
@@ -4,9 +4,9 @@
 
 #include <string_view>
 
-#include "model/records.hpp"
+#include "model/types.hpp"
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 
 enum class WireEnd {
     Answered200,       // the playlist came, whole
@@ -36,4 +36,4 @@
 
 const Meaning& meaningOf(WireEnd);
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/boxes/boxes.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -1,8 +1,8 @@
-#include "boxes/boxes.hpp"
+#include "upstream/upstream_client.hpp"
 
 #include <algorithm>
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 
 struct Boxes::Kept {
     std::unique_ptr<http::Connection> conn;
@@ -308,4 +308,4 @@
     return load;
 }
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/boxes/boxes.hpp
+++ b/src/upstream/upstream_client.hpp
@@ -8,13 +8,13 @@
 #include <memory>
 #include <string>
 
-#include "boxes/outcome.hpp"
-#include "boxes/reuse.hpp"
 #include "hints/cmsd.hpp"
 #include "http/client.hpp"
 #include "net/net.hpp"
+#include "upstream/connection_reuse.hpp"
+#include "upstream/request_result.hpp"
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 
 struct BoxLimits {
     std::size_t connections = 256;  // to one box
@@ -90,4 +90,4 @@
 // Of a join's or segment's answer: what its CMSD entries tell.
 Load loadOf(const http::Fields&);
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/crowd/arrivals.cpp
+++ b/src/workload/arrivals.cpp
@@ -1,10 +1,10 @@
-#include "crowd/arrivals.hpp"
+#include "workload/arrivals.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <numbers>
 
-namespace valekeel::crowd {
+namespace valekeel::workload {
 
 double unit(std::knuth_b& chance) {
     return std::uniform_real_distribution<double>(0, 1)(chance);
@@ -65,4 +65,4 @@
     return static_cast<Micros>(static_cast<double>(median) * std::min(times, most));
 }
 
-}  // namespace valekeel::crowd
+}  // namespace valekeel::workload
--- a/src/crowd/arrivals.hpp
+++ b/src/workload/arrivals.hpp
@@ -8,7 +8,7 @@
 
 #include "model/ids.hpp"
 
-namespace valekeel::crowd {
+namespace valekeel::workload {
 
 struct Flash {  // a crowd on top: its rate rises at once and falls away evenly
     Micros at = 0, lasts = 0;
@@ -47,4 +47,4 @@
 Micros lognormal(Micros median, double sigma, double most, std::knuth_b&);
 double unit(std::knuth_b&);  // 0 to 1, without 1
 
-}  // namespace valekeel::crowd
+}  // namespace valekeel::workload
--- a/src/crowd/fairshare.cpp
+++ b/src/workload/fairshare.cpp
@@ -1,4 +1,4 @@
-#include "crowd/fairshare.hpp"
+#include "workload/fairshare.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace valekeel::crowd {
+namespace valekeel::workload {
 namespace {
 
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
@@ -280,4 +280,4 @@
     return out;
 }
 
-}  // namespace valekeel::crowd
+}  // namespace valekeel::workload
--- a/src/crowd/fairshare.hpp
+++ b/src/workload/fairshare.hpp
@@ -17,7 +17,7 @@
 
 #include "model/ids.hpp"
 
-namespace valekeel::crowd {
+namespace valekeel::workload {
 
 struct LinkNo {
     std::uint32_t v = 0;
@@ -120,4 +120,4 @@
     Id next_ = 1;
 };
 
-}  // namespace valekeel::crowd
+}  // namespace valekeel::workload
--- a/src/crowd/viewer.cpp
+++ b/src/workload/viewer.cpp
@@ -1,9 +1,9 @@
-#include "crowd/viewer.hpp"
+#include "workload/viewer.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace valekeel::crowd {
+namespace valekeel::workload {
 
 // The hazard rises evenly with the time waited: its sum is w squared over two scales.
 Patience::Patience(Micros half, double stallWeight, double threshold)
@@ -83,4 +83,4 @@
     return wait + static_cast<Micros>(spread * 100'000);
 }
 
-}  // namespace valekeel::crowd
+}  // namespace valekeel::workload
--- a/src/crowd/viewer.hpp
+++ b/src/workload/viewer.hpp
@@ -7,7 +7,7 @@
 
 #include "model/ids.hpp"
 
-namespace valekeel::crowd {
+namespace valekeel::workload {
 
 // A viewer's patience: the hazard of giving up grows with what it has waited for a start, and with each
 // second that playing stood still. Drawn once: `threshold` is exponential with mean 1, and the viewer goes
@@ -70,4 +70,4 @@
 // Nothing: it doesn't. `spread` 0 to 1: of the viewer's own delay.
 std::optional<Micros> comesAgain(const Returning&, int returned, std::optional<Micros> told, double spread);
 
-}  // namespace valekeel::crowd
+}  // namespace valekeel::workload
--- a/tests/wire_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,11 +1,11 @@
 // The adapter, fed with lines as the wire writes them.
-#include "wirehost/wire.hpp"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
-namespace valekeel::wire {
+#include "adapter/simulator_adapter.hpp"
+
+namespace valekeel::adapter {
 namespace {
 
 using Json = nlohmann::json;
@@ -115,4 +115,4 @@
 }
 
 }  // namespace
-}  // namespace valekeel::wire
+}  // namespace valekeel::adapter
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -3,9 +3,9 @@
 #include <map>
 #include <random>
 
-#include "admission/gate.hpp"
-#include "boxes/outcome.hpp"
-#include "boxes/reuse.hpp"
+#include "admission/admission_controller.hpp"
+#include "upstream/connection_reuse.hpp"
+#include "upstream/request_result.hpp"
 
 namespace valekeel {
 namespace {
@@ -296,7 +296,7 @@
 
 // Connections to a box against a plain model: never over the bound, a sure request never on an old one.
 TEST(Reuse, KeepsItsPromisesOnAnyOrderOfEvents) {
-    using namespace boxes;
+    using namespace upstream;
     for (unsigned seed = 1; seed <= 40; ++seed) {
         std::mt19937 chance(seed);
         const auto pick = [&](Micros lo, Micros hi) {
@@ -361,15 +361,15 @@
 
 // The module takes these three for proof that nothing ran, and no others. The table must never say otherwise.
 TEST(Outcome, ProofInTheTableIsProofToTheModule) {
-    for (int i = 0; i < static_cast<int>(boxes::WireEnd::Count_); ++i) {
-        const boxes::Meaning& m = boxes::meaningOf(static_cast<boxes::WireEnd>(i));
+    for (int i = 0; i < static_cast<int>(upstream::WireEnd::Count_); ++i) {
+        const upstream::Meaning& m = upstream::meaningOf(static_cast<upstream::WireEnd>(i));
         const bool module =
             m.end == JoinEnd::Full || m.end == JoinEnd::NoConnection || m.end == JoinEnd::NeverSent;
         EXPECT_EQ(m.neverRan, module) << m.name;
         EXPECT_FALSE(m.why.empty());
     }
-    EXPECT_FALSE(boxes::meaningOf(boxes::WireEnd::BrokenOutKept).neverRan);
-    EXPECT_FALSE(boxes::meaningOf(boxes::WireEnd::TurnedAway).neverRan);
+    EXPECT_FALSE(upstream::meaningOf(upstream::WireEnd::BrokenOutKept).neverRan);
+    EXPECT_FALSE(upstream::meaningOf(upstream::WireEnd::TurnedAway).neverRan);
 }
 
 }  // namespace
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -8,8 +8,8 @@
 namespace valekeel {
 namespace {
 
-using standins::Ledger;
-using standins::Line;
+using fakes::Ledger;
+using fakes::Line;
 
 audit::Terms terms() {
     audit::Terms t;
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -14,17 +14,17 @@
 #include <fstream>
 #include <iterator>
 
-#include "loop.hpp"
+#include "fakes/platform.hpp"
+#include "loop_fixture.hpp"
 #include "net/virtual.hpp"
 #include "node/node.hpp"
-#include "node_day.hpp"
-#include "standins/platform.hpp"
+#include "node_fixture.hpp"
 
 namespace valekeel {
 namespace {
 
 using Json = nlohmann::json;
-using standins::PlatformLog;
+using fakes::PlatformLog;
 
 constexpr Micros kAfterBreak = 2 * kSecond, kAfterSilence = 4 * kSecond, kAfterReload = 4 * kSecond;
 
@@ -536,17 +536,17 @@
         if (!node) node = &world.node("m" + std::to_string(n), place(n).ip);
         return *node;
     }
-    std::vector<std::unique_ptr<standins::PlatformServer>> servers;
+    std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
     std::unique_ptr<PlatformLog> log;
     std::string logFile = testing::TempDir() + "changelog_test." + std::to_string(::getpid()) + ".log";
-    record::Log record{logFile, record::Level::Info, 1};
+    logging::Log record{logFile, logging::Level::Info, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<standins::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformLine> viewers;
     std::map<std::string, std::string> said;
 
     NodeListDay() {
         for (int i = 0; i < 2; ++i)
-            servers.push_back(std::make_unique<standins::PlatformServer>(machine(i), place(i)));
+            servers.push_back(std::make_unique<fakes::PlatformServer>(machine(i), place(i)));
         log = std::make_unique<PlatformLog>(machine(10), place(10));
         log->last = 1;
     }
@@ -557,8 +557,8 @@
         run(50'000);
     }
     void connect() {
-        viewers = std::make_unique<standins::PlatformLine>(
-            machine(12), front->at(), [this](standins::PlatformLine&, const Json& m) {
+        viewers = std::make_unique<fakes::PlatformLine>(
+            machine(12), front->at(), [this](fakes::PlatformLine&, const Json& m) {
                 std::string& all = said[m.value("tag", "")];
                 all += (all.empty() ? "" : " ") +
                        (m["verb"] == "STARTED" ? std::string("+") : std::to_string(m.value("rc", 0)));
@@ -568,7 +568,7 @@
     Json configuration() {
         std::vector<net::Endpoint> places;
         for (const auto& server : servers) places.push_back(server->at());
-        return nodeday::configurationOf(
+        return nodetest::configurationOf(
             places, place(11), log->at(),
             Json::parse(R"({"balancers":2,"host_types":["k"],"zones":["z"],"zone":"z",
       "weights":"nominal","allowed":{"attempts_cap":3,"max_retry_after":0.5,"retry_after":true,
@@ -583,7 +583,7 @@
     }
     void ask(int n) {
         viewers->say({{"verb", "START"},
-                      {"tag", nodeday::idOf(n)},
+                      {"tag", nodetest::idOf(n)},
                       {"opts",
                        {{"class", "talk"},
                         {"left", "3000"},
@@ -596,11 +596,11 @@
         if (viewers->ended()) connect();  // closed for idleness
         for (int n = from; n < from + count; ++n) ask(n);
         run(kSecond);
-        for (int n = from; n < from + count; ++n) EXPECT_EQ(said[nodeday::idOf(n)], "+") << n;
+        for (int n = from; n < from + count; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
     }
     int standing(int n) const {
         for (std::size_t i = 0; i < servers.size(); ++i)
-            if (servers[i]->standing.count(nodeday::idOf(n))) return static_cast<int>(i);
+            if (servers[i]->standing.count(nodetest::idOf(n))) return static_cast<int>(i);
         return -1;
     }
     void run(Micros time) { world.runUntil(world.now() + time); }
@@ -618,7 +618,7 @@
     log->add({{1, servers[1]->at(), 0, 1}}, true);
     run(500'000);
     const std::size_t before = servers[0]->setups.size();
-    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodeday::idOf(n)], standing(n) == 1 ? "+" : "+ 41") << n;
+    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], standing(n) == 1 ? "+" : "+ 41") << n;
     play(20, 10);
     EXPECT_EQ(servers[0]->setups.size(), before);
 }
@@ -629,7 +629,7 @@
     play(1, 12);
     log->add({{0, servers[0]->at(), 0, 0}, {1, servers[1]->at(), 0, 1, wallMs()}}, true);
     run(500'000);
-    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodeday::idOf(n)], standing(n) == 0 ? "+" : "+ 41") << n;
+    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], standing(n) == 0 ? "+" : "+ 41") << n;
 }
 
 // The start of a media server is told in Unix time. Told again it is no new start, though the wall clock was
@@ -645,7 +645,7 @@
     log->add({{0, servers[0]->at(), 0, 0}, {1, servers[1]->at(), 0, 1, started}}, true);
     log->add({{1, servers[1]->at(), 0, 1, started}});
     run(kSecond);
-    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodeday::idOf(n)], "+") << n;
+    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
 }
 
 // A whole list with a number that is over says nothing new, whatever it holds.
@@ -659,7 +659,7 @@
         log->bytes(PlatformLog::frame(number, 1, {{0, servers[0]->at(), 0, 0}}));
     play(20, 10);
     EXPECT_EQ(servers[0]->setups.size(), before);
-    for (int n = 1; n <= 6; ++n) EXPECT_EQ(said[nodeday::idOf(n)], "+") << n;
+    for (int n = 1; n <= 6; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
 }
 
 // The front comes up while the change log is away, with an old list: it serves at once, and knows of the
@@ -669,9 +669,9 @@
     log.reset();
     front = std::make_unique<node::Node>(machine(11), "config.json", configured.dump(), record);
     connect();
-    viewers->say({{"verb", "ECHO"}, {"tag", nodeday::idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
+    viewers->say({{"verb", "ECHO"}, {"tag", nodetest::idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
     run(50'000);
-    EXPECT_EQ(said[nodeday::idOf(99)], "1");  // passed: ready, though nobody has told it anything
+    EXPECT_EQ(said[nodetest::idOf(99)], "1");  // passed: ready, though nobody has told it anything
     play(1, 4);
     EXPECT_NE(logged().find("change log lost"), std::string::npos);
     run(7 * kSecond);
@@ -729,7 +729,7 @@
     for (int n = 1; n <= 10; ++n) ask(n);
     run(kSecond);
     EXPECT_FALSE(over);
-    for (int n = 1; n <= 10; ++n) EXPECT_EQ(said[nodeday::idOf(n)], "+") << n;
+    for (int n = 1; n <= 10; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
     EXPECT_TRUE(servers[0]->setups.empty());
     run(4 * kSecond);
     EXPECT_TRUE(over);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <random>
 
-#include "handnet.hpp"
+#include "manual_net.hpp"
 
 namespace valekeel {
 namespace {
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -4,19 +4,19 @@
 #include <gtest/gtest.h>
 
 #include "core/core.hpp"
+#include "fakes/platform.hpp"
 #include "net/virtual.hpp"
 #include "node/message.hpp"
 #include "node/node.hpp"
 #include "node/servers.hpp"
-#include "node_day.hpp"
+#include "node_fixture.hpp"
 #include "setup/setup.hpp"
-#include "standins/platform.hpp"
 
 namespace valekeel {
 namespace {
 
 using Json = nlohmann::json;
-using standins::Does;
+using fakes::Does;
 
 // One class, one attempt, no budget, no wait to name; all times are short.
 Json pierNotices() {
@@ -60,26 +60,26 @@
     return all;
 }
 
-using nodeday::idOf;
+using nodetest::idOf;
 
-struct Day : nodeday::Virtual {
+struct Day : nodetest::Virtual {
     Json settings;
-    std::vector<std::unique_ptr<standins::PlatformServer>> servers;
-    std::unique_ptr<standins::PlatformLog> log;
-    record::Log record{"", record::Level::Error, 1};
+    std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
+    std::unique_ptr<fakes::PlatformLog> log;
+    logging::Log record{"", logging::Level::Error, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<standins::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformLine> viewers;
     std::map<std::string, std::vector<std::pair<Micros, Json>>> heard;
 
     explicit Day(Json told, int count = 4, int listed = -1) : settings(std::move(told)) {
         for (int i = 0; i < count; ++i)
-            servers.push_back(std::make_unique<standins::PlatformServer>(machine(i), place(i)));
-        log = std::make_unique<standins::PlatformLog>(machine(10), place(10));
+            servers.push_back(std::make_unique<fakes::PlatformServer>(machine(i), place(i)));
+        log = std::make_unique<fakes::PlatformLog>(machine(10), place(10));
         log->last = 1;
         front = std::make_unique<node::Node>(machine(11), "config.json",
                                              configuration(listed < 0 ? count : listed), record);
-        viewers = std::make_unique<standins::PlatformLine>(
-            machine(12), front->at(), [this](standins::PlatformLine&, const Json& m) {
+        viewers = std::make_unique<fakes::PlatformLine>(
+            machine(12), front->at(), [this](fakes::PlatformLine&, const Json& m) {
                 heard[m.value("tag", "")].emplace_back(world.now(), m);
             });
         run(50'000);
@@ -87,7 +87,7 @@
     std::string configuration(int count) const {
         std::vector<net::Endpoint> places;
         for (int i = 0; i < count; ++i) places.push_back(place(i));
-        return nodeday::configurationOf(places, place(11), log->at(), settings).dump();
+        return nodetest::configurationOf(places, place(11), log->at(), settings).dump();
     }
     void ask(int n, std::size_t room = 0, int left = 0) {
         const Json& told = settings["request_classes"][room];
@@ -185,12 +185,12 @@
 TEST(Deployments, ConnectionsCarryNoMoreThanTheSettingsAllow) {
     Day day(pierNotices(), 0, 1);
     struct Holds final : net::ListenerUser {
-        std::vector<std::unique_ptr<standins::PlatformLine>> lines;
-        std::map<standins::PlatformLine*, int> out;
+        std::vector<std::unique_ptr<fakes::PlatformLine>> lines;
+        std::map<fakes::PlatformLine*, int> out;
         void accepted(std::unique_ptr<net::Stream> stream) override {
-            lines.push_back(std::make_unique<standins::PlatformLine>(
+            lines.push_back(std::make_unique<fakes::PlatformLine>(
                 std::move(stream),
-                [this](standins::PlatformLine& line, const Json& m) { out[&line] += m["verb"] == "START"; }));
+                [this](fakes::PlatformLine& line, const Json& m) { out[&line] += m["verb"] == "START"; }));
         }
     } holds;
     const auto listener = day.machine(0).listen(Day::place(0), holds);
--- a/tests/list_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,19 +1,18 @@
-#include "standins/list.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <filesystem>
 #include <fstream>
 
-#include "list/follow.hpp"
-#include "loop.hpp"
+#include "discovery/list_follower.hpp"
+#include "fakes/list_server.hpp"
+#include "loop_fixture.hpp"
 #include "settings/kdl.hpp"
 
 namespace valekeel {
 namespace {
 
-using namespace list;
+using namespace discovery;
 
 const std::vector<std::string> kKinds{"small", "large"};
 
@@ -116,8 +115,8 @@
 };
 
 struct StreamRig : Loop {
-    standins::Ledger ledger;
-    standins::ListServer server{net, any(), ledger};
+    fakes::Ledger ledger;
+    fakes::ListServer server{net, any(), ledger};
     Hears hears;
     std::unique_ptr<Follower> follower;
     StreamRig() {
@@ -130,7 +129,7 @@
         EXPECT_TRUE(until([&] { return hears.last() == "list 2"; }));
     }
     void put(int id, const std::string& standing = "on") {
-        standins::ListedBox b;
+        fakes::ListedBox b;
         b.id = id;
         b.at = "127.0.0.1:1";
         b.kind = "small";
--- a/tests/learnt_test.cpp
+++ b/tests/evidence_test.cpp
@@ -1,11 +1,10 @@
 // What a front keeps of the boxes between its lives.
-#include "learnt/learnt.hpp"
-
 #include <gtest/gtest.h>
 
+#include "evidence/evidence_file.hpp"
 #include "settings/kdl.hpp"
 
-namespace valekeel::learnt {
+namespace valekeel::evidence {
 namespace {
 
 TEST(Learnt, ComesBackAsItWasKept) {
@@ -35,4 +34,4 @@
 }
 
 }  // namespace
-}  // namespace valekeel::learnt
+}  // namespace valekeel::evidence
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -12,8 +12,8 @@
 
 #include "charts/charts.hpp"
 #include "net/virtual.hpp"
-#include "rehearse/day.hpp"
-#include "rehearse/drill.hpp"
+#include "simulation/drill.hpp"
+#include "simulation/scenario.hpp"
 
 namespace valekeel {
 namespace {
@@ -201,19 +201,19 @@
 )";
 
 std::string played(std::uint64_t seed, std::string* json = nullptr) {
-    rehearse::Day day = rehearse::readDay(settings::Document::fromText("small.kdl", kDay));
+    simulation::Day day = simulation::readDay(settings::Document::fromText("small.kdl", kDay));
     day.seed = seed;
-    rehearse::DrillWays ways;
+    simulation::DrillWays ways;
     ways.real = false;
     ways.folder = folder().string();
-    standins::Ledger ledger;
-    const auto result = rehearse::drill(day, ways, ledger);
+    fakes::Ledger ledger;
+    const auto result = simulation::drill(day, ways, ledger);
     for (const auto& b : result.breaches) ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
     EXPECT_GT(result.played, 20u);
     EXPECT_GT(result.calls.size(), 0u);
     EXPECT_GT(result.stalls, 0u) << "the far member's link was cut";
     EXPECT_GT(result.byMember.at("near").second, result.byMember.at("far").second);
-    if (json) *json = rehearse::asJson(result);
+    if (json) *json = simulation::asJson(result);
     std::ostringstream out;
     ledger.write(out);
     return out.str();
@@ -267,14 +267,14 @@
 }
 
 TEST(Settings, OfADayAreChangedByTheirPath) {
-    const std::string text = rehearse::withSettings(
+    const std::string text = simulation::withSettings(
         "d.kdl", kDay, {{"audience@rate", "9"}, {"site/fleet@uplink-kb", "123"}, {"day@length", "20s"}});
-    const auto day = rehearse::readDay(settings::Document::fromText("d.kdl", text));
+    const auto day = simulation::readDay(settings::Document::fromText("d.kdl", text));
     EXPECT_EQ(day.audiences.front().stream.rateAt(kSecond), 9);
     EXPECT_EQ(day.machines.fleet.uplinkKb, 123);
     EXPECT_EQ(day.length, 20 * kSecond);
-    EXPECT_THROW(rehearse::withSettings("d.kdl", kDay, {{"audiense@rate", "9"}}), std::invalid_argument);
-    EXPECT_THROW(rehearse::withSettings("d.kdl", kDay, {{"rate", "9"}}), std::invalid_argument);
+    EXPECT_THROW(simulation::withSettings("d.kdl", kDay, {{"audiense@rate", "9"}}), std::invalid_argument);
+    EXPECT_THROW(simulation::withSettings("d.kdl", kDay, {{"rate", "9"}}), std::invalid_argument);
 }
 
 TEST(Store, KeepsARunOnceAndReadsItBack) {
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -13,11 +13,11 @@
 
 #include "audit/audit.hpp"
 #include "experiment/experiment.hpp"
-#include "loop.hpp"
-#include "rehearse/drill.hpp"
-#include "standins/caller.hpp"
-#include "standins/list.hpp"
-#include "standins/player.hpp"
+#include "fakes/caller.hpp"
+#include "fakes/list_server.hpp"
+#include "fakes/player.hpp"
+#include "loop_fixture.hpp"
+#include "simulation/drill.hpp"
 
 namespace valekeel {
 namespace {
@@ -40,12 +40,12 @@
 )";
 
 struct Rig : Loop {
-    standins::Ledger ledger;
-    standins::BoxMake make;
-    std::unique_ptr<standins::BoxFleet> fleet;
-    standins::ListServer list{net, any(), ledger};
+    fakes::Ledger ledger;
+    fakes::BoxMake make;
+    std::unique_ptr<fakes::BoxFleet> fleet;
+    fakes::ListServer list{net, any(), ledger};
     std::unique_ptr<front::Front> front;
-    std::vector<std::unique_ptr<standins::Player>> players;
+    std::vector<std::unique_ptr<fakes::Player>> players;
     fs::path folder =
         fs::path(testing::TempDir()) /
         ("valekeel-front-" + std::string(testing::UnitTest::GetInstance()->current_test_info()->name()));
@@ -55,7 +55,7 @@
     std::function<std::string(int)> zoneOf{};
     Micros launchedWall = 0;
 
-    explicit Rig(int boxes = 3, const std::function<void(standins::BoxMake&)>& shape = {}) {
+    explicit Rig(int boxes = 3, const std::function<void(fakes::BoxMake&)>& shape = {}) {
         fs::remove_all(folder);
         fs::create_directories(folder);
         make.rungKb = {10, 30, 60};
@@ -67,7 +67,7 @@
         make.firstShare = 0.5;
         make.fallMultiple = 2.5;
         if (shape) shape(make);
-        fleet = std::make_unique<standins::BoxFleet>(net, make, 1, 0, 3, ledger);
+        fleet = std::make_unique<fakes::BoxFleet>(net, make, 1, 0, 3, ledger);
         for (int id = 0; id < boxes; ++id) {
             fleet->add(id, id, 1'000, 50, any());
             tell(id, "on");
@@ -75,7 +75,7 @@
         startFront();
     }
     void tell(int id, const std::string& standing) {
-        standins::ListedBox b;
+        fakes::ListedBox b;
         b.id = id;
         b.cell = fleet->box(id).cell();
         b.at = net::text(fleet->box(id).at());
@@ -95,10 +95,9 @@
                                                epoch++, other);
         run(100'000);
     }
-    standins::Player& play(const std::string& room, Micros watch, int returns = 0,
-                           standins::HintStyle hints = standins::HintStyle::Headers,
-                           const std::string& title = "t") {
-        standins::PlayerPlan plan;
+    fakes::Player& play(const std::string& room, Micros watch, int returns = 0,
+                        fakes::HintStyle hints = fakes::HintStyle::Headers, const std::string& title = "t") {
+        fakes::PlayerPlan plan;
         plan.title = title;
         plan.room = {room, 1'500'000, 700'000, room == "paid", 1};
         plan.watch = watch;
@@ -106,13 +105,13 @@
         plan.returns = returns;
         ++active;
         const int number = static_cast<int>(players.size());
-        players.push_back(std::make_unique<standins::Player>(
+        players.push_back(std::make_unique<fakes::Player>(
             net, number, plan,
             [this] {
-                return standins::Player::FrontAt{"a", front->http()};
+                return fakes::Player::FrontAt{"a", front->http()};
             },
             1000 + static_cast<std::uint64_t>(number), std::vector<double>{}, ledger,
-            [this](standins::Player&) { --active; }));
+            [this](fakes::Player&) { --active; }));
         players.back()->start();
         return *players.back();
     }
@@ -181,7 +180,7 @@
 }
 
 TEST(Front, BadHintsNeverCostAViewerTheSubscription) {
-    using standins::HintStyle;
+    using fakes::HintStyle;
     Rig rig;
     for (const auto style : {HintStyle::Query, HintStyle::None, HintStyle::Broken, HintStyle::Doubled,
                              HintStyle::Oversized, HintStyle::Contradicting, HintStyle::Json})
@@ -198,13 +197,13 @@
 
 TEST(Front, OddTitlesPassUnharmed) {
     Rig rig;
-    rig.play("open", 300'000, 0, standins::HintStyle::Headers, "odd ü \"name\"");
+    rig.play("open", 300'000, 0, fakes::HintStyle::Headers, "odd ü \"name\"");
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_EQ(rig.count("answer", 200), 1);
 }
 
 TEST(Front, AByteRangePlaylistIsRelayedRangeByRange) {
-    Rig rig(3, [](standins::BoxMake& m) { m.byteRanges = true; });
+    Rig rig(3, [](fakes::BoxMake& m) { m.byteRanges = true; });
     rig.play("open", kSecond);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_GE(rig.count("segment"), 6);
@@ -555,7 +554,7 @@
 // ---- callers ----
 
 struct CallRig : Rig {
-    std::vector<std::unique_ptr<standins::Caller>> callers;
+    std::vector<std::unique_ptr<fakes::Caller>> callers;
     explicit CallRig(const std::string& sip = "", int boxes = 3) : Rig(boxes) {
         front.reset();
         startFront(
@@ -563,17 +562,17 @@
             "hold-within=\"500ms\" " +
             sip + "\n");
     }
-    standins::Caller& call(const std::string& room, const standins::CallPlan& how = {},
-                           const standins::Weather& weather = {}) {
-        standins::CallPlan plan = how;
+    fakes::Caller& call(const std::string& room, const fakes::CallPlan& how = {},
+                        const fakes::Weather& weather = {}) {
+        fakes::CallPlan plan = how;
         plan.title = plan.title.empty() ? "t" : plan.title;
         plan.room = room;
         plan.timeout = 1'500'000;
         ++active;
         const int number = 1'000 + static_cast<int>(callers.size());
-        callers.push_back(std::make_unique<standins::Caller>(net, number, front->sip()->at(), "a", plan,
-                                                             weather, static_cast<std::uint64_t>(number),
-                                                             ledger, [this] { --active; }));
+        callers.push_back(std::make_unique<fakes::Caller>(net, number, front->sip()->at(), "a", plan, weather,
+                                                          static_cast<std::uint64_t>(number), ledger,
+                                                          [this] { --active; }));
         callers.back()->start();
         return *callers.back();
     }
@@ -605,7 +604,7 @@
 
 TEST(Sip, WhatIsWrongWithACallIsSaid) {
     CallRig rig;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.title = "none";
     EXPECT_EQ(
         (rig.call("open", plan), rig.until([&] { return rig.active == 0; }), rig.callers.back()->lastFinal()),
@@ -628,7 +627,7 @@
 TEST(Sip, ACancelBeforeTheAnswerEndsItAndOneBehindItDoesNothing) {
     CallRig rig;
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.answersLate = 400'000;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.cancelAfter = 100'000;
     auto& early = rig.call("open", plan);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
@@ -647,7 +646,7 @@
 TEST(Sip, ACallThatIsCancelledWhileItIsSetUpLeavesNoPlaceAtItsBox) {
     CallRig rig;
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.setUpFactor = 15;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.cancelAfter = 150'000;
     rig.call("open", plan);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
@@ -661,7 +660,7 @@
 TEST(Sip, APaidCallThatIsCancelledWhileItIsSetUpIsAccountedForOnce) {
     CallRig rig;
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.setUpFactor = 15;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.cancelAfter = 150'000;
     rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
@@ -673,7 +672,7 @@
 
 TEST(Sip, AnAckThatNeverComesEndsTheCall) {
     CallRig rig("t1=\"20ms\" t2=\"100ms\"");
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.acks = false;
     plan.refreshes = false;
     auto& caller = rig.call("paid", plan);
@@ -686,7 +685,7 @@
 
 TEST(Sip, ACallerThatVanishedGivesItsPlaceBackByTheSessionTimer) {
     CallRig rig;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.sessionExpires = 2 * kSecond;
     plan.refreshes = false;
     plan.says = false;
@@ -696,7 +695,7 @@
     EXPECT_EQ(rig.front->sip()->calls(), 1u);
     ASSERT_TRUE(rig.quiet());
     EXPECT_EQ(rig.front->sip()->counts().expired, 1u);
-    standins::CallPlan stays = plan;
+    fakes::CallPlan stays = plan;
     stays.refreshes = true;
     stays.says = true;
     stays.talk = 4 * kSecond;
@@ -709,7 +708,7 @@
 TEST(Sip, APaidInviteSentAgainAfterARestartIsNotSetUpTwice) {
     CallRig rig("", 1);
     rig.fleet->box(0).trouble.setUpFactor = 20;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.loses100 = true;
     auto& caller = rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.count("charged") == 1; }));
@@ -724,7 +723,7 @@
 
 TEST(Sip, ADyingBoxHangsItsCallsUp) {
     CallRig rig("", 1);
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.talk = 20 * kSecond;
     auto& caller = rig.call("open", plan);
     ASSERT_TRUE(rig.until([&] { return caller.lastFinal() == 200; }));
@@ -737,7 +736,7 @@
 TEST(Sip, InBadWeatherEachCallStillHasOneFinalAnswerAndNothingIsLeft) {
     CallRig rig;
     for (int i = 0; i < 60; ++i) {
-        standins::CallPlan plan;
+        fakes::CallPlan plan;
         plan.talk = 300'000;
         plan.sessionExpires = 3 * kSecond;
         if (i % 5 == 0) plan.cancelAfter = 60'000;
@@ -1058,16 +1057,16 @@
 
 // ---- the day that CI plays ----
 
-rehearse::DrillResult playDay(const std::string& name, standins::Ledger& ledger) {
+simulation::DrillResult playDay(const std::string& name, fakes::Ledger& ledger) {
     const auto document = settings::Document::fromFile(std::string(VALEKEEL_DAYS) + "/" + name);
-    const rehearse::Day day = rehearse::readDay(document);
+    const simulation::Day day = simulation::readDay(document);
     const fs::path folder = fs::path(testing::TempDir()) / ("valekeel-day-" + name);
     fs::remove_all(folder);
     fs::create_directories(folder);
-    rehearse::DrillWays ways;
+    simulation::DrillWays ways;
     ways.program = VALEKEEL_PROGRAM;
     ways.folder = folder.string();
-    return rehearse::drill(day, ways, ledger);
+    return simulation::drill(day, ways, ledger);
 }
 
 TEST(Experiment, RunsWhatIsNotKeptYetAndReportsAll) {
@@ -1117,7 +1116,7 @@
 }
 
 TEST(Day, TheShortBadDayKeepsAllRules) {
-    standins::Ledger ledger;
+    fakes::Ledger ledger;
     const auto result = playDay("short.kdl", ledger);
     for (const audit::Breach& b : result.breaches) ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
     EXPECT_GT(result.played, 40u);
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -3,7 +3,7 @@
 
 #include "hints/cmcd.hpp"
 #include "hints/cmsd.hpp"
-#include "record/trace.hpp"
+#include "logging/trace_context.hpp"
 
 namespace valekeel {
 namespace {
@@ -199,15 +199,15 @@
 
 TEST(TraceContext, KeepsGoodIdsAndReplacesBroken) {
     const std::string good = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
-    ASSERT_TRUE(record::parseTraceParent(good));
-    EXPECT_EQ(record::write(*record::parseTraceParent(good)), good);
-    EXPECT_TRUE(record::parseTraceParent("cc" + good.substr(2) + "-later"));
+    ASSERT_TRUE(logging::parseTraceParent(good));
+    EXPECT_EQ(logging::write(*logging::parseTraceParent(good)), good);
+    EXPECT_TRUE(logging::parseTraceParent("cc" + good.substr(2) + "-later"));
     for (const std::string& bad :
          {std::string(), good.substr(1), "ff" + good.substr(2), good + "x", good + "-more",
           std::string("00-00000000000000000000000000000000-00f067aa0ba902b7-01"),
           std::string("00-4BF92F3577B34DA6A3CE929D0E0E4736-00f067aa0ba902b7-01"),
           std::string("00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000000-01")})
-        EXPECT_FALSE(record::parseTraceParent(bad)) << bad;
+        EXPECT_FALSE(logging::parseTraceParent(bad)) << bad;
 }
 
 }  // namespace
--- a/tests/hls_test.cpp
+++ b/tests/hls_test.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <random>
 
-#include "faces/http/viewer.hpp"
+#include "frontends/http/playlist_window.hpp"
 #include "hls/playlist.hpp"
 
 namespace valekeel {
@@ -62,7 +62,7 @@
         const auto pick = [&](int lo, int hi) { return std::uniform_int_distribution<int>(lo, hi)(chance); };
         std::vector<Micros> durations;
         for (int i = pick(1, 80); i > 0; --i) durations.push_back(pick(200, 3'000) * 1'000);
-        faces::Window window({5 * kSecond, 3 * kSecond});
+        frontends::Window window({5 * kSecond, 3 * kSecond});
         std::map<std::uint64_t, int> listed;
         Micros played = 0;
         std::uint64_t lastFirst = 0, fetched = 0;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -2,7 +2,7 @@
 
 #include "http/client.hpp"
 #include "http/server.hpp"
-#include "loop.hpp"
+#include "loop_fixture.hpp"
 
 namespace valekeel {
 namespace {
--- a/tests/kdl_test.cpp
+++ b/tests/kdl_test.cpp
@@ -2,7 +2,7 @@
 #include <rapidcheck.h>
 
 #include "front/front.hpp"
-#include "settings/reading.hpp"
+#include "settings/document.hpp"
 
 namespace valekeel {
 namespace {
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <set>
 
-#include "rig.hpp"
+#include "logic_fixture.hpp"
 
 namespace valekeel {
 namespace {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <random>
 
-#include "loop.hpp"
+#include "loop_fixture.hpp"
 #include "net/process.hpp"
 
 namespace valekeel {
--- a/tests/node_day.hpp
+++ b/tests/node_fixture.hpp
@@ -9,15 +9,15 @@
 #include <string>
 #include <vector>
 
-#include "loop.hpp"
+#include "fakes/platform.hpp"
+#include "loop_fixture.hpp"
 #include "net/virtual.hpp"
 #include "node/node.hpp"
-#include "standins/platform.hpp"
 
-namespace valekeel::nodeday {
+namespace valekeel::nodetest {
 
 using Json = nlohmann::json;
-using standins::Does;
+using fakes::Does;
 
 inline Json settings() {
     return Json::parse(R"({"balancers":2,"host_types":["k"],"zones":["z"],"zone":"z","weights":"nominal",
@@ -65,17 +65,17 @@
 
 template <class Machines>
 struct Day : Machines {
-    std::vector<std::unique_ptr<standins::PlatformServer>> servers;
-    std::unique_ptr<standins::PlatformLog> log;
-    record::Log record{"", record::Level::Error, 1};
+    std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
+    std::unique_ptr<fakes::PlatformLog> log;
+    logging::Log record{"", logging::Level::Error, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<standins::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformLine> viewers;
     std::map<std::string, std::vector<Json>> heard;
 
     explicit Day(int count = 3) {
         for (int i = 0; i < count; ++i)
-            servers.push_back(std::make_unique<standins::PlatformServer>(this->machine(i), this->place(i)));
-        log = std::make_unique<standins::PlatformLog>(this->machine(10), this->place(10));
+            servers.push_back(std::make_unique<fakes::PlatformServer>(this->machine(i), this->place(i)));
+        log = std::make_unique<fakes::PlatformLog>(this->machine(10), this->place(10));
         log->last = 1;
         front = std::make_unique<node::Node>(this->machine(11), "config.json", configuration(), record);
         viewers = line();
@@ -86,10 +86,10 @@
         for (const auto& server : servers) places.push_back(server->at());
         return configurationOf(places, this->place(11), log->at(), settings()).dump();
     }
-    std::unique_ptr<standins::PlatformLine> line() {
-        return std::make_unique<standins::PlatformLine>(
+    std::unique_ptr<fakes::PlatformLine> line() {
+        return std::make_unique<fakes::PlatformLine>(
             this->machine(12), front->at(),
-            [this](standins::PlatformLine&, const Json& m) { heard[m.value("tag", "")].push_back(m); });
+            [this](fakes::PlatformLine&, const Json& m) { heard[m.value("tag", "")].push_back(m); });
     }
     static Json start(int n, const std::string& room = "talk", const std::string& title = "t") {
         return {{"verb", "START"},
@@ -112,7 +112,7 @@
                    (m["verb"] == "STARTED" ? std::string("+") : std::to_string(m.value("rc", 0)));
         return out;
     }
-    standins::PlatformServer* playerOf(int n) {
+    fakes::PlatformServer* playerOf(int n) {
         for (const auto& s : servers)
             if (s->standing.count(idOf(n))) return s.get();
         return nullptr;
@@ -148,4 +148,4 @@
     void run(Micros time) { loop.run(time); }
 };
 
-}  // namespace valekeel::nodeday
+}  // namespace valekeel::nodetest
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -3,13 +3,13 @@
 #include <gtest/gtest.h>
 
 #include "node/servers.hpp"
-#include "node_day.hpp"
+#include "node_fixture.hpp"
 #include "setup/setup.hpp"
 
 namespace valekeel {
 namespace {
 
-using namespace nodeday;
+using namespace nodetest;
 
 // A connect to a media server takes so long; what is said on it half of that.
 void connectsTake(VirtualDay& day, Micros time) {
@@ -149,7 +149,7 @@
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    standins::PlatformServer moved(day.machine(20), Virtual::place(20));
+    fakes::PlatformServer moved(day.machine(20), Virtual::place(20));
     day.log->add({{0, moved.at(), 0, 0}});
     day.run(100'000);
     day.ask(2);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -9,12 +9,12 @@
 #include "core/core.hpp"
 #include "node/changelog.hpp"
 #include "node/message.hpp"
-#include "node_day.hpp"
+#include "node_fixture.hpp"
 
 namespace valekeel {
 namespace {
 
-using namespace nodeday;
+using namespace nodetest;
 
 // ================= parts =================
 
@@ -50,12 +50,12 @@
         std::string bytes;
         std::vector<std::pair<std::uint64_t, std::size_t>> put, got;
         for (unsigned i = 0; i < 5; ++i) {
-            std::vector<standins::PlatformLog::Box> boxes(chance() % 4);
+            std::vector<fakes::PlatformLog::Box> boxes(chance() % 4);
             for (auto& box : boxes)
                 box = {static_cast<std::uint32_t>(chance() % 1000), *net::endpointOf("127.0.0.1:9"),
                        static_cast<int>(chance() % 3)};
             const int kind = boxes.empty() ? 0 : 1 + static_cast<int>(chance() % 2);
-            bytes += standins::PlatformLog::frame(i + 1, kind, boxes);
+            bytes += fakes::PlatformLog::frame(i + 1, kind, boxes);
             put.emplace_back(i + 1, boxes.size());
         }
         node::FrameReader reader(1, 1, 100);
@@ -78,7 +78,7 @@
             16);
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(endless, ignore));
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(odd, ignore));
-    std::string unknownKind = standins::PlatformLog::frame(1, 7, {});
+    std::string unknownKind = fakes::PlatformLog::frame(1, 7, {});
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(unknownKind, ignore));
 }
 
@@ -101,7 +101,7 @@
     }
     day.playerOf(1)->end(idOf(1), 16);
     day.playerOf(2)->end(idOf(2), 41);
-    standins::PlatformServer* third = day.playerOf(3);
+    fakes::PlatformServer* third = day.playerOf(3);
     day.end(3);
     day.run(kSecond);
     EXPECT_EQ(day.said(1), "+ 16");
@@ -208,8 +208,8 @@
     day.run(kSecond);
     day.viewers->close(true);
     int strange = 0;
-    standins::PlatformLine stranger(day.machine(13), day.front->at(),
-                                    [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
+    fakes::PlatformLine stranger(day.machine(13), day.front->at(),
+                                 [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
     stranger.say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     day.run(100'000);
     day.servers[0]->end(idOf(1), 16);
@@ -232,10 +232,10 @@
     VirtualDay day;
     day.ask(1);
     day.run(500'000);
-    std::vector<std::unique_ptr<standins::PlatformLine>> crowd;
+    std::vector<std::unique_ptr<fakes::PlatformLine>> crowd;
     for (int i = 0; i < 400; ++i) {
-        crowd.push_back(std::make_unique<standins::PlatformLine>(day.machine(13), day.front->at(),
-                                                                 [](auto&, const Json&) {}));
+        crowd.push_back(std::make_unique<fakes::PlatformLine>(day.machine(13), day.front->at(),
+                                                              [](auto&, const Json&) {}));
         crowd.back()->say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     }
     day.run(100'000);
@@ -301,14 +301,14 @@
         shortTag.dump() + "\n",
         noWords.dump() + "\n",
         VirtualDay::start(77).dump() + "\n" + VirtualDay::start(77, "talk", "u").dump() + "\n"};
-    std::vector<std::unique_ptr<standins::PlatformLine>> callers;
+    std::vector<std::unique_ptr<fakes::PlatformLine>> callers;
     int answered = 0;
     for (const std::string& bytes : bad) {
-        callers.push_back(std::make_unique<standins::PlatformLine>(
-            day.machine(13), day.front->at(), [&](standins::PlatformLine&, const Json& m) {
-                EXPECT_NE(m["verb"], "STARTED");
-                ++answered;
-            }));
+        callers.push_back(std::make_unique<fakes::PlatformLine>(day.machine(13), day.front->at(),
+                                                                [&](fakes::PlatformLine&, const Json& m) {
+                                                                    EXPECT_NE(m["verb"], "STARTED");
+                                                                    ++answered;
+                                                                }));
         callers.back()->bytes(bytes);
     }
     day.ask(1);
@@ -323,10 +323,10 @@
 // Guards against connects that say nothing and keep out those that ask.
 TEST(Node, SilentConnectsKeepNobodyOut) {
     VirtualDay day;
-    std::vector<std::unique_ptr<standins::PlatformLine>> silent;
+    std::vector<std::unique_ptr<fakes::PlatformLine>> silent;
     for (int i = 0; i < 400; ++i)
-        silent.push_back(std::make_unique<standins::PlatformLine>(day.machine(13), day.front->at(),
-                                                                  [](auto&, const Json&) {}));
+        silent.push_back(std::make_unique<fakes::PlatformLine>(day.machine(13), day.front->at(),
+                                                               [](auto&, const Json&) {}));
     day.run(100'000);
     day.viewers = day.line();
     day.ask(1);
@@ -396,7 +396,7 @@
         VirtualDay day;
         if (trouble == 1) day.log->twice = true;
         if (trouble == 2) {  // breaks off in the middle of an event
-            day.log->bytes(standins::PlatformLog::frame(2, 2, {{0, day.servers[0]->at(), 1}}).substr(0, 20));
+            day.log->bytes(fakes::PlatformLog::frame(2, 2, {{0, day.servers[0]->at(), 1}}).substr(0, 20));
             day.run(10'000);
             day.log->breakOff();
         }
@@ -432,7 +432,7 @@
 
 TEST(NodeList, IsAskedForWhereTheNewConfigurationSays) {
     VirtualDay day;
-    standins::PlatformLog other(day.machine(14), Virtual::place(14));
+    fakes::PlatformLog other(day.machine(14), Virtual::place(14));
     other.last = 1;
     day.front->reread("{ not JSON");  // passed over
     Json all = Json::parse(day.configuration());
@@ -471,7 +471,7 @@
 TEST(Node, SaysWhatIsWrongWithItsConfiguration) {
     VirtualDay day;
     const Json good = Json::parse(day.configuration());
-    record::Log log{"", record::Level::Error, 1};
+    logging::Log log{"", logging::Level::Error, 1};
     const auto wrong = [&](const std::string& text) -> std::string {
         try {
             node::Node(day.machine(15), "c.json", text, log);
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -6,13 +6,13 @@
 #include <array>
 #include <random>
 
-#include "node/wire.hpp"
-#include "node_day.hpp"
+#include "node/line_connection.hpp"
+#include "node_fixture.hpp"
 
 namespace valekeel {
 namespace {
 
-using namespace nodeday;
+using namespace nodetest;
 
 // Reads only when it is told to.
 struct LateReader final : net::StreamUser {
@@ -101,7 +101,7 @@
 TEST(NodeViewers, OneTooManyIsRefusedAndNotCutOff) {
     VirtualDay day;
     for (const auto& s : day.servers) s->does = [](const std::string&) { return Does::Nothing; };
-    std::vector<std::unique_ptr<standins::PlatformLine>> all;
+    std::vector<std::unique_ptr<fakes::PlatformLine>> all;
     for (int n = 1; n <= 130; ++n) {
         all.push_back(day.line());
         all.back()->say(VirtualDay::start(n, "talk", "t" + std::to_string(n)));
@@ -116,7 +116,7 @@
 // A set-up that lies unread while a new connection asks for room: the connection that brought it stays.
 TEST(NodeViewers, WhatLiesUnreadIsReadBeforeItsConnectionIsClosedForRoom) {
     Day<Sockets> day;
-    std::vector<std::unique_ptr<standins::PlatformLine>> silent;
+    std::vector<std::unique_ptr<fakes::PlatformLine>> silent;
     for (int i = 0; i < 119; ++i) {
         silent.push_back(day.line());
         day.run(1'000);
@@ -131,14 +131,14 @@
     VirtualDay day;
     const net::Endpoint at = day.log->at();
     day.log.reset();
-    std::vector<std::unique_ptr<standins::PlatformLine>> crowd;
+    std::vector<std::unique_ptr<fakes::PlatformLine>> crowd;
     for (int i = 0; i < 600; ++i) {
-        crowd.push_back(std::make_unique<standins::PlatformLine>(day.machine(13), day.front->at(),
-                                                                 [](auto&, const Json&) {}));
+        crowd.push_back(std::make_unique<fakes::PlatformLine>(day.machine(13), day.front->at(),
+                                                              [](auto&, const Json&) {}));
         if (i % 2) crowd.back()->bytes(kTest);
         if (i % 20 == 0) day.run(10'000);
     }
-    day.log = std::make_unique<standins::PlatformLog>(day.machine(10), at);
+    day.log = std::make_unique<fakes::PlatformLog>(day.machine(10), at);
     day.log->last = 1;
     day.log->add({{0, day.servers[0]->at(), 1, 0}});
     day.run(500'000);
@@ -274,7 +274,7 @@
                    : drawn == 3 ? Does::Noise
                                 : Does::Plays;
         };
-    std::vector<std::unique_ptr<standins::PlatformLine>> lines(6);
+    std::vector<std::unique_ptr<fakes::PlatformLine>> lines(6);
     for (int n = 1; n <= 4000; ++n) {
         auto& line = lines[chance() % lines.size()];
         if (!line || line->ended()) line = day.line();
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "rig.hpp"
+#include "logic_fixture.hpp"
 
 namespace valekeel {
 namespace {
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -4,10 +4,10 @@
 
 #include <random>
 
-#include "handnet.hpp"
-#include "sip/glance.hpp"
+#include "manual_net.hpp"
 #include "sip/message.hpp"
 #include "sip/overload.hpp"
+#include "sip/prefilter.hpp"
 #include "sip/transactions.hpp"
 
 namespace valekeel {
--- a/tests/crowd_test.cpp
+++ b/tests/workload_test.cpp
@@ -6,14 +6,14 @@
 #include <cmath>
 #include <random>
 
-#include "crowd/arrivals.hpp"
-#include "crowd/fairshare.hpp"
-#include "crowd/viewer.hpp"
+#include "workload/arrivals.hpp"
+#include "workload/fairshare.hpp"
+#include "workload/viewer.hpp"
 
 namespace valekeel {
 namespace {
 
-using namespace crowd;
+using namespace workload;
 
 // The slow plain model: all rates rise together; who meets its cap or a full link stays there.
 std::vector<double> filled(const std::vector<double>& capacities,
