--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -6,7 +6,7 @@
 
 int main() {
     std::ios::sync_with_stdio(false);
-    valekeel::adapter::Wire wire;
+    valekeel::adapter::SimulatorAdapter wire;
     std::string line;
     for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
         try {
--- a/src/adapter/simulator_adapter.cpp
+++ b/src/adapter/simulator_adapter.cpp
@@ -11,26 +11,26 @@
 
 namespace {
 
-JoinEnd endOf(std::int64_t code, const std::string& where) {
+JoinResult endOf(std::int64_t code, const std::string& where) {
     switch (code) {
         case 100:
-            return JoinEnd::Played;
+            return JoinResult::Played;
         case 301:
-            return JoinEnd::Error;
+            return JoinResult::Error;
         case 302:
-            return JoinEnd::Full;
+            return JoinResult::Full;
         case 303:
-            return JoinEnd::TimedOut;
+            return JoinResult::TimedOut;
         case 304:
-            return JoinEnd::NoConnection;
+            return JoinResult::NoConnection;
         case 305:
-            return JoinEnd::Reset;
+            return JoinResult::Reset;
         case 306:
-            return JoinEnd::Cancelled;
+            return JoinResult::Cancelled;
         case 307:
-            return JoinEnd::NeverSent;
+            return JoinResult::NeverSent;
         default:
-            bad(where, "outcome code " + std::to_string(code) + " is unknown");
+            throwInvalid(where, "outcome code " + std::to_string(code) + " is unknown");
     }
 }
 
@@ -42,91 +42,92 @@
   public:
     Front(std::string name, const Json& hello, Micros now, Json& cmds, const std::string& where)
         : name_(std::move(name)), cmds_(&cmds) {
-        const Json& setup = part(hello, "setup", where);
-        const setup::Names names = setup::namesOf(setup, where);
+        const Json& setup = objectAt(hello, "setup", where);
+        const setup::Names names = setup::parseNames(setup, where);
         kinds_ = names.kinds;
         zones_ = names.zones;
         for (const Json& room : array(setup, "request_classes", where))
             rooms_.push_back(text(room, "name", where));
-        const Json& seed = need(hello, "rng_seed", where);
-        if (!seed.is_number_integer()) bad(where, "'rng_seed' is no whole number");
+        const Json& seed = require(hello, "rng_seed", where);
+        if (!seed.is_number_integer()) throwInvalid(where, "'rng_seed' is no whole number");
         const std::uint64_t seedValue = seed.is_number_unsigned()
                                             ? seed.get<std::uint64_t>()
                                             : static_cast<std::uint64_t>(seed.get<std::int64_t>());
-        logic_ = setup::made<Logic>(*this, now, seedValue, setup, where);
+        logic_ = setup::makeDecider<Logic>(*this, now, seedValue, setup, where);
     }
 
     void hear(const std::string& verb, const Json& event, Micros now, Json& cmds, const std::string& where) {
         cmds_ = &cmds;
         if (verb == "WorkItem") {
-            logic_->subscribe(now, sub(event, where), wish(event, where));
+            logic_->onSubscribe(now, sub(event, where), wish(event, where));
         } else if (verb == "Adopted") {
-            logic_->handedOver(now, sub(event, where), wish(event, where), sfu(event, where));
+            logic_->onAdopted(now, sub(event, where), wish(event, where), sfu(event, where));
         } else if (verb == "Accepted") {
-            logic_->playing(now, sub(event, where), smallInt(event, "send_no", where), sfu(event, where),
-                            time(event, "spent", where));
+            logic_->onPlaying(now, sub(event, where), intValue(event, "send_no", where), sfu(event, where),
+                              duration(event, "spent", where));
         } else if (verb == "Result") {
-            const JoinEnd end = endOf(whole(event, "verdict", where), where);
-            logic_->joinEnded(now, sub(event, where), smallInt(event, "send_no", where), sfu(event, where),
-                              end, flag(event, "ended", where), time(event, "spent", where),
-                              load(event, where));
+            const JoinResult end = endOf(integer(event, "verdict", where), where);
+            logic_->onJoinEnded(now, sub(event, where), intValue(event, "send_no", where), sfu(event, where),
+                                end, flag(event, "ended", where), duration(event, "spent", where),
+                                load(event, where));
         } else if (verb == "Lapsed") {
-            logic_->viewerLeft(now, sub(event, where));
+            logic_->onViewerLeft(now, sub(event, where));
         } else if (verb == "Signal") {
             const double amount = number(event, "amount", where);
-            switch (whole(event, "what", where)) {
+            switch (integer(event, "what", where)) {
                 case 1:
-                    logic_->shareDelivered(now, sub(event, where), sfu(event, where), amount);
+                    logic_->onShareDelivered(now, sub(event, where), sfu(event, where), amount);
                     break;
                 case 2:
-                    logic_->rungInForce(now, sub(event, where), static_cast<int>(amount));
+                    logic_->onRungInForce(now, sub(event, where), static_cast<int>(amount));
                     break;
                 case 3:
-                    logic_->linkUse(now, sub(event, where), sfu(event, where), amount);
+                    logic_->onLinkUse(now, sub(event, where), sfu(event, where), amount);
                     break;
                 case 4:
-                    logic_->uplinkUse(now, sub(event, where), sfu(event, where), amount);
+                    logic_->onUplinkUse(now, sub(event, where), sfu(event, where), amount);
                     break;
                 default:
                     break;  // a kind of note that this page of the wire does not know yet
             }
         } else if (verb == "Wakeup") {
-            logic_->woken(now, text(event, "key_back", where));
+            logic_->onWake(now, text(event, "key_back", where));
         } else if (verb != "Health" && verb != "Heard") {  // the module asks for neither
-            bad(where, "verb '" + verb + "' is unknown");
+            throwInvalid(where, "verb '" + verb + "' is unknown");
         }
     }
 
     void list(const Json& records, const std::string& mode, Micros now, Json& cmds,
               const std::string& where) {
         cmds_ = &cmds;
-        std::vector<ListedSfu> entries;
+        std::vector<SfuEntry> entries;
         for (const Json& record : records) {
             const std::string state = text(record, "lifecycle", where);
             if (state != "on" && state != "fading" && state != "off")
-                bad(where, "lifecycle '" + state + "' is unknown");
-            ListedSfu entry;
+                throwInvalid(where, "lifecycle '" + state + "' is unknown");
+            SfuEntry entry;
             entry.id = sfu(record, where);
-            entry.standing = state == "on"       ? Standing::On
-                             : state == "fading" ? Standing::Fading
-                                                 : Standing::Off;
-            entry.launched = timeOr(record, "launched", where);
-            entry.cell = Cell{find(record, "position") ? id32(record, "position", where) : 0};
-            if (find(record, "sku")) entry.kind = KindId{placeOf(kinds_, text(record, "sku", where), where)};
+            entry.standing = state == "on"       ? ServerState::On
+                             : state == "fading" ? ServerState::Draining
+                                                 : ServerState::Off;
+            entry.launched = durationOrZero(record, "launched", where);
+            entry.cell = Cell{find(record, "position") ? uint32(record, "position", where) : 0};
+            if (find(record, "sku"))
+                entry.kind = MachineKindId{indexOf(kinds_, text(record, "sku", where), where)};
             entry.size = numberOr(record, "share", 1, where);
             if (find(record, "zone"))
-                entry.zone = ZoneId{placeOf(zones_, text(record, "zone", where), where)};
+                entry.zone = ZoneId{indexOf(zones_, text(record, "zone", where), where)};
             entries.push_back(entry);
         }
         if (mode == "Partial")
-            logic_->listChanged(now, entries);
+            logic_->onServerListChange(now, entries);
         else
-            logic_->listed(now, entries, mode == "Persisted");
+            logic_->onServerList(now, entries, mode == "Persisted");
     }
 
-    void listFailed(Micros now, Json& cmds) {
+    void onServerListFailure(Micros now, Json& cmds) {
         cmds_ = &cmds;
-        logic_->listFailed(now);
+        logic_->onServerListFailure(now);
     }
 
     // ---- Host ----
@@ -135,9 +136,9 @@
         act("Relay", {{"ref", id.v}, {"within", seconds(timeOut)}, {"server", at.v}});
     }
     void setRung(SubId id, int rung) override { act("Retune", {{"ref", id.v}, {"tier_no", rung}}); }
-    void throttle(SubId id, Micros comeBack) override {
+    void throttle(SubId id, Micros retryAfter) override {
         Json more{{"ref", id.v}};
-        if (comeBack > 0) more["come_back"] = seconds(comeBack);
+        if (retryAfter > 0) more["come_back"] = seconds(retryAfter);
         act("TurnAway", std::move(more));
     }
     void terminate(SubId id) override { act("RespondError", {{"ref", id.v}}); }
@@ -152,24 +153,24 @@
         action["i"] = name_;
         cmds_->push_back(std::move(action));
     }
-    static SubId sub(const Json& event, const std::string& where) { return {id32(event, "ref", where)}; }
-    static SfuId sfu(const Json& event, const std::string& where) { return {id32(event, "server", where)}; }
-    Wish wish(const Json& event, const std::string& where) const {
-        Wish w;
-        w.room = RoomTypeId{placeOf(rooms_, text(event, "grade", where), where)};
+    static SubId sub(const Json& event, const std::string& where) { return {uint32(event, "ref", where)}; }
+    static SfuId sfu(const Json& event, const std::string& where) { return {uint32(event, "server", where)}; }
+    SubscriptionRequest wish(const Json& event, const std::string& where) const {
+        SubscriptionRequest w;
+        w.room = RoomTypeId{indexOf(rooms_, text(event, "grade", where), where)};
         w.title = TitleId{textOr(event, "title", "", where)};
-        w.giveUpAt = timeOr(event, "give_up_at", where);
+        w.deadline = durationOrZero(event, "give_up_at", where);
         if (find(event, "effort")) w.watchSeconds = number(event, "effort", where);
-        w.firstCell = Cell{id32(event, "first_cell", where)};
-        w.holders = smallInt(event, "holders", where);
-        w.maxRung = smallInt(event, "max_rung", where);
+        w.firstCell = Cell{uint32(event, "first_cell", where)};
+        w.holders = intValue(event, "holders", where);
+        w.maxRung = intValue(event, "max_rung", where);
         return w;
     }
-    static Load load(const Json& event, const std::string& where) {
-        Load out;
+    static LoadReport load(const Json& event, const std::string& where) {
+        LoadReport out;
         const Json* gauge = find(event, "gauge");
         if (!gauge) return out;
-        if (!gauge->is_object()) bad(where, "'gauge' is no object");
+        if (!gauge->is_object()) throwInvalid(where, "'gauge' is no object");
         if (find(*gauge, "x0"))
             out.linkUse = number(*gauge, "x0", where);
         else if (find(*gauge, "utilization"))
@@ -184,14 +185,14 @@
     Json* cmds_;  // the reply to the batch at hand
 };
 
-Wire::Wire() = default;
-Wire::~Wire() = default;
+SimulatorAdapter::SimulatorAdapter() = default;
+SimulatorAdapter::~SimulatorAdapter() = default;
 
-std::string Wire::reply(const std::string& line) {
+std::string SimulatorAdapter::reply(const std::string& line) {
     Json batch = Json::parse(line, nullptr, false);
-    if (batch.is_discarded()) throw BadLine("not valid JSON");
-    if (!batch.is_object()) throw BadLine("a batch is an object");
-    const Micros now = time(batch, "clock", "batch");
+    if (batch.is_discarded()) throw InvalidMessage("not valid JSON");
+    if (!batch.is_object()) throw InvalidMessage("a batch is an object");
+    const Micros now = duration(batch, "clock", "batch");
     Json cmds = Json::array();
     std::size_t at = 0;
     for (const Json& event : array(batch, "items", "batch")) {
@@ -199,7 +200,7 @@
         const std::string verb = text(event, "verb", where);
         where += " (" + verb + ")";
         if (verb == "Manifest") {
-            lists_[whole(event, "set_id", where)] = array(event, "records", where);
+            lists_[integer(event, "set_id", where)] = array(event, "records", where);
             continue;
         }
         const std::string name = text(event, "i", where);
@@ -212,17 +213,17 @@
             continue;
         }
         auto front = fronts_.find(name);
-        if (front == fronts_.end()) bad(where, "no instance '" + name + "' is running");
+        if (front == fronts_.end()) throwInvalid(where, "no instance '" + name + "' is running");
         if (verb == "DirectoryUpdate") {
             const std::string mode = text(event, "mode", where);
             if (mode == "Error") {  // the list that the front holds still applies
-                front->second->listFailed(now, cmds);
+                front->second->onServerListFailure(now, cmds);
                 continue;
             }
             if (mode != "Partial" && mode != "Complete" && mode != "Persisted")
-                bad(where, "mode '" + mode + "' is unknown");
-            auto list = lists_.find(whole(event, "set_id", where));
-            if (list == lists_.end()) bad(where, "no list of that number has come");
+                throwInvalid(where, "mode '" + mode + "' is unknown");
+            auto list = lists_.find(integer(event, "set_id", where));
+            if (list == lists_.end()) throwInvalid(where, "no list of that number has come");
             front->second->list(list->second, mode, now, cmds, where);
             continue;
         }
--- a/src/adapter/simulator_adapter.hpp
+++ b/src/adapter/simulator_adapter.hpp
@@ -12,14 +12,14 @@
 
 namespace valekeel::adapter {
 
-using BadLine = setup::Bad;  // what is wrong with a line, and where
+using InvalidMessage = setup::InvalidValue;  // what is wrong with a line, and where
 
 class Front;
 
-class Wire {
+class SimulatorAdapter {
   public:
-    Wire();
-    ~Wire();
+    SimulatorAdapter();
+    ~SimulatorAdapter();
     std::string reply(const std::string& batch);  // one line in, one line out, without the line end
 
   private:
--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -51,7 +51,7 @@
     Let ask(Micros now, std::uint32_t network);
     static const char* why(Let);
     // When whoever is turned away now should come again, from now; not before `least`.
-    Micros comeBack(Micros now, Micros least) { return returns_.tell(now, least); }
+    Micros retryAfter(Micros now, Micros least) { return returns_.tell(now, least); }
     void placed(Micros now) { returns_.placed(now); }
     void throttled(Micros now) { returns_.throttled(now); }
     bool lowestOnly(std::uint32_t network) const { return ways_.lowestOnly(network); }
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -43,7 +43,7 @@
 
 // ================= from a face =================
 
-std::optional<SubId> Core::ask(Face& face, Wish wish, Micros clientTimeout) {
+std::optional<SubId> Core::ask(Face& face, SubscriptionRequest wish, Micros clientTimeout) {
     if (subs_.size() >= limits_.subs) {
         ++counts_.refusedFull;
         return std::nullopt;
@@ -52,7 +52,7 @@
     const SubId id{nextSub_++};
     Sub& sub = subs_[id];
     sub.face = &face;
-    wish.giveUpAt = now + clientTimeout - limits_.answerMargin;
+    wish.deadline = now + clientTimeout - limits_.answerMargin;
     sub.wish = wish;
     sub.askedAt = now;
     sub.guard = std::make_unique<net::Timer>(net_, [this, id] { guard(id); });
@@ -63,7 +63,7 @@
     return id;
 }
 
-std::optional<SubId> Core::handOver(Face& face, const Wish& wish, SfuId at) {
+std::optional<SubId> Core::handOver(Face& face, const SubscriptionRequest& wish, SfuId at) {
     if (subs_.size() >= limits_.subs) return std::nullopt;
     const SubId id{nextSub_++};
     Sub& sub = subs_[id];
@@ -75,7 +75,7 @@
     sub.at = at;
     sub.rung = rooms_[wish.room.v].floor;
     sub.askedAt = sub.playsSince = net_.now();
-    tell([&] { decides_->handedOver(net_.now(), id, wish, at); });
+    tell([&] { decides_->onAdopted(net_.now(), id, wish, at); });
     return id;
 }
 
@@ -83,8 +83,8 @@
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.begun) return;
     it->second.begun = true;
-    const Wish wish = it->second.wish;
-    tell([&] { decides_->subscribe(net_.now(), id, wish); });
+    const SubscriptionRequest wish = it->second.wish;
+    tell([&] { decides_->onSubscribe(net_.now(), id, wish); });
 }
 
 void Core::left(SubId id) {
@@ -102,12 +102,12 @@
     if (sub.plays) {
         sender_.release(id, sub.at);
         tell([&] {
-            decides_->joinEnded(now, id, sub.joins - 1, sub.at, JoinEnd::Played, true, now - sub.playsSince,
-                                Load{});
+            decides_->onJoinEnded(now, id, sub.joins - 1, sub.at, JoinResult::Played, true,
+                                  now - sub.playsSince, LoadReport{});
         });
         drop(id, "left");
     } else {
-        tell([&] { decides_->viewerLeft(now, id); });
+        tell([&] { decides_->onViewerLeft(now, id); });
         // What a join that is out comes to is still awaited. One that may be repeated is called off. A paid
         // one that may have left runs to its end, and its place is given back then.
         if (!sub.joinOut)
@@ -122,31 +122,32 @@
 void Core::rungFetched(SubId id, int rung) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || !it->second.plays || it->second.rung != rung) return;
-    tell([&] { decides_->rungInForce(net_.now(), id, rung); });
+    tell([&] { decides_->onRungInForce(net_.now(), id, rung); });
 }
 
-void Core::lost(SubId id, JoinEnd end, const Load& load) {
+void Core::lost(SubId id, JoinResult end, const LoadReport& load) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || !it->second.plays) return;
     Sub& sub = it->second;
     const Micros now = net_.now();
-    if (end != JoinEnd::Played) ++counts_.broke;
+    if (end != JoinResult::Played) ++counts_.broke;
     sub.plays = false;
     Face* face = sub.left ? nullptr : sub.face;
     tell([&] {
-        decides_->joinEnded(now, id, sub.joins - 1, sub.at, end, true, now - sub.playsSince, load);
-        if (face) after([face, id, end] { end == JoinEnd::Played ? face->finished(id) : face->broke(id); });
+        decides_->onJoinEnded(now, id, sub.joins - 1, sub.at, end, true, now - sub.playsSince, load);
+        if (face)
+            after([face, id, end] { end == JoinResult::Played ? face->finished(id) : face->broke(id); });
     });
-    drop(id, end == JoinEnd::Played ? "finished" : "broke");
+    drop(id, end == JoinResult::Played ? "finished" : "broke");
 }
 
 void Core::rungTold(SubId id, int rung) {
     const auto it = subs_.find(id);
-    if (it != subs_.end() && it->second.plays) tell([&] { decides_->rungInForce(net_.now(), id, rung); });
+    if (it != subs_.end() && it->second.plays) tell([&] { decides_->onRungInForce(net_.now(), id, rung); });
 }
 
 void Core::delivered(SubId id, SfuId at, double share) {
-    tell([&] { decides_->shareDelivered(net_.now(), id, at, share); });
+    tell([&] { decides_->onShareDelivered(net_.now(), id, at, share); });
 }
 
 // ================= from what is sent =================
@@ -157,8 +158,8 @@
     Sub& sub = it->second;
     const Micros now = net_.now();
     sub.joinOut = false;
-    watcher_.joinEnded(id, joinNo, sub.at, outcome);
-    if (outcome.end == JoinEnd::Played) {
+    watcher_.onJoinEnded(id, joinNo, sub.at, outcome);
+    if (outcome.end == JoinResult::Played) {
         sub.plays = true;
         sub.playsSince = now;
         const SfuId at = sub.at;
@@ -173,10 +174,11 @@
                         found->second.face->plays(id, found->second.at, found->second.rung);
                 });
             }
-            decides_->playing(now, id, joinNo, at, outcome.took);
+            decides_->onPlaying(now, id, joinNo, at, outcome.took);
             // Nobody waits for it any more: its place is given back at once.
             if (!wanted)
-                decides_->joinEnded(now, id, joinNo, at, JoinEnd::Played, true, outcome.took, outcome.load);
+                decides_->onJoinEnded(now, id, joinNo, at, JoinResult::Played, true, outcome.took,
+                                      outcome.load);
         });
         if (!wanted) {
             sender_.release(id, at);
@@ -190,7 +192,7 @@
     // A try that may have run and is given up on leaves nothing behind if that can be helped.
     if (!outcome.neverRan) sender_.release(id, sub.at);
     const SfuId at = sub.at;
-    tell([&] { decides_->joinEnded(now, id, joinNo, at, outcome.end, over, outcome.took, outcome.load); });
+    tell([&] { decides_->onJoinEnded(now, id, joinNo, at, outcome.end, over, outcome.took, outcome.load); });
     const auto again = subs_.find(id);
     if (over && again != subs_.end()) drop(id, "left");
 }
@@ -205,40 +207,40 @@
     if (tellLink) linkAt = now;
     if (tellUplink) uplinkAt = now;
     tell([&] {
-        if (tellLink) decides_->linkUse(now, id, at, *link);
-        if (tellUplink) decides_->uplinkUse(now, id, at, *uplink);
+        if (tellLink) decides_->onLinkUse(now, id, at, *link);
+        if (tellUplink) decides_->onUplinkUse(now, id, at, *uplink);
     });
 }
 
 void Core::report() {
     const Micros now = net_.now();
     for (const Delivery::Told& t : delivery_.told(now))
-        tell([&] { decides_->shareDelivered(now, t.sub, t.at, t.share); });
+        tell([&] { decides_->onShareDelivered(now, t.sub, t.at, t.share); });
     reportTimer_.after(delivery_.window());
 }
 
 // ================= from the list =================
 
-void Core::listed(std::span<const ListedSfu> all, bool stale) {
+void Core::onServerList(std::span<const SfuEntry> all, bool stale) {
     std::erase_if(figuresAt_, [&](const auto& told) {  // gone without a word of it
         return std::none_of(all.begin(), all.end(),
-                            [&](const ListedSfu& one) { return one.id == told.first; });
+                            [&](const SfuEntry& one) { return one.id == told.first; });
     });
-    tell([&] { decides_->listed(net_.now(), all, stale); });
+    tell([&] { decides_->onServerList(net_.now(), all, stale); });
 }
-void Core::listChanged(std::span<const ListedSfu> some) {
-    for (const ListedSfu& one : some)
-        if (one.standing == Standing::Off) figuresAt_.erase(one.id);
-    tell([&] { decides_->listChanged(net_.now(), some); });
+void Core::onServerListChange(std::span<const SfuEntry> some) {
+    for (const SfuEntry& one : some)
+        if (one.standing == ServerState::Off) figuresAt_.erase(one.id);
+    tell([&] { decides_->onServerListChange(net_.now(), some); });
 }
-std::vector<Learnt> Core::learnt() const {
-    return decides_->learnt(net_.now());
+std::vector<ServerEvidence> Core::serverEvidence() const {
+    return decides_->serverEvidence(net_.now());
 }
-void Core::recall(std::span<const Learnt> all) {
-    tell([&] { decides_->recall(net_.now(), all); });
+void Core::restoreServerEvidence(std::span<const ServerEvidence> all) {
+    tell([&] { decides_->restoreServerEvidence(net_.now(), all); });
 }
-void Core::listFailed() {
-    tell([&] { decides_->listFailed(net_.now()); });
+void Core::onServerListFailure() {
+    tell([&] { decides_->onServerListFailure(net_.now()); });
 }
 
 // ================= Host =================
@@ -260,7 +262,7 @@
         const Sub& s = found->second;
         // Whoever has gone since, or has been answered, gets nothing set up.
         if (s.left || s.state == State::Answered)
-            return joined(id, joinNo, {JoinEnd::NeverSent, true, 0, {}, "its viewer has gone"});
+            return joined(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "its viewer has gone"});
         watcher_.joinSent(id, joinNo, at, s.rung, until - net_.now());
         sender_.join(id, joinNo, at, s.rung, until - net_.now(), rooms_[s.wish.room.v].paid);
     });
@@ -288,13 +290,13 @@
     return true;
 }
 
-void Core::throttle(SubId id, Micros comeBack) {
+void Core::throttle(SubId id, Micros retryAfter) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.left || !answer(id, it->second, "throttled")) return;
     ++counts_.throttled;
     Face* face = it->second.face;
-    after([this, face, id, comeBack] {
-        face->throttled(id, comeBack);
+    after([this, face, id, retryAfter] {
+        face->throttled(id, retryAfter);
         drop(id, "throttled");
     });
 }
@@ -304,7 +306,7 @@
     if (it == subs_.end() || it->second.left || !answer(id, it->second, "terminated")) return;
     ++counts_.terminated;
     Face* face = it->second.face;
-    const Ended how = net_.now() >= it->second.wish.giveUpAt ? Ended::TimedOut : Ended::Terminated;
+    const Ended how = net_.now() >= it->second.wish.deadline ? Ended::TimedOut : Ended::Terminated;
     after([this, face, id, how] {
         face->terminated(id, how);
         drop(id, "terminated");
@@ -320,7 +322,7 @@
         wakes_.erase(it);
         const std::string why = spent_.why;
         if (why == "slot") ++slot_;
-        tell([&] { decides_->woken(net_.now(), why); });
+        tell([&] { decides_->onWake(net_.now(), why); });
     });
     it->timer->after(wait);
 }
@@ -341,7 +343,7 @@
     Face* face = it->second.face;
     if (!answer(id, it->second, "terminated")) return;
     ++counts_.terminated;
-    tell([&] { decides_->viewerLeft(net_.now(), id); });
+    tell([&] { decides_->onViewerLeft(net_.now(), id); });
     after([this, face, id] {
         face->terminated(id, Ended::TimedOut);
         const auto found = subs_.find(id);
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -28,7 +28,7 @@
     // The three answers. Exactly one of them for each subscription that is taken, unless the face said
     // left() before.
     virtual void plays(SubId, SfuId, int rung) = 0;
-    virtual void throttled(SubId, Micros comeBack) = 0;  // 0: no time is named
+    virtual void throttled(SubId, Micros retryAfter) = 0;  // 0: no time is named
     virtual void terminated(SubId, Ended) = 0;
     virtual void rungSet(SubId, int rung) = 0;  // while it plays
     virtual void broke(SubId) = 0;              // it played, and its media server lost it
@@ -37,10 +37,10 @@
 
 // How one join ended, as the sender of it found.
 struct JoinOutcome {
-    JoinEnd end = JoinEnd::Error;
+    JoinResult end = JoinResult::Error;
     bool neverRan = false;  // proven
     Micros took = 0;
-    Load load;
+    LoadReport load;
     std::string_view why;
 };
 
@@ -64,11 +64,11 @@
 class Watcher {
   public:
     virtual ~Watcher() = default;
-    virtual void asked(SubId, const Wish&) {}
+    virtual void asked(SubId, const SubscriptionRequest&) {}
     // What decided a join: the score that won, if anything fitted, among so many boxes, in which slot.
     virtual void chose(SubId, SfuId, const double* /*score*/, int /*among*/, std::uint64_t /*slot*/) {}
     virtual void joinSent(SubId, int /*joinNo*/, SfuId, int /*rung*/, Micros /*timeOut*/) {}
-    virtual void joinEnded(SubId, int /*joinNo*/, SfuId, const JoinOutcome&) {}
+    virtual void onJoinEnded(SubId, int /*joinNo*/, SfuId, const JoinOutcome&) {}
     virtual void answered(SubId, std::string_view /*how*/, Micros /*took*/) {}
     virtual void over(SubId, std::string_view /*why*/) {}
     virtual void guarded(SubId) {}  // the core had to answer where the module had not: a bug
@@ -97,13 +97,13 @@
     // ---- from a face ----
     // Nothing if no more can be held: the face throttles. `clientTimeout` counts from now. The module hears
     // of it with begin(), which may call the face back before it returns: the face must know the id by then.
-    std::optional<SubId> ask(Face&, Wish, Micros clientTimeout);
+    std::optional<SubId> ask(Face&, SubscriptionRequest, Micros clientTimeout);
     void begin(SubId);
-    void left(SubId);                             // the viewer is gone; nothing more is said of it
-    void rungFetched(SubId, int rung);            // the first segment of a rung was asked for
-    void lost(SubId, JoinEnd, const Load& = {});  // its media server broke, or played it to its end
+    void left(SubId);                                      // the viewer is gone; nothing more is said of it
+    void rungFetched(SubId, int rung);                     // the first segment of a rung was asked for
+    void lost(SubId, JoinResult, const LoadReport& = {});  // its media server broke, or played it to its end
     // It plays already, and no answer is owed. Nothing if no more can be held.
-    std::optional<SubId> handOver(Face&, const Wish&, SfuId);
+    std::optional<SubId> handOver(Face&, const SubscriptionRequest&, SfuId);
 
     // ---- from what is sent ----
     void joined(SubId, int joinNo, const JoinOutcome&);
@@ -114,13 +114,13 @@
     void rungTold(SubId, int rung);
 
     // ---- from the list ----
-    void listed(std::span<const ListedSfu>, bool stale);
-    void listChanged(std::span<const ListedSfu>);
-    void listFailed();
+    void onServerList(std::span<const SfuEntry>, bool stale);
+    void onServerListChange(std::span<const SfuEntry>);
+    void onServerListFailure();
     // What the module has learnt of boxes, and what an earlier life of this front had; after the list has
     // come.
-    std::vector<Learnt> learnt() const;
-    void recall(std::span<const Learnt>);
+    std::vector<ServerEvidence> serverEvidence() const;
+    void restoreServerEvidence(std::span<const ServerEvidence>);
 
     const Counts& counts() const { return counts_; }
     std::size_t held() const { return subs_.size(); }
@@ -130,7 +130,7 @@
     enum class State { Asked, Answered };
     struct Sub {
         Face* face;
-        Wish wish;
+        SubscriptionRequest wish;
         State state = State::Asked;
         Micros askedAt = 0;
         int joins = 0;
@@ -144,12 +144,12 @@
     // ---- Host ----
     void join(SubId, SfuId, Micros timeOut) override;
     void setRung(SubId, int rung) override;
-    void throttle(SubId, Micros comeBack) override;
+    void throttle(SubId, Micros retryAfter) override;
     void terminate(SubId) override;
     void wakeAfter(Micros, const std::string& why) override;
     void followList() override;
     void log(const std::string&) override;
-    void chose(SubId id, SfuId at, const double* score, int among) override {
+    void recordPlacement(SubId id, SfuId at, const double* score, int among) override {
         watcher_.chose(id, at, score, among, slot_);
     }
 
--- a/src/core/decision_module.hpp
+++ b/src/core/decision_module.hpp
@@ -14,22 +14,22 @@
 class Decides {
   public:
     virtual ~Decides() = default;
-    virtual void listed(Micros now, std::span<const ListedSfu>, bool stale) = 0;
-    virtual void listChanged(Micros now, std::span<const ListedSfu>) = 0;
-    virtual void listFailed(Micros now) = 0;
-    virtual void subscribe(Micros now, SubId, const Wish&) = 0;
-    virtual void handedOver(Micros, SubId, const Wish&, SfuId) {}
-    virtual void playing(Micros now, SubId, int joinNo, SfuId, Micros took) = 0;
-    virtual void joinEnded(Micros now, SubId, int joinNo, SfuId, JoinEnd, bool over, Micros took,
-                           const Load&) = 0;
-    virtual void viewerLeft(Micros now, SubId) = 0;
-    virtual void shareDelivered(Micros now, SubId, SfuId, double share) = 0;
-    virtual void rungInForce(Micros now, SubId, int rung) = 0;
-    virtual void linkUse(Micros now, SubId, SfuId, double askedOverGiven) = 0;
-    virtual void uplinkUse(Micros now, SubId, SfuId, double askedOverGiven) = 0;
-    virtual void woken(Micros now, const std::string& why) = 0;
-    virtual std::vector<Learnt> learnt(Micros) const { return {}; }
-    virtual void recall(Micros, std::span<const Learnt>) {}
+    virtual void onServerList(Micros now, std::span<const SfuEntry>, bool stale) = 0;
+    virtual void onServerListChange(Micros now, std::span<const SfuEntry>) = 0;
+    virtual void onServerListFailure(Micros now) = 0;
+    virtual void onSubscribe(Micros now, SubId, const SubscriptionRequest&) = 0;
+    virtual void onAdopted(Micros, SubId, const SubscriptionRequest&, SfuId) {}
+    virtual void onPlaying(Micros now, SubId, int joinNo, SfuId, Micros took) = 0;
+    virtual void onJoinEnded(Micros now, SubId, int joinNo, SfuId, JoinResult, bool over, Micros took,
+                             const LoadReport&) = 0;
+    virtual void onViewerLeft(Micros now, SubId) = 0;
+    virtual void onShareDelivered(Micros now, SubId, SfuId, double share) = 0;
+    virtual void onRungInForce(Micros now, SubId, int rung) = 0;
+    virtual void onLinkUse(Micros now, SubId, SfuId, double askedOverGiven) = 0;
+    virtual void onUplinkUse(Micros now, SubId, SfuId, double askedOverGiven) = 0;
+    virtual void onWake(Micros now, const std::string& why) = 0;
+    virtual std::vector<ServerEvidence> serverEvidence(Micros) const { return {}; }
+    virtual void restoreServerEvidence(Micros, std::span<const ServerEvidence>) {}
 };
 
 // The module, as it is.
@@ -37,34 +37,44 @@
   public:
     template <class... Given>
     explicit ModuleDecides(Given&&... given) : logic_(std::forward<Given>(given)...) {}
-    void listed(Micros now, std::span<const ListedSfu> all, bool stale) override {
-        logic_.listed(now, all, stale);
+    void onServerList(Micros now, std::span<const SfuEntry> all, bool stale) override {
+        logic_.onServerList(now, all, stale);
     }
-    void listChanged(Micros now, std::span<const ListedSfu> some) override { logic_.listChanged(now, some); }
-    void listFailed(Micros now) override { logic_.listFailed(now); }
-    void subscribe(Micros now, SubId id, const Wish& wish) override { logic_.subscribe(now, id, wish); }
-    void handedOver(Micros now, SubId id, const Wish& wish, SfuId at) override {
-        logic_.handedOver(now, id, wish, at);
+    void onServerListChange(Micros now, std::span<const SfuEntry> some) override {
+        logic_.onServerListChange(now, some);
     }
-    void playing(Micros now, SubId id, int joinNo, SfuId at, Micros took) override {
-        logic_.playing(now, id, joinNo, at, took);
+    void onServerListFailure(Micros now) override { logic_.onServerListFailure(now); }
+    void onSubscribe(Micros now, SubId id, const SubscriptionRequest& wish) override {
+        logic_.onSubscribe(now, id, wish);
     }
-    void joinEnded(Micros now, SubId id, int joinNo, SfuId at, JoinEnd end, bool over, Micros took,
-                   const Load& load) override {
-        logic_.joinEnded(now, id, joinNo, at, end, over, took, load);
+    void onAdopted(Micros now, SubId id, const SubscriptionRequest& wish, SfuId at) override {
+        logic_.onAdopted(now, id, wish, at);
     }
-    void viewerLeft(Micros now, SubId id) override { logic_.viewerLeft(now, id); }
-    void shareDelivered(Micros now, SubId id, SfuId at, double share) override {
-        logic_.shareDelivered(now, id, at, share);
+    void onPlaying(Micros now, SubId id, int joinNo, SfuId at, Micros took) override {
+        logic_.onPlaying(now, id, joinNo, at, took);
     }
-    void rungInForce(Micros now, SubId id, int rung) override { logic_.rungInForce(now, id, rung); }
-    void linkUse(Micros now, SubId id, SfuId at, double use) override { logic_.linkUse(now, id, at, use); }
-    void uplinkUse(Micros now, SubId id, SfuId at, double use) override {
-        logic_.uplinkUse(now, id, at, use);
+    void onJoinEnded(Micros now, SubId id, int joinNo, SfuId at, JoinResult end, bool over, Micros took,
+                     const LoadReport& load) override {
+        logic_.onJoinEnded(now, id, joinNo, at, end, over, took, load);
+    }
+    void onViewerLeft(Micros now, SubId id) override { logic_.onViewerLeft(now, id); }
+    void onShareDelivered(Micros now, SubId id, SfuId at, double share) override {
+        logic_.onShareDelivered(now, id, at, share);
+    }
+    void onRungInForce(Micros now, SubId id, int rung) override { logic_.onRungInForce(now, id, rung); }
+    void onLinkUse(Micros now, SubId id, SfuId at, double use) override {
+        logic_.onLinkUse(now, id, at, use);
+    }
+    void onUplinkUse(Micros now, SubId id, SfuId at, double use) override {
+        logic_.onUplinkUse(now, id, at, use);
+    }
+    void onWake(Micros now, const std::string& why) override { logic_.onWake(now, why); }
+    std::vector<ServerEvidence> serverEvidence(Micros now) const override {
+        return logic_.serverEvidence(now);
+    }
+    void restoreServerEvidence(Micros now, std::span<const ServerEvidence> all) override {
+        logic_.restoreServerEvidence(now, all);
     }
-    void woken(Micros now, const std::string& why) override { logic_.woken(now, why); }
-    std::vector<Learnt> learnt(Micros now) const override { return logic_.learnt(now); }
-    void recall(Micros now, std::span<const Learnt> all) override { logic_.recall(now, all); }
 
   private:
     Logic logic_;
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -64,14 +64,14 @@
         if (!seen.insert(line.sfu.id.v).second)
             box.wrong("box " + std::to_string(line.sfu.id.v) + " stands here a second time");
         const std::string standing = box.choice("standing", {"on", "fading", "off"}, "on");
-        line.sfu.standing = standing == "on"       ? Standing::On
-                            : standing == "fading" ? Standing::Fading
-                                                   : Standing::Off;
-        if (line.sfu.standing != Standing::Off || box.has("at")) line.at = box.address("at");
+        line.sfu.standing = standing == "on"       ? ServerState::On
+                            : standing == "fading" ? ServerState::Draining
+                                                   : ServerState::Off;
+        if (line.sfu.standing != ServerState::Off || box.has("at")) line.at = box.address("at");
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
         line.sfu.size = box.number("size", 0.001, 1'000'000, 1);
         if (!names.kinds.empty())
-            line.sfu.kind = KindId{placeOf(box, "kind", names.kinds, "a kind of machine")};
+            line.sfu.kind = MachineKindId{placeOf(box, "kind", names.kinds, "a kind of machine")};
         line.sfu.zone = ZoneId{placeOf(box, "zone", names.zones, "a zone")};
         if (box.has("launched")) {
             const std::string launched = box.text("launched", "");
@@ -106,9 +106,9 @@
             box.properties.emplace_back(name, std::move(v));
         };
         if (line.at.port != 0) put("at", text(net::text(line.at)));
-        put("standing", text(line.sfu.standing == Standing::On       ? "on"
-                             : line.sfu.standing == Standing::Fading ? "fading"
-                                                                     : "off"));
+        put("standing", text(line.sfu.standing == ServerState::On         ? "on"
+                             : line.sfu.standing == ServerState::Draining ? "fading"
+                                                                          : "off"));
         put("cell", number(line.sfu.cell.v));
         if (line.sfu.kind.v < names.kinds.size()) put("kind", text(names.kinds[line.sfu.kind.v]));
         if (line.sfu.zone.v < names.zones.size()) put("zone", text(names.zones[line.sfu.zone.v]));
--- a/src/discovery/server_list.hpp
+++ b/src/discovery/server_list.hpp
@@ -15,7 +15,7 @@
 namespace valekeel::discovery {
 
 struct BoxLine {
-    ListedSfu sfu;     // `launched` on the wall clock
+    SfuEntry sfu;      // `launched` on the wall clock
     net::Endpoint at;  // of no use where it is off
 };
 
--- a/src/evidence/evidence_file.hpp
+++ b/src/evidence/evidence_file.hpp
@@ -15,7 +15,7 @@
 namespace valekeel::evidence {
 
 struct BoxLearnt {
-    Learnt what;
+    ServerEvidence what;
     Micros launched = 0;  // of the box's process, on the wall clock as the list has it
 };
 
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -23,11 +23,11 @@
     Ladder ladder;
     settings::RoomTypes rooms;
     settings::Machines machines;
-    ColdTerms cold;
+    ColdStartLimits cold;
     std::optional<JoinBudget> budget;
-    Tidings tidings;
-    Allowed allowed;
-    Prices prices;
+    ReportTiming tidings;
+    SubscriptionLimits allowed;
+    ServingCosts prices;
     settings::Talks talks;
     net::Endpoint http;
     std::optional<net::Endpoint> sip;
@@ -339,7 +339,7 @@
         fields["within_us"] = timeOut;
         line(logging::Level::Info, "join-sent", std::move(fields));
     }
-    void joinEnded(SubId id, int joinNo, SfuId at, const core::JoinOutcome& outcome) override {
+    void onJoinEnded(SubId id, int joinNo, SfuId at, const core::JoinOutcome& outcome) override {
         auto fields = of(id);
         fields["join"] = joinNo;
         fields["box"] = at.v;
@@ -365,10 +365,10 @@
     }
 
     // ---- list::ListUser ----
-    std::vector<ListedSfu> taken(const std::vector<discovery::BoxLine>& lines) {
-        std::vector<ListedSfu> out;
+    std::vector<SfuEntry> taken(const std::vector<discovery::BoxLine>& lines) {
+        std::vector<SfuEntry> out;
         for (const discovery::BoxLine& one : lines) {
-            ListedSfu sfu = one.sfu;
+            SfuEntry sfu = one.sfu;
             // The list speaks of the wall clock. A start that seems to lie ahead is one of just now.
             if (sfu.launched > 0)
                 sfu.launched =
@@ -395,7 +395,7 @@
                              [&](const discovery::BoxLine& b) { return b.sfu.id == one.sfu.id; });
             if (same == held.boxes.end())
                 held.boxes.push_back(one);
-            else if (one.sfu.standing == Standing::Off)
+            else if (one.sfu.standing == ServerState::Off)
                 held.boxes.erase(same);
             else
                 *same = one;
@@ -409,19 +409,19 @@
     }
     void listIs(const std::vector<discovery::BoxLine>& lines, bool stale) override {
         line(logging::Level::Info, "list", {{"boxes", lines.size()}, {"stale", stale}});
-        core->listed(taken(lines), stale);
+        core->onServerList(taken(lines), stale);
         if (stale) return;
         merge(lines, true);
         recall();
     }
     void listChangedBy(const std::vector<discovery::BoxLine>& lines) override {
         line(logging::Level::Info, "list-changed", {{"boxes", lines.size()}});
-        core->listChanged(taken(lines));
+        core->onServerListChange(taken(lines));
         merge(lines, false);
     }
     void listUnreachable(const std::string& why) override {
         line(logging::Level::Warning, "list-unreachable", {{"why", why}});
-        core->listFailed();
+        core->onServerListFailure();
     }
     void listOdd(const std::string& why) override {
         line(logging::Level::Warning, "list-odd", {{"why", why}});
@@ -451,20 +451,20 @@
     void recall() {
         if (earlier.boxes.empty()) return;
         const auto launched = launchedOf();
-        std::vector<Learnt> same;
+        std::vector<ServerEvidence> same;
         for (const evidence::BoxLearnt& b : earlier.boxes)
             if (const auto now = launched.find(b.what.id); now != launched.end() && now->second == b.launched)
                 same.push_back(b.what);
         line(logging::Level::Info, "learnt-taken",
              {{"boxes", same.size()}, {"passed_over", earlier.boxes.size() - same.size()}});
         earlier.boxes.clear();
-        core->recall(same);
+        core->restoreServerEvidence(same);
     }
     void keepLearnt() {
         if (!earlier.boxes.empty()) return;  // no list has come yet: what was kept is all that is known
         evidence::Kept kept{net.wallNow(), {}};
         const auto launched = launchedOf();
-        for (const Learnt& what : core->learnt())
+        for (const ServerEvidence& what : core->serverEvidence())
             if (const auto now = launched.find(what.id); now != launched.end())
                 kept.boxes.push_back({what, now->second});
         try {
--- a/src/frontends/frontend_context.hpp
+++ b/src/frontends/frontend_context.hpp
@@ -33,9 +33,9 @@
 }
 
 // For a viewer that can use so many kbit/s: the best rung under that, never under the room type's floor.
-inline Wish wishFor(RoomTypeId room, const std::string& title, const settings::Talk& talk,
-                    const Ladder& ladder, const RoomType& type, double kbits) {
-    Wish wish;
+inline SubscriptionRequest wishFor(RoomTypeId room, const std::string& title, const settings::Talk& talk,
+                                   const Ladder& ladder, const RoomType& type, double kbits) {
+    SubscriptionRequest wish;
     wish.room = room;
     wish.title = TitleId{title};
     wish.firstCell = talk.firstCell;
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -151,7 +151,7 @@
 
     void head(const http::ResponseHead& head) override {
         status_ = head.status;
-        const Load load = upstream::loadOf(head.fields);
+        const LoadReport load = upstream::loadOf(head.fields);
         toHead_ = face_.net_.now() - sentAt_;
         if (status_ == wanted_ && !playlist_ && exchange_) {
             Viewer* viewer = face_.byToken(token_);
@@ -283,7 +283,7 @@
         HttpFace& face = face_;
         end(how == upstream::WireEnd::TimedOutOut ? 504 : 502, upstream::meaningOf(how).name);
         face.core_.lost(
-            sub, how == upstream::WireEnd::BrokenAnswer ? JoinEnd::Reset : upstream::meaningOf(how).end);
+            sub, how == upstream::WireEnd::BrokenAnswer ? JoinResult::Reset : upstream::meaningOf(how).end);
     }
     void cutShort() {
         if (http::Exchange* exchange = std::exchange(exchange_, nullptr)) {
@@ -376,9 +376,9 @@
               {{"peer", net::text(peer)}, {"status", status}, {"why", why}});
 }
 
-void HttpFace::refuse(http::Exchange& exchange, int status, std::string_view why, Micros comeBack) {
+void HttpFace::refuse(http::Exchange& exchange, int status, std::string_view why, Micros retryAfter) {
     http::Fields fields;
-    if (comeBack > 0) fields.add("Retry-After", wholeSecondsUp(comeBack));
+    if (retryAfter > 0) fields.add("Retry-After", wholeSecondsUp(retryAfter));
     fields.add("Content-Type", "text/plain; charset=utf-8");
     fields.add("Cache-Control", "no-store");
     if (const auto* dynamic = exchange.head().fields.find("traceparent");
@@ -485,7 +485,7 @@
     if (const auto let = gate_.ask(net_.now(), network); let != admission::Gate::Let::In) {
         ++turnedAway_;
         return refuse(exchange, 503, admission::Gate::why(let),
-                      gate_.comeBack(net_.now(), terms_.retryWhenFull));
+                      gate_.retryAfter(net_.now(), terms_.retryWhenFull));
     }
 
     const RoomType& type = rooms_.types[room->v];
@@ -496,7 +496,7 @@
     if (hint.rtp && *hint.rtp > 0) kbits = std::min(kbits, static_cast<double>(*hint.rtp));
     if (hint.mtp && *hint.mtp > 0) kbits = std::min(kbits, 1.5 * static_cast<double>(*hint.mtp));
     if (gate_.lowestOnly(network)) kbits = 0;
-    Wish wish = wishFor(*room, title, talk->second, ladder_, type, kbits);
+    SubscriptionRequest wish = wishFor(*room, title, talk->second, ladder_, type, kbits);
     for (const auto& [key, value] : hint.custom) {
         if (key != "org.valekeel-watch") continue;
         if (const auto* whole = std::get_if<std::int64_t>(&value); whole && *whole > 0 && *whole < 100'000)
@@ -677,10 +677,10 @@
     exchange.respond(200, fields, hls::write(hls::Multivariant{{best}}));
 }
 
-void HttpFace::throttled(SubId id, Micros comeBack) {
+void HttpFace::throttled(SubId id, Micros retryAfter) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
-    const Micros told = comeBack > 0 ? gate_.comeBack(net_.now(), comeBack) : 0;
+    const Micros told = retryAfter > 0 ? gate_.retryAfter(net_.now(), retryAfter) : 0;
     answerWaiters(*viewer, [&](http::Exchange& e) { refuse(e, 503, "no room for it now", told); });
     endViewer(*viewer, false);
 }
--- a/src/frontends/http/http_frontend.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -68,7 +68,7 @@
 
     // ---- core::Face ----
     void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros comeBack) override;
+    void throttled(SubId, Micros retryAfter) override;
     void terminated(SubId, core::Ended) override;
     void rungSet(SubId, int rung) override;
     void broke(SubId) override;
@@ -82,7 +82,7 @@
     void askSegment(http::Exchange&, Viewer&, std::string_view file);
     void takeJson(http::Exchange&);
     void answerPlaying(Viewer&, http::Exchange&);
-    void refuse(http::Exchange&, int status, std::string_view why, Micros comeBack = 0);
+    void refuse(http::Exchange&, int status, std::string_view why, Micros retryAfter = 0);
     void sendWindow(http::Exchange&, Viewer&);
     http::Fields cmsdFields(const Viewer&, std::string_view standingStatic, std::string_view standingDynamic,
                             std::string_view objectType, std::optional<Micros> toHead) const;
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -174,7 +174,7 @@
     void whole() override {
         Call* call = face_.bySub(sub_);
         if (!call) return;
-        if (status_ == 410) return face_.core_.lost(sub_, JoinEnd::Reset);
+        if (status_ == 410) return face_.core_.lost(sub_, JoinResult::Reset);
         face_.core_.figures(sub_, call->at, load_.linkUse, load_.uplinkUse);
         call->holdTimer->after(face_.terms_.holdEvery);
     }
@@ -191,7 +191,7 @@
     SipFace& face_;
     SubId sub_;
     int status_ = 0;
-    Load load_;
+    LoadReport load_;
 };
 
 SipFace::SipFace(const Surroundings& around, const net::Endpoint& at, const SipTerms& terms,
@@ -313,9 +313,9 @@
 }
 
 // Refused without keeping anything: what a flood may cost at most.
-void SipFace::replyStateless(const sip::Message& m, const sip::Way& way, int status, Micros comeBack) {
+void SipFace::replyStateless(const sip::Message& m, const sip::Way& way, int status, Micros retryAfter) {
     std::vector<std::pair<std::string, std::string>> more;
-    if (comeBack > 0) more.emplace_back("Retry-After", wholeSecondsUp(comeBack));
+    if (retryAfter > 0) more.emplace_back("Retry-After", wholeSecondsUp(retryAfter));
     sendOn(way, sip::response(withControl(m), status,
                               logging::hex64(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more,
                               "", &way.peer));
@@ -453,12 +453,12 @@
     const std::uint32_t network = gate_.networkOf(way.peer.ip);
     if (gate_.ask(net_.now(), network) != admission::Gate::Let::In)
         return reply(key, m, 503,
-                     {{"Retry-After", wholeSecondsUp(gate_.comeBack(net_.now(), terms_.retryWhenFull))}});
+                     {{"Retry-After", wholeSecondsUp(gate_.retryAfter(net_.now(), terms_.retryWhenFull))}});
 
     const RoomType& type = rooms_.types[room->v];
     double kbits = offer.mostBits ? static_cast<double>(*offer.mostBits) / 1'000 : 1e18;
     if (gate_.lowestOnly(network)) kbits = 0;
-    const Wish wish = wishFor(*room, m.user, talk->second, ladder_, type, kbits);
+    const SubscriptionRequest wish = wishFor(*room, m.user, talk->second, ladder_, type, kbits);
     Micros timeout = rooms_.clientTimeouts[room->v];
     if (m.expires && *m.expires > 0) timeout = std::min(timeout, static_cast<Micros>(*m.expires) * kSecond);
     const auto id = core_.ask(*this, wish, timeout);
@@ -603,12 +603,13 @@
     reply(call->key, call->invite, 200, std::move(more), answerBody(*call));
 }
 
-void SipFace::throttled(SubId id, Micros comeBack) {
+void SipFace::throttled(SubId id, Micros retryAfter) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
     std::vector<std::pair<std::string, std::string>> more;
-    if (comeBack > 0) more.emplace_back("Retry-After", wholeSecondsUp(gate_.comeBack(net_.now(), comeBack)));
+    if (retryAfter > 0)
+        more.emplace_back("Retry-After", wholeSecondsUp(gate_.retryAfter(net_.now(), retryAfter)));
     reply(call->key, call->invite, 486, std::move(more));
     forget(*call, false);
 }
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -81,10 +81,10 @@
     sip::Message withControl(sip::Message) const;
     bool turnedAwayAtAGlance(const sip::Glance&, const sip::Way&);
     bool turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::Way&);
-    void replyStateless(const sip::Message&, const sip::Way&, int status, Micros comeBack = 0);
+    void replyStateless(const sip::Message&, const sip::Way&, int status, Micros retryAfter = 0);
 
     void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros comeBack) override;
+    void throttled(SubId, Micros retryAfter) override;
     void terminated(SubId, core::Ended) override;
     void rungSet(SubId, int rung) override;
     void broke(SubId) override;
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -89,11 +89,12 @@
 
 }  // namespace
 
-class Logic::Desk {
+class Logic::Impl {
   public:
-    Desk(Host& host, Micros now, std::uint64_t seed, int fronts, const Ladder& ladder,
-         const std::vector<RoomType>& rooms, const Fleet& fleet, const ColdTerms& cold,
-         const JoinBudget* budget, const Tidings& tidings, const Allowed& allowed, const Prices& prices)
+    Impl(Host& host, Micros now, std::uint64_t seed, int fronts, const Ladder& ladder,
+         const std::vector<RoomType>& rooms, const Fleet& fleet, const ColdStartLimits& cold,
+         const JoinBudget* budget, const ReportTiming& tidings, const SubscriptionLimits& allowed,
+         const ServingCosts& prices)
         : host_(host),
           bornAt_(now),
           chance_(static_cast<std::knuth_b::result_type>(seed)),
@@ -116,14 +117,14 @@
 
     // ================= what happens =================
 
-    void listed(std::span<const ListedSfu> entries, bool stale) {
-        for (auto& [id, s] : sfus_) s.standing = Standing::Off;
+    void onServerList(std::span<const SfuEntry> entries, bool stale) {
+        for (auto& [id, s] : sfus_) s.standing = ServerState::Off;
         listStale_ = stale;
-        listChanged(entries);
+        onServerListChange(entries);
     }
 
-    void listChanged(std::span<const ListedSfu> entries) {
-        for (const ListedSfu& e : entries) {
+    void onServerListChange(std::span<const SfuEntry> entries) {
+        for (const SfuEntry& e : entries) {
             Sfu& s = sfus_[e.id];
             if (e.launched > s.startedAt) {  // a new process: what was held against the old one is void
                 s.startedAt = e.launched;
@@ -138,7 +139,7 @@
         }
         double places = 0;
         for (const auto& [id, s] : sfus_)
-            if (s.standing != Standing::Off) places += placesOf(s);
+            if (s.standing != ServerState::Off) places += placesOf(s);
         if (places > 0 && kbPerPlace_ == 0) {
             kbPerPlace_ = fleet_.linksKb / places;
             sizeUplinks();
@@ -160,12 +161,12 @@
     }
 
     // The list held still applies. All fronts may have failed together, so they ask again apart.
-    void listFailed() {
+    void onServerListFailure() {
         if (fleet_.listAsked)
             host_.wakeAfter(std::uniform_int_distribution<Micros>(kAskAgain, 2 * kAskAgain)(chance_), "list");
     }
 
-    void subscribe(Micros now, SubId id, const Wish& wish) {
+    void onSubscribe(Micros now, SubId id, const SubscriptionRequest& wish) {
         Sub& sub = subs_[id] = Sub{};
         sub.wish = wish;
         sub.takenAt = now;
@@ -178,7 +179,7 @@
             openSlot();
     }
 
-    void handedOver(Micros now, SubId id, const Wish& wish, SfuId at) {
+    void onAdopted(Micros now, SubId id, const SubscriptionRequest& wish, SfuId at) {
         Sub& sub = subs_[id] = Sub{};
         sub.wish = wish;
         sub.takenAt = sub.playsSince = now;
@@ -192,7 +193,7 @@
         forgetChanges(sfus_[at]);
     }
 
-    void playing(Micros now, SubId id, int, SfuId at, Micros took) {
+    void onPlaying(Micros now, SubId id, int, SfuId at, Micros took) {
         auto it = subs_.find(id);
         if (it == subs_.end()) return;
         Sub& sub = it->second;
@@ -208,7 +209,7 @@
         judge(now, sfus_[at], kGoodStep);
     }
 
-    void joinEnded(Micros now, SubId id, SfuId at, JoinEnd end, bool over, const Load& load) {
+    void onJoinEnded(Micros now, SubId id, SfuId at, JoinResult end, bool over, const LoadReport& load) {
         Sfu& s = sfus_[at];
         if (load.linkUse) hearLink(now, s, *load.linkUse, kAnswerAge, kNoisyShare);
         if (load.uplinkUse) hearUplink(now, rackOf(s), *load.uplinkUse, kAnswerAge, kNoisyShare);
@@ -218,19 +219,19 @@
         // An error over a title that was not seen to play may be the asker's own: guards against callers who
         // ask for what no media server has. It hides a sick one while nothing but unseen titles is asked for.
         const bool askers =
-            end == JoinEnd::Error && it != subs_.end() && !playedAt_.contains(titleOf(it->second));
+            end == JoinResult::Error && it != subs_.end() && !playedAt_.contains(titleOf(it->second));
         switch (end) {
-            case JoinEnd::Error:
-            case JoinEnd::Reset:
-            case JoinEnd::NoConnection:
-            case JoinEnd::TimedOut:
+            case JoinResult::Error:
+            case JoinResult::Reset:
+            case JoinResult::NoConnection:
+            case JoinResult::TimedOut:
                 if (!suspected && !askers) judge(now, s, kFailStep);
                 // A break of what plays, or nobody there, says that the process is lost. An answer that did
                 // not come may be no more than that: one alone must not make a whole fleet count as cold.
-                if (played || end == JoinEnd::NoConnection || s.evidence >= kVerdict)
+                if (played || end == JoinResult::NoConnection || s.evidence >= kVerdict)
                     s.mayHaveRestartedAt = now;
                 break;
-            case JoinEnd::Full:
+            case JoinResult::Full:
                 s.fullUntil = now + kSecond;
                 if (fleet_.fullFrom > 0 && untold())
                     hearLink(now, s, std::max(fleet_.fullFrom, linkAsked(now, s)), 0, 1);
@@ -245,13 +246,13 @@
             subs_.erase(it);
             return;
         }
-        if (end != JoinEnd::Full && end != JoinEnd::NoConnection && end != JoinEnd::NeverSent)
+        if (end != JoinResult::Full && end != JoinResult::NoConnection && end != JoinResult::NeverSent)
             sub.mayHaveRun = true;
         sub.state = State::Waiting;
         sub.overdue = false;
         // A paid set-up that may have run can't be tried again, and no other try can still be in time.
-        if ((roomOf(sub).paid && sub.mayHaveRun) || end == JoinEnd::NeverSent || (askers && sub.joins > 1) ||
-            now >= sub.takenAt + roomOf(sub).joinObjective) {
+        if ((roomOf(sub).paid && sub.mayHaveRun) || end == JoinResult::NeverSent ||
+            (askers && sub.joins > 1) || now >= sub.takenAt + roomOf(sub).joinObjective) {
             giveUp(now, id);
             return;
         }
@@ -259,7 +260,7 @@
         placeAll(now);
     }
 
-    void viewerLeft(Micros, SubId id) {
+    void onViewerLeft(Micros, SubId id) {
         auto it = subs_.find(id);
         if (it == subs_.end()) return;
         if (it->second.state == State::Joining)
@@ -268,7 +269,7 @@
             subs_.erase(it);
     }
 
-    void shareDelivered(Micros now, SfuId at, double share) {
+    void onShareDelivered(Micros now, SfuId at, double share) {
         Sfu& s = sfus_[at];
         if (share >= 0.98) {
             Uplink& up = uplinks_[rackOf(s)];
@@ -288,30 +289,30 @@
             hearLink(now, s, std::max(s.shortBy, linkAsked(now, s)), tidings_.late, 1);
     }
 
-    void rungInForce(Micros now, SubId id, int rung) {
+    void onRungInForce(Micros now, SubId id, int rung) {
         auto it = subs_.find(id);
         if (it == subs_.end()) return;
         setRung(now, it->second, rung);
         forgetChanges(sfus_[it->second.at]);
     }
 
-    void linkUse(Micros now, SubId id, SfuId at, double use) {
+    void onLinkUse(Micros now, SubId id, SfuId at, double use) {
         Sfu& s = sfus_[at];
         const Micros age = noteAge(now, id);
         if (age > 0 && s.shortBy > 0 && now - s.shortAt < 2 * kSecond && use < kLinkClear * s.shortBy)
             uplinkShort(now, s);
         hearLink(now, s, use, age, 0.8);
     }
-    void uplinkUse(Micros now, SubId id, SfuId at, double use) {
+    void onUplinkUse(Micros now, SubId id, SfuId at, double use) {
         hearUplink(now, rackOf(sfus_[at]), use, noteAge(now, id), 0.8);
     }
 
     // What of this front's knowledge still means the same to its next life. Set-up times, shortness and
     // uplinks belong to routes and racks that may have changed.
-    std::vector<Learnt> learnt(Micros now) const {
-        std::vector<Learnt> out;
+    std::vector<ServerEvidence> serverEvidence(Micros now) const {
+        std::vector<ServerEvidence> out;
         for (const auto& [id, s] : sfus_) {
-            if (s.standing == Standing::Off || (!s.link.told && s.evidence == 0)) continue;
+            if (s.standing == ServerState::Off || (!s.link.told && s.evidence == 0)) continue;
             const Pipe& link = s.link;
             out.push_back({id, s.evidence, link.told ? std::optional(link.use) : std::nullopt,
                            link.told ? now - link.at : 0});
@@ -319,17 +320,17 @@
         return out;
     }
     // Guards against a next life that pays again for what is known; an id that is not listed tells nothing.
-    void recall(Micros now, std::span<const Learnt> all) {
-        for (const Learnt& one : all) {
+    void restoreServerEvidence(Micros now, std::span<const ServerEvidence> all) {
+        for (const ServerEvidence& one : all) {
             const auto it = sfus_.find(one.id);
-            if (it == sfus_.end() || it->second.standing == Standing::Off) continue;
+            if (it == sfus_.end() || it->second.standing == ServerState::Off) continue;
             Sfu& s = it->second;
             if (s.evidence == 0) judge(now, s, one.evidence);
             if (one.linkUse && !s.link.told) hearLink(now, s, *one.linkUse, one.age, 1);
         }
     }
 
-    void woken(Micros now, const std::string& why) {
+    void onWake(Micros now, const std::string& why) {
         if (why == "sweep") {
             sweep(now);
             host_.wakeAfter(kRound, "sweep");
@@ -345,7 +346,7 @@
     enum class State { Waiting, Joining, Playing };
 
     struct Sub {
-        Wish wish;
+        SubscriptionRequest wish;
         State state = State::Waiting;
         Micros takenAt = 0, joinedAt = 0, playsSince = 0, changedAt = 0;
         int joins = 0;
@@ -376,9 +377,9 @@
     };
 
     struct Sfu {
-        Standing standing = Standing::Off;
+        ServerState standing = ServerState::Off;
         Cell cell;
-        KindId kind;
+        MachineKindId kind;
         double size = 1;
         ZoneId zone;
         Micros startedAt = 0, mayHaveRestartedAt = 0;
@@ -442,7 +443,7 @@
         for (const char c : sub.wish.title.v)
             title = (title ^ static_cast<unsigned char>(c)) * 1099511628211u;
         for (const auto& [id, s] : sfus_) {
-            if (!holds(sub, s) || s.standing != Standing::On || warmShare(now, s) < 1 || setAside(now, s))
+            if (!holds(sub, s) || s.standing != ServerState::On || warmShare(now, s) < 1 || setAside(now, s))
                 continue;
             order.emplace_back(mixed(title ^ id.v), id);
         }
@@ -494,7 +495,7 @@
     std::vector<double> uplinksAsked(Micros now) const {
         std::vector<double> use(uplinks_.size(), 0);
         for (const auto& [id, s] : sfus_)
-            if (!untold() && s.standing != Standing::Off)
+            if (!untold() && s.standing != ServerState::Off)
                 use[rackOf(s)] += linkAsked(now, s) * linkKb(now, s);
         // Where no figure comes, what could be guessed of one uplink is no better than what is guessed of
         // all, and all fronts would guess alike: the rack that looked emptiest would get everyone's joins.
@@ -520,7 +521,8 @@
         if (up.kb <= 0) return known(s);
         double rackKb = 0;
         for (const auto& [id, one] : sfus_)
-            if (one.standing != Standing::Off && rackOf(one) == rack) rackKb += known(one) * linkKb(now, one);
+            if (one.standing != ServerState::Off && rackOf(one) == rack)
+                rackKb += known(one) * linkKb(now, one);
         return std::max(known(s), up.pipe.told ? carried(up.pipe, up.kb) : rackKb / up.kb);
     }
 
@@ -553,14 +555,14 @@
         // A narrow uplink makes every media server behind it short; one that is well clears it.
         int alsoShort = 0, well = 0;
         for (const auto& [id, one] : sfus_)
-            if (one.standing != Standing::Off && rackOf(one) == rack && one.ownKb > 0)
+            if (one.standing != ServerState::Off && rackOf(one) == rack && one.ownKb > 0)
                 ++(now - one.shortAt < 2 * kSecond ? alsoShort : well);
         if (well > alsoShort || (untold() && well == alsoShort)) return false;
         up.shortAt = now;
         // The shortness is of a while ago, and so must be what was asked: drops since then have made room.
         double then = 0;
         for (const auto& [id, one] : sfus_) {
-            if (one.standing == Standing::Off || rackOf(one) != rack) continue;
+            if (one.standing == ServerState::Off || rackOf(one) != rack) continue;
             const double kb = linkKb(now, one);
             then +=
                 one.link.told ? kb * carried(one.link, kb, now - tidings_.late) : kb * linkAsked(now, one);
@@ -619,8 +621,8 @@
     bool mayJoin(Micros now, const Sub& sub, SfuId id, const Sfu& s, Micros turnBy) {
         const RoomType& room = roomOf(sub);
         if (sub.state != State::Waiting || sub.gone) return false;  // one join out, no answer given
-        if (now >= sub.wish.giveUpAt || sub.joins >= allowed_.joinsEach) return false;
-        if (s.standing != Standing::On) return false;  // drains are kept
+        if (now >= sub.wish.deadline || sub.joins >= allowed_.maxJoins) return false;
+        if (s.standing != ServerState::On) return false;  // drains are kept
         if (!holds(sub, s)) return false;
         if (room.paid && sub.mayHaveRun) return false;  // no set-up twice
         if (room.keyed && sub.mayHaveRun &&
@@ -682,7 +684,7 @@
 
     // What counts is the viewer's own time, not the room type's: it may end before the slot does, and the
     // wake that ends a slot may come late.
-    static bool tooLateToWait(Micros now, const Sub& sub) { return sub.wish.giveUpAt - now <= 2 * kSlot; }
+    static bool tooLateToWait(Micros now, const Sub& sub) { return sub.wish.deadline - now <= 2 * kSlot; }
 
     // Serving from another zone is paid for by the second, so a slot's score counts it beside the rate.
     double crossing(const Sfu& s) const {
@@ -766,7 +768,7 @@
         const bool fits = chosen.has_value();
         if (!chosen && fallback && askedThere <= kOverfull) chosen = fallback;
         if (chosen) {
-            host_.chose(id, *chosen, fits ? &best : nullptr, among);
+            host_.recordPlacement(id, *chosen, fits ? &best : nullptr, among);
             sub.gathered = gathersAt(*chosen);
             sendJoin(now, id, sub, *chosen, chosenRung);
             return;
@@ -803,9 +805,9 @@
 
     // A paid set-up is waited for to the end, as it can't be repeated; a free one while another is in time.
     Micros timeOut(Micros now, const Sub& sub) {
-        const Micros left = sub.wish.giveUpAt - now;
+        const Micros left = sub.wish.deadline - now;
         const Micros objective = sub.takenAt + roomOf(sub).joinObjective;
-        if (roomOf(sub).paid || sub.joins >= allowed_.joinsEach || now + 2 * patience() > objective ||
+        if (roomOf(sub).paid || sub.joins >= allowed_.maxJoins || now + 2 * patience() > objective ||
             !budgetLeft(now))
             return left;
         return std::min(left, patience());
@@ -828,18 +830,18 @@
         const Sub& sub = it->second;
         const RoomType& room = roomOf(sub);
         const bool mayThrottle =
-            now < sub.wish.giveUpAt && (!sub.mayHaveRun || !(room.paid || (room.keyed && !room.anyGroup)));
+            now < sub.wish.deadline && (!sub.mayHaveRun || !(room.paid || (room.keyed && !room.anyGroup)));
         if (mayThrottle)
-            host_.throttle(id, comeBack());
+            host_.throttle(id, retryAfter());
         else
             host_.terminate(id);
         subs_.erase(it);
     }
 
-    Micros comeBack() {  // spread, so that those sent away together don't return together
-        if (!allowed_.comeBack) return 0;
-        return std::uniform_int_distribution<Micros>(allowed_.comeBackAtMost / 2,
-                                                     allowed_.comeBackAtMost)(chance_);
+    Micros retryAfter() {  // spread, so that those sent away together don't return together
+        if (!allowed_.retryAfter) return 0;
+        return std::uniform_int_distribution<Micros>(allowed_.maxRetryAfter / 2,
+                                                     allowed_.maxRetryAfter)(chance_);
     }
 
     // ================= health =================
@@ -860,7 +862,7 @@
 
     void sweep(Micros now) {
         std::erase_if(sfus_, [](const auto& entry) {  // gone, and nothing of this front left there
-            return entry.second.standing == Standing::Off && entry.second.ownKb <= 0 &&
+            return entry.second.standing == ServerState::Off && entry.second.ownKb <= 0 &&
                    entry.second.joinsOut <= 0;
         });
         std::erase_if(playedAt_, [&](const auto& entry) { return entry.second < now - kTitleKnown; });
@@ -868,7 +870,7 @@
         for (auto& [id, s] : sfus_) {
             while (!s.link.changes.empty() && s.link.changes.front().at < now - 20 * kSecond)
                 s.link.changes.pop_front();
-            if (s.standing != Standing::On || !s.link.told || now - s.link.at > 6 * kSecond) continue;
+            if (s.standing != ServerState::On || !s.link.told || now - s.link.at > 6 * kSecond) continue;
             sum += carried(s.link, linkKb(now, s));
             ++count;
         }
@@ -953,7 +955,7 @@
     // asked, and the last step, which that part does not hold, by chance. Then it waits for the next figure.
     void stepUp(Micros now, Sfu& s, const std::vector<SubId>& ids, double rackUse) {
         if (now - s.shortAt < (untold() ? kQuietUntold : kQuiet) || s.evidence >= kVerdict ||
-            s.standing == Standing::Off)
+            s.standing == ServerState::Off)
             return;
         // Where no figures come, every quiet time without a short note stands in for one.
         const Micros news = untold() ? now - kQuietUntold : s.link.told ? s.link.at : s.risenAt;
@@ -1034,11 +1036,11 @@
     Ladder ladder_;
     std::vector<RoomType> rooms_;
     Fleet fleet_;
-    ColdTerms cold_;
+    ColdStartLimits cold_;
     std::optional<JoinBudget> budget_;
-    Tidings tidings_;
-    Allowed allowed_;
-    Prices prices_;
+    ReportTiming tidings_;
+    SubscriptionLimits allowed_;
+    ServingCosts prices_;
 
     std::map<SfuId, Sfu> sfus_;
     std::map<SubId, Sub> subs_;
@@ -1057,56 +1059,58 @@
 };
 
 Logic::Logic(Host& host, Micros now, std::uint64_t seed, int fronts, const Ladder& ladder,
-             const std::vector<RoomType>& rooms, const Fleet& fleet, const ColdTerms& cold,
-             const JoinBudget* budget, const Tidings& tidings, const Allowed& allowed, const Prices& prices)
-    : desk_(std::make_unique<Desk>(host, now, seed, fronts, ladder, rooms, fleet, cold, budget, tidings,
+             const std::vector<RoomType>& rooms, const Fleet& fleet, const ColdStartLimits& cold,
+             const JoinBudget* budget, const ReportTiming& tidings, const SubscriptionLimits& allowed,
+             const ServingCosts& prices)
+    : impl_(std::make_unique<Impl>(host, now, seed, fronts, ladder, rooms, fleet, cold, budget, tidings,
                                    allowed, prices)) {}
 Logic::~Logic() = default;
 
-void Logic::listed(Micros, std::span<const ListedSfu> entries, bool stale) {
-    desk_->listed(entries, stale);
+void Logic::onServerList(Micros, std::span<const SfuEntry> entries, bool stale) {
+    impl_->onServerList(entries, stale);
 }
-void Logic::listChanged(Micros, std::span<const ListedSfu> entries) {
-    desk_->listChanged(entries);
+void Logic::onServerListChange(Micros, std::span<const SfuEntry> entries) {
+    impl_->onServerListChange(entries);
 }
-void Logic::listFailed(Micros) {
-    desk_->listFailed();
+void Logic::onServerListFailure(Micros) {
+    impl_->onServerListFailure();
 }
-void Logic::subscribe(Micros now, SubId id, const Wish& wish) {
-    desk_->subscribe(now, id, wish);
+void Logic::onSubscribe(Micros now, SubId id, const SubscriptionRequest& wish) {
+    impl_->onSubscribe(now, id, wish);
 }
-void Logic::handedOver(Micros now, SubId id, const Wish& wish, SfuId at) {
-    desk_->handedOver(now, id, wish, at);
+void Logic::onAdopted(Micros now, SubId id, const SubscriptionRequest& wish, SfuId at) {
+    impl_->onAdopted(now, id, wish, at);
 }
-void Logic::playing(Micros now, SubId id, int joinNo, SfuId at, Micros took) {
-    desk_->playing(now, id, joinNo, at, took);
+void Logic::onPlaying(Micros now, SubId id, int joinNo, SfuId at, Micros took) {
+    impl_->onPlaying(now, id, joinNo, at, took);
 }
-void Logic::joinEnded(Micros now, SubId id, int, SfuId at, JoinEnd end, bool over, Micros, const Load& load) {
-    desk_->joinEnded(now, id, at, end, over, load);
+void Logic::onJoinEnded(Micros now, SubId id, int, SfuId at, JoinResult end, bool over, Micros,
+                        const LoadReport& load) {
+    impl_->onJoinEnded(now, id, at, end, over, load);
 }
-void Logic::viewerLeft(Micros now, SubId id) {
-    desk_->viewerLeft(now, id);
+void Logic::onViewerLeft(Micros now, SubId id) {
+    impl_->onViewerLeft(now, id);
 }
-void Logic::shareDelivered(Micros now, SubId, SfuId at, double share) {
-    desk_->shareDelivered(now, at, share);
+void Logic::onShareDelivered(Micros now, SubId, SfuId at, double share) {
+    impl_->onShareDelivered(now, at, share);
 }
-void Logic::rungInForce(Micros now, SubId id, int rung) {
-    desk_->rungInForce(now, id, rung);
+void Logic::onRungInForce(Micros now, SubId id, int rung) {
+    impl_->onRungInForce(now, id, rung);
 }
-void Logic::linkUse(Micros now, SubId id, SfuId at, double use) {
-    desk_->linkUse(now, id, at, use);
+void Logic::onLinkUse(Micros now, SubId id, SfuId at, double use) {
+    impl_->onLinkUse(now, id, at, use);
 }
-void Logic::uplinkUse(Micros now, SubId id, SfuId at, double use) {
-    desk_->uplinkUse(now, id, at, use);
+void Logic::onUplinkUse(Micros now, SubId id, SfuId at, double use) {
+    impl_->onUplinkUse(now, id, at, use);
 }
-std::vector<Learnt> Logic::learnt(Micros now) const {
-    return desk_->learnt(now);
+std::vector<ServerEvidence> Logic::serverEvidence(Micros now) const {
+    return impl_->serverEvidence(now);
 }
-void Logic::recall(Micros now, std::span<const Learnt> all) {
-    desk_->recall(now, all);
+void Logic::restoreServerEvidence(Micros now, std::span<const ServerEvidence> all) {
+    impl_->restoreServerEvidence(now, all);
 }
-void Logic::woken(Micros now, const std::string& why) {
-    desk_->woken(now, why);
+void Logic::onWake(Micros now, const std::string& why) {
+    impl_->onWake(now, why);
 }
 
 }  // namespace valekeel
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -19,53 +19,54 @@
     virtual ~Host() = default;
     virtual void join(SubId, SfuId, Micros timeOut) = 0;  // joins of a subscription are numbered from 0
     virtual void setRung(SubId, int rung) = 0;
-    virtual void throttle(SubId, Micros comeBack) = 0;  // final; 0 names no time
-    virtual void terminate(SubId) = 0;                  // final
+    virtual void throttle(SubId, Micros retryAfter) = 0;  // final; 0 names no time
+    virtual void terminate(SubId) = 0;                    // final
     virtual void wakeAfter(Micros, const std::string& why) = 0;
     virtual void followList() = 0;  // where the list must be asked for; listFailed() says if that failed
     virtual void log(const std::string&) = 0;
     // For the record, just before a join: what decided it. The lowest score wins; none: nothing fits, and the
     // lowest rung goes to the roomiest of so many.
-    virtual void chose(SubId, SfuId, const double* /*score*/, int /*among*/) {}
+    virtual void recordPlacement(SubId, SfuId, const double* /*score*/, int /*among*/) {}
 };
 
 // One front's decisions. Each method is one thing that can happen; `now` never goes back.
 class Logic {
   public:
     Logic(Host&, Micros now, std::uint64_t seed, int fronts, const Ladder&, const std::vector<RoomType>&,
-          const Fleet&, const ColdTerms&, const JoinBudget* budget, const Tidings&, const Allowed&,
-          const Prices& = {});
+          const Fleet&, const ColdStartLimits&, const JoinBudget* budget, const ReportTiming&,
+          const SubscriptionLimits&, const ServingCosts& = {});
     ~Logic();
     Logic(const Logic&) = delete;
     Logic& operator=(const Logic&) = delete;
 
     // The list of media servers: the whole of it (`stale` if it is only what this front last saw), or
     // changes.
-    void listed(Micros now, std::span<const ListedSfu>, bool stale);
-    void listChanged(Micros now, std::span<const ListedSfu>);
-    void listFailed(Micros now);
+    void onServerList(Micros now, std::span<const SfuEntry>, bool stale);
+    void onServerListChange(Micros now, std::span<const SfuEntry>);
+    void onServerListFailure(Micros now);
 
-    void subscribe(Micros now, SubId, const Wish&);          // a viewer asks
-    void handedOver(Micros now, SubId, const Wish&, SfuId);  // it plays already
-    void playing(Micros now, SubId, int joinNo, SfuId, Micros took);
-    void joinEnded(Micros now, SubId, int joinNo, SfuId, JoinEnd, bool over, Micros took, const Load&);
-    void viewerLeft(Micros now, SubId);
+    void onSubscribe(Micros now, SubId, const SubscriptionRequest&);       // a viewer asks
+    void onAdopted(Micros now, SubId, const SubscriptionRequest&, SfuId);  // it plays already
+    void onPlaying(Micros now, SubId, int joinNo, SfuId, Micros took);
+    void onJoinEnded(Micros now, SubId, int joinNo, SfuId, JoinResult, bool over, Micros took,
+                     const LoadReport&);
+    void onViewerLeft(Micros now, SubId);
 
-    void shareDelivered(Micros now, SubId, SfuId, double share);
-    void rungInForce(Micros now, SubId, int rung);
-    void linkUse(Micros now, SubId, SfuId, double askedOverGiven);
-    void uplinkUse(Micros now, SubId, SfuId, double askedOverGiven);
+    void onShareDelivered(Micros now, SubId, SfuId, double share);
+    void onRungInForce(Micros now, SubId, int rung);
+    void onLinkUse(Micros now, SubId, SfuId, double askedOverGiven);
+    void onUplinkUse(Micros now, SubId, SfuId, double askedOverGiven);
 
-    void woken(Micros now, const std::string& why);
+    void onWake(Micros now, const std::string& why);
 
     // What is worth handing to the next life of this front, and what an earlier one had: told after the list,
     // of media servers whose process is still the same.
-    std::vector<Learnt> learnt(Micros now) const;
-    void recall(Micros now, std::span<const Learnt>);
+    std::vector<ServerEvidence> serverEvidence(Micros now) const;
+    void restoreServerEvidence(Micros now, std::span<const ServerEvidence>);
 
   private:
-    class Desk;
-    std::unique_ptr<Desk> desk_;
+    class Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace valekeel
--- a/src/model/ids.hpp
+++ b/src/model/ids.hpp
@@ -13,12 +13,12 @@
     auto operator<=>(const Id&) const = default;
 };
 
-using SubId = Id<struct SubTag, std::uint32_t>;        // one request for a subscription
-using SfuId = Id<struct SfuTag, std::uint32_t>;        // a media server
-using RoomTypeId = Id<struct RoomTag, std::uint32_t>;  // place in the list of room types
-using KindId = Id<struct KindTag, std::uint32_t>;      // place in the list of machine kinds
-using TitleId = Id<struct TitleTag, std::string>;      // what is watched
-using ZoneId = Id<struct ZoneTag, std::uint32_t>;      // place in the list of zones
+using SubId = Id<struct SubTag, std::uint32_t>;           // one request for a subscription
+using SfuId = Id<struct SfuTag, std::uint32_t>;           // a media server
+using RoomTypeId = Id<struct RoomTag, std::uint32_t>;     // place in the list of room types
+using MachineKindId = Id<struct KindTag, std::uint32_t>;  // place in the list of machine kinds
+using TitleId = Id<struct TitleTag, std::string>;         // what is watched
+using ZoneId = Id<struct ZoneTag, std::uint32_t>;         // place in the list of zones
 using Cell = Id<struct CellTag, std::uint32_t>;
 
 using Micros = std::int64_t;
--- a/src/model/types.hpp
+++ b/src/model/types.hpp
@@ -46,7 +46,7 @@
     double fullFrom = 0;  // a media server turns set-ups away while so much of its link is asked; 0: never
 };
 
-struct ColdTerms {  // of a media server that has just started
+struct ColdStartLimits {  // of a media server that has just started
     Micros warmUp = 0;
     double firstShare = 1;
     double fallMultiple = 1;
@@ -59,53 +59,53 @@
     Micros window = 0;
 };
 
-struct Tidings {  // how notes on playing subscriptions travel
+struct ReportTiming {  // how notes on playing subscriptions travel
     Micros late = 0;
     Micros every = 0;  // 0: no notes on link use
 };
 
-struct Allowed {
-    int joinsEach = 1;
-    bool comeBack = false;  // a viewer may be told when to come again
-    Micros comeBackAtMost = 0;
+struct SubscriptionLimits {
+    int maxJoins = 1;
+    bool retryAfter = false;  // a viewer may be told when to come again
+    Micros maxRetryAfter = 0;
 };
 
-struct Prices {            // in parts of the benefit that is asked for
+struct ServingCosts {      // in parts of the benefit that is asked for
     double crossZone = 0;  // every subscription served from another zone
 };
 
-enum class Standing { On, Fading, Off };
+enum class ServerState { On, Draining, Off };
 
-struct ListedSfu {  // one line of the list of media servers
+struct SfuEntry {  // one line of the list of media servers
     SfuId id;
-    Standing standing = Standing::On;
+    ServerState standing = ServerState::On;
     Micros launched = 0;  // 0: long ago
     Cell cell;
-    KindId kind;
+    MachineKindId kind;
     double size = 1;
     ZoneId zone{};
 };
 
-struct Wish {  // what a viewer asks for
+struct SubscriptionRequest {  // what a viewer asks for
     RoomTypeId room;
     TitleId title;
-    Micros giveUpAt = 0;
+    Micros deadline = 0;
     std::optional<double> watchSeconds;  // a guess, where there is one
     Cell firstCell;
     int holders = 1;
     int maxRung = 0;
 };
 
-struct Learnt {  // of one media server, by an earlier life of a front
+struct ServerEvidence {  // of one media server, by an earlier life of a front
     SfuId id;
     double evidence = 0;  // that it fails: above 0 for, below 0 against
     std::optional<double> linkUse{};
     Micros age = 0;  // of linkUse
 };
 
-enum class JoinEnd { Played, Error, Full, TimedOut, NoConnection, Reset, Cancelled, NeverSent };
+enum class JoinResult { Played, Error, Full, TimedOut, NoConnection, Reset, Cancelled, NeverSent };
 
-struct Load {                                  // what a media server tells of itself in an answer
+struct LoadReport {                            // what a media server tells of itself in an answer
     std::optional<double> linkUse, uplinkUse;  // asked over given
 };
 
--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -22,14 +22,14 @@
         const auto [end, wrong] = std::from_chars(text.data() + 2, text.data() + 10, id, 16);
         if (wrong == std::errc{} && end == text.data() + 10) return id;
     }
-    setup::bad(where, "'instanceId' is not 's-' and 8 hex digits");
+    setup::throwInvalid(where, "'instanceId' is not 's-' and 8 hex digits");
 }
 
-Standing standingOf(const std::string& text, const std::string& where) {
-    if (text == "active") return Standing::On;
-    if (text == "leaving") return Standing::Fading;
-    if (text == "left") return Standing::Off;
-    setup::bad(where, "lifecycle '" + text + "' is none of active, leaving, left");
+ServerState standingOf(const std::string& text, const std::string& where) {
+    if (text == "active") return ServerState::On;
+    if (text == "leaving") return ServerState::Draining;
+    if (text == "left") return ServerState::Off;
+    setup::throwInvalid(where, "lifecycle '" + text + "' is none of active, leaving, left");
 }
 
 }  // namespace
@@ -40,8 +40,8 @@
     for (const setup::Json& result : setup::array(known, "results", "known")) {
         const std::string where = "known.results[" + std::to_string(at++) + "]";
         ChangeEvent event;
-        event.number = static_cast<std::uint64_t>(setup::whole(result, "seq", where));
-        const setup::Json& fleet = setup::part(result, "fleet", where);
+        event.number = static_cast<std::uint64_t>(setup::integer(result, "seq", where));
+        const setup::Json& fleet = setup::objectAt(result, "fleet", where);
         event.whole = setup::flag(fleet, "reset", where) || out.empty();
         for (const setup::Json& one : setup::array(fleet, "instances", where)) {
             discovery::BoxLine line;
@@ -49,14 +49,14 @@
             line.sfu.standing = standingOf(setup::text(one, "lifecycle", where), where);
             if (const auto to = net::endpointOf(setup::textOr(one, "hostPort", "", where)))
                 line.at = *to;
-            else if (line.sfu.standing != Standing::Off)
-                setup::bad(where, "'hostPort' is no address and port");
+            else if (line.sfu.standing != ServerState::Off)
+                setup::throwInvalid(where, "'hostPort' is no address and port");
             if (setup::find(one, "zone"))
-                line.sfu.zone = ZoneId{setup::placeOf(names.zones, setup::text(one, "zone", where), where)};
+                line.sfu.zone = ZoneId{setup::indexOf(names.zones, setup::text(one, "zone", where), where)};
             if (setup::find(one, "machineType"))
                 line.sfu.kind =
-                    KindId{setup::placeOf(names.kinds, setup::text(one, "machineType", where), where)};
-            line.sfu.cell = Cell{setup::find(one, "cell") ? setup::id32(one, "cell", where) : 0};
+                    MachineKindId{setup::indexOf(names.kinds, setup::text(one, "machineType", where), where)};
+            line.sfu.cell = Cell{setup::find(one, "cell") ? setup::uint32(one, "cell", where) : 0};
             line.sfu.size = setup::numberOr(one, "weight", 1, where);
             line.sfu.launched = static_cast<Micros>(setup::numberOr(one, "startedAtMs", 0, where)) * 1000;
             event.boxes.push_back(line);
@@ -92,9 +92,11 @@
             line.at.ip =
                 net::IpAddress(boost::asio::ip::address_v4(static_cast<std::uint32_t>(bigEndian(r + 4, 4))));
             line.at.port = static_cast<std::uint16_t>(bigEndian(r + 8, 2));
-            line.sfu.standing = state == 0 ? Standing::On : state == 1 ? Standing::Fading : Standing::Off;
+            line.sfu.standing = state == 0   ? ServerState::On
+                                : state == 1 ? ServerState::Draining
+                                             : ServerState::Off;
             line.sfu.zone = ZoneId{static_cast<std::uint32_t>(zone)};
-            line.sfu.kind = KindId{static_cast<std::uint32_t>(kindOf)};
+            line.sfu.kind = MachineKindId{static_cast<std::uint32_t>(kindOf)};
             line.sfu.cell = Cell{static_cast<std::uint32_t>(bigEndian(r + 13, 2))};
             line.sfu.size = static_cast<double>(bigEndian(r + 15, 4)) / 1000;
             line.sfu.launched = static_cast<Micros>(bigEndian(r + 19, 8)) * 1000;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -40,55 +40,57 @@
 net::Endpoint endpoint(const Json& object, const char* key, const std::string& where) {
     const std::string told = setup::text(object, key, where);
     if (const auto at = net::endpointOf(told)) return *at;
-    setup::bad(where, std::string("'") + key + "' is '" + told + "', and should be an address and a port");
+    setup::throwInvalid(where,
+                        std::string("'") + key + "' is '" + told + "', and should be an address and a port");
 }
 
 // Where it is to connect to; nobody can be at port 0.
 net::Endpoint changeLogOf(const Json& all, const std::string& file) {
     const net::Endpoint at = endpoint(all, "changelog", file);
     if (at.port == 0)
-        setup::bad(file, "'changelog' is '" + net::text(at) + "', and should be an address and a port");
+        setup::throwInvalid(file,
+                            "'changelog' is '" + net::text(at) + "', and should be an address and a port");
     return at;
 }
 
 // A part of the configuration; where it is missing, the nearest name that is there.
 const Json& partOf(const Json& all, const char* key, const std::string& file) {
-    if (all.contains(key)) return setup::part(all, key, file);
+    if (all.contains(key)) return setup::objectAt(all, key, file);
     std::set<std::string, std::less<>> names;
     for (const auto& [name, value] : all.items()) names.insert(name);
     const std::string near = settings::nearest(key, names);
-    setup::bad(file,
-               std::string("'") + key + "' is missing" + (near.empty() ? "" : "; there is a '" + near + "'"));
+    setup::throwInvalid(
+        file, std::string("'") + key + "' is missing" + (near.empty() ? "" : "; there is a '" + near + "'"));
 }
 
 std::size_t descriptors(const Json& all, const std::string& file) {
-    const auto told = setup::whole(partOf(all, "limits", file), "sockets", file + ": limits");
+    const auto told = setup::integer(partOf(all, "limits", file), "sockets", file + ": limits");
     if (told < 64)
-        setup::bad(file + ": limits", "'sockets' is " + std::to_string(told) + ", and 64 at least");
+        setup::throwInvalid(file + ": limits", "'sockets' is " + std::to_string(told) + ", and 64 at least");
     return static_cast<std::size_t>(std::min<std::int64_t>(told, 100'000));
 }
 
 Micros longestTimeout(const Json& settings, const std::string& where) {
     Micros longest = 0;
     for (const Json& room : setup::array(settings, "request_classes", where))
-        longest = std::max(longest, setup::time(room, "deadline", where));
+        longest = std::max(longest, setup::duration(room, "deadline", where));
     return longest;
 }
 
 ServerLimits serverLimits(const Json& settings, std::size_t descriptors, const std::string& where) {
-    const Json& allowed = setup::part(settings, "allowed", where);
+    const Json& allowed = setup::objectAt(settings, "allowed", where);
     ServerLimits out;
     out.links = descriptors / 3;
     out.joinsOnLink = static_cast<std::size_t>(
         std::clamp<double>(setup::numberOr(allowed, "max_streams", 32, where), 1, 1024));
-    if (const Micros told = setup::timeOr(allowed, "connect_timeout", where); told > 0)
+    if (const Micros told = setup::durationOrZero(allowed, "connect_timeout", where); told > 0)
         out.connectWithin = told;
-    if (const Micros told = setup::timeOr(allowed, "conn_idle", where); told > 0) {
+    if (const Micros told = setup::durationOrZero(allowed, "conn_idle", where); told > 0) {
         out.idle = told / 2;
         out.sureFor = told / 4;
     }
     // Where notes come by themselves, a silence of several of them is a sign.
-    if (const Micros every = setup::tidingsOf(settings, where).every; every > 0)
+    if (const Micros every = setup::parseReportTiming(settings, where).every; every > 0)
         out.silent = std::clamp<Micros>(3 * every / 2, 1'500'000, 4'000'000);
     return out;
 }
@@ -102,10 +104,11 @@
 
 Asked askedOf(const Json& settings, const std::string& where) {
     Asked out;
-    const Ladder ladder = setup::ladderOf(settings, where);
-    for (const RoomType& room : setup::roomTypesOf(settings, ladder, where)) out.rooms.push_back(room.name);
+    const Ladder ladder = setup::parseLadder(settings, where);
+    for (const RoomType& room : setup::parseRoomTypes(settings, ladder, where))
+        out.rooms.push_back(room.name);
     out.rungs = static_cast<int>(ladder.kb.size());
-    out.cells = setup::fleetOf(settings, setup::namesOf(settings, where), where).cells;
+    out.cells = setup::parseFleet(settings, setup::parseNames(settings, where), where).cells;
     return out;
 }
 
@@ -114,14 +117,15 @@
 Json readConfiguration(const std::string& file, const std::string& text) {
     try {
         Json all = Json::parse(text);
-        if (!all.is_object()) setup::bad(file, "an object is expected");
+        if (!all.is_object()) setup::throwInvalid(file, "an object is expected");
         return all;
     } catch (const Json::parse_error& e) {
         const std::size_t at = std::min(e.byte > 0 ? e.byte - 1 : 0, text.size());
         const auto line = std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(at), '\n') + 1;
         const auto before = at == 0 ? std::string::npos : text.rfind('\n', at - 1);
         const std::size_t column = at - (before == std::string::npos ? 0 : before + 1) + 1;
-        setup::bad(file + ":" + std::to_string(line) + ":" + std::to_string(column), "no valid JSON here");
+        setup::throwInvalid(file + ":" + std::to_string(line) + ":" + std::to_string(column),
+                            "no valid JSON here");
     }
 }
 
@@ -130,7 +134,7 @@
     std::uint64_t seed = 0;
     const auto [end, wrong] = std::from_chars(told.data(), told.data() + told.size(), seed, 16);
     if (wrong != std::errc{} || end != told.data() + told.size())
-        setup::bad("configuration", "'seed' is no hex number");
+        setup::throwInvalid("configuration", "'seed' is no hex number");
     return seed;
 }
 
@@ -141,7 +145,7 @@
           log(log),
           settings(partOf(all, "settings", file)),
           where(file + ": settings"),
-          names(setup::namesOf(settings, where)),
+          names(setup::parseNames(settings, where)),
           listNames(names.kinds, names.zones),
           killed(std::min(kMostCounted, longestTimeout(settings, where)) + kStopComing),
           changelogAt(changeLogOf(all, file)),
@@ -149,10 +153,10 @@
           viewers(net, endpoint(all, "listen", file), viewerLimits(settings, descriptors(all, file), where),
                   askedOf(settings, where)),
           servers(net, serverLimits(settings, descriptors(all, file), where), viewers),
-          core(net, setup::roomTypesOf(settings, setup::ladderOf(settings, where), where),
+          core(net, setup::parseRoomTypes(settings, setup::parseLadder(settings, where), where),
                core::CoreLimits{20'000, kAnswerMargin, 0}, kSecond, servers, *this,
                [&](Host& host, Micros now) {
-                   return setup::made<core::ModuleDecides>(host, now, seedOf(all), settings, where);
+                   return setup::makeDecider<core::ModuleDecides>(host, now, seedOf(all), settings, where);
                }),
           log_(net, changelogAt, known.empty() ? 0 : known.back().number,
                FrameReader(names.kinds.size(), names.zones.size(), 4096), ChangeLogTimes{}, *this),
@@ -177,11 +181,11 @@
         return unix <= 0 ? 0 : std::max<Micros>(1, net.now() - (net.wallNow() - unix));
     }
     void take(const ChangeEvent& event, bool stale) {
-        std::vector<ListedSfu> entries;
+        std::vector<SfuEntry> entries;
         std::vector<std::pair<SfuId, Micros>> anew;
         std::set<SfuId> named;
         for (const discovery::BoxLine& line : event.boxes) {
-            ListedSfu entry = line.sfu;
+            SfuEntry entry = line.sfu;
             const Micros started = line.sfu.launched;
             const auto it = listed.find(entry.id);
             const bool held = it != listed.end();
@@ -191,9 +195,9 @@
                 held && started == it->second.started ? it->second.entry.launched : onOurClock(started);
             entries.push_back(entry);
             named.insert(entry.id);
-            if (entry.standing != Standing::Off && !servers.knows(entry.id)) servers.at(entry.id, line.at);
+            if (entry.standing != ServerState::Off && !servers.knows(entry.id)) servers.at(entry.id, line.at);
             if (held && started > it->second.started) anew.emplace_back(entry.id, entry.launched);
-            if (entry.standing == Standing::Off)
+            if (entry.standing == ServerState::Off)
                 listed.erase(entry.id);
             else
                 listed[entry.id] = {entry, started};
@@ -203,18 +207,18 @@
             for (const auto& [id, one] : listed)
                 if (!named.count(id)) off.push_back(id);
             for (const SfuId id : off) listed.erase(id);
-            core.listed(entries, stale);
+            core.onServerList(entries, stale);
         } else {
-            core.listChanged(entries);
+            core.onServerListChange(entries);
         }
         // Only now: what the servers' side takes back is placed again at once, by what the module has just
         // heard.
         for (const discovery::BoxLine& line : event.boxes)
-            if (line.sfu.standing != Standing::Off) servers.at(line.sfu.id, line.at);
+            if (line.sfu.standing != ServerState::Off) servers.at(line.sfu.id, line.at);
         for (const auto& [id, launched] : anew) servers.startedAnew(id, launched);
-        for (const ListedSfu& entry : entries) {
-            if (entry.standing == Standing::Off) off.push_back(entry.id);
-            if (entry.standing == Standing::Fading) servers.drains(entry.id);
+        for (const SfuEntry& entry : entries) {
+            if (entry.standing == ServerState::Off) off.push_back(entry.id);
+            if (entry.standing == ServerState::Draining) servers.drains(entry.id);
         }
         for (const SfuId id : off) servers.off(id);
     }
@@ -229,14 +233,14 @@
     void current() override {
         if (isCurrent) return;
         isCurrent = true;
-        std::vector<ListedSfu> all;
+        std::vector<SfuEntry> all;
         for (const auto& [id, one] : listed) all.push_back(one.entry);
-        core.listed(all, false);
+        core.onServerList(all, false);
         say(logging::Level::Info, "list current", {{"boxes", all.size()}});
     }
     void unreachable(const std::string& why) override {
         say(logging::Level::Warning, "change log lost", {{"why", why}, {"last", log_.last()}});
-        core.listFailed();
+        core.onServerListFailure();
     }
 
     // ---- core::Watcher ----
@@ -255,9 +259,9 @@
             say(logging::Level::Debug, "join",
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"rung", rung}, {"time_out", timeOut}});
     }
-    void joinEnded(SubId id, int no, SfuId at, const core::JoinOutcome& how) override {
+    void onJoinEnded(SubId id, int no, SfuId at, const core::JoinOutcome& how) override {
         ++ends[static_cast<std::size_t>(how.end)];
-        if (how.end != JoinEnd::Played && log.wants(logging::Level::Debug))
+        if (how.end != JoinResult::Played && log.wants(logging::Level::Debug))
             say(logging::Level::Debug, "join ended",
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"why", how.why}, {"took", how.took}});
     }
@@ -351,14 +355,14 @@
     net::Endpoint changelogAt;
     std::vector<ChangeEvent> known;
     struct Listed {
-        ListedSfu entry;     // its start on our clock
+        SfuEntry entry;      // its start on our clock
         Micros started = 0;  // ... and as told, since 1970
     };
     std::map<SfuId, Listed> listed;
     bool isCurrent = false;
     std::uint64_t chosen = 0, fits = 0;
     double holders = 0;
-    std::array<std::uint64_t, 8> ends{};  // of joins, by JoinEnd
+    std::array<std::uint64_t, 8> ends{};  // of joins, by JoinResult
     Viewers viewers;
     Servers servers;
     core::Core core;
@@ -393,7 +397,7 @@
         const net::Endpoint to = changeLogOf(all, parts_->file);
         parts_->say(logging::Level::Info, "configuration replaced", {{"changelog", net::text(to)}});
         parts_->log_.moveTo(to);
-    } catch (const setup::Bad& wrong) {
+    } catch (const setup::InvalidValue& wrong) {
         parts_->say(logging::Level::Error, "configuration passed over", {{"why", wrong.what()}});
     }
 }
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -7,24 +7,24 @@
 
 // What a release before the answer proves. One table: whether a paid set-up may be sent again rests on it.
 struct Meaning {
-    JoinEnd end;
+    JoinResult end;
     bool neverRan;
     const char* why;
 };
 Meaning meaningOf(int cause) {
     switch (cause) {
         case 34:
-            return {JoinEnd::Full, true, "full: the protocol vouches that it never ran"};
+            return {JoinResult::Full, true, "full: the protocol vouches that it never ran"};
         case 47:
-            return {JoinEnd::Error, false, "error: it was looked at"};
+            return {JoinResult::Error, false, "error: it was looked at"};
         case 102:
-            return {JoinEnd::NeverSent, true, "moot: it never left"};
+            return {JoinResult::NeverSent, true, "moot: it never left"};
         default:
-            return {JoinEnd::Reset, false, "reset: it broke on its way and may have run"};
+            return {JoinResult::Reset, false, "reset: it broke on its way and may have run"};
     }
 }
-JoinEnd endOfStanding(int cause) {
-    return cause == 16 ? JoinEnd::Played : cause == 31 ? JoinEnd::Cancelled : JoinEnd::Reset;
+JoinResult endOfStanding(int cause) {
+    return cause == 16 ? JoinResult::Played : cause == 31 ? JoinResult::Cancelled : JoinResult::Reset;
 }
 
 std::string endOf(const std::string& tag) {
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-Load loadOf(const Message& message) {
-    Load load;
+LoadReport loadOf(const Message& message) {
+    LoadReport load;
     const std::string* told = message.text("load");
     if (!told) return load;
     std::string_view rest = *told;
@@ -309,9 +309,9 @@
         outcome.why = nameOf(how);
         // What the kernel here never took can't have been read there.
         outcome.neverRan = !held->second.sent || taken <= held->second.from;
-        outcome.end = how == Gone::NoSocket ? JoinEnd::NeverSent
-                      : outcome.neverRan    ? JoinEnd::NoConnection
-                                            : JoinEnd::Reset;
+        outcome.end = how == Gone::NoSocket ? JoinResult::NeverSent
+                      : outcome.neverRan    ? JoinResult::NoConnection
+                                            : JoinResult::Reset;
         ended(id, outcome);
     }
 }
@@ -333,7 +333,7 @@
     Server* server = find(at);
     Link* link = words && server ? linkFor(*server, paid, true) : nullptr;
     if (!link || timeOut <= 0)
-        return endLater(id, joinNo, {JoinEnd::NeverSent, true, 0, {}, "no way to send it"});
+        return endLater(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "no way to send it"});
     Held& held = held_[id];
     held.at = at;
     held.tag = words->tag;
@@ -349,10 +349,10 @@
         if (it == held_.end() || it->second.stands) return;
         const Held& late = it->second;
         if (!late.sent && late.link->isConnecting())
-            return takeBack(id, JoinEnd::NoConnection, "no connection in time");
+            return takeBack(id, JoinResult::NoConnection, "no connection in time");
         // Nothing at all since it was asked for: the connection may be a dead one.
         if (late.link->wire.heardAt() <= late.askedAt) late.link->doubted = true;
-        giveUp(id, JoinEnd::TimedOut, "timed out");
+        giveUp(id, JoinResult::TimedOut, "timed out");
     });
     // Without a connection it waits for one no longer than the settings give that.
     held.late->after(link->isConnecting() ? std::min(timeOut, limits_.connectWithin) : timeOut);
@@ -397,7 +397,7 @@
 }
 
 // Of what waits on its link: it never left.
-void Servers::takeBack(SubId id, JoinEnd end, const char* why) {
+void Servers::takeBack(SubId id, JoinResult end, const char* why) {
     const Held& held = held_.at(id);
     std::erase(held.link->waiting, id);
     ++counts_.withdrawn;
@@ -410,27 +410,27 @@
     for (const SubId id : all) {
         const auto it = held_.find(id);  // the end of one may have set off another's
         if (it != held_.end() && !it->second.stands && !it->second.sent && it->second.at == server.id)
-            takeBack(id, JoinEnd::NoConnection, why);
+            takeBack(id, JoinResult::NoConnection, why);
     }
 }
 
 void Servers::withdraw(SubId id, int joinNo) {
     const auto it = held_.find(id);
     if (it != held_.end() && !it->second.stands && !it->second.sent && it->second.joinNo == joinNo)
-        takeBack(id, JoinEnd::Cancelled, "its viewer has gone");
+        takeBack(id, JoinResult::Cancelled, "its viewer has gone");
 }
 
 void Servers::cancel(SubId id, int joinNo) {
     const auto it = held_.find(id);
     if (it != held_.end() && !it->second.stands && it->second.joinNo == joinNo)
-        giveUp(id, JoinEnd::Cancelled, "called off");
+        giveUp(id, JoinResult::Cancelled, "called off");
 }
 
 // What has left may run, and its end follows it on the same connection. What has not is taken back: where it
 // is too late for that the connection has not come up in time, or its peer does not read.
-void Servers::giveUp(SubId id, JoinEnd end, const char* why) {
+void Servers::giveUp(SubId id, JoinResult end, const char* why) {
     const Held& held = held_.at(id);
-    if (!held.sent) return takeBack(id, end == JoinEnd::TimedOut ? JoinEnd::NoConnection : end, why);
+    if (!held.sent) return takeBack(id, end == JoinResult::TimedOut ? JoinResult::NoConnection : end, why);
     Link& link = *held.link;
     if (!link.server) return;  // its connection has just gone, and that ends it
     link.wire.say(endOf(held.tag));
@@ -577,7 +577,7 @@
     }
     if (message.verb == "STARTED") {
         if (!message.description) {  // spoilt: it has run, and nobody can be told what it came to
-            ended(id, {JoinEnd::Reset, false, took, {}, "answer without a description"});
+            ended(id, {JoinResult::Reset, false, took, {}, "answer without a description"});
             return;
         }
         const int joinNo = held.joinNo;
@@ -589,14 +589,14 @@
         server.standing.insert(id);
         const std::vector<Message> early = std::exchange(held.early, {});
         user_.answered(id, *message.description);
-        core_->joined(id, joinNo, {JoinEnd::Played, false, took, {}, "played"});
+        core_->joined(id, joinNo, {JoinResult::Played, false, took, {}, "played"});
         for (const Message& note : early) {
             const auto standing = held_.find(id);
             if (standing != held_.end()) standingHeard(id, standing->second, note);
         }
     } else if (message.verb == "FINISH") {
         const Meaning meaning = meaningOf(message.cause.value_or(0));
-        if (meaning.end == JoinEnd::Error)
+        if (meaning.end == JoinResult::Error)
             if (const SetupWords* words = user_.wordsOf(id))
                 odd_("a media server could not use a set-up",
                      words->tag + " " + words->room + " " + words->title + " " + words->description);
@@ -637,7 +637,7 @@
     for (const SubId id : standing) {
         const auto it = held_.find(id);
         if (it == held_.end() || it->second.since >= before) continue;
-        user_.over(id, JoinEnd::Reset, kCut, Load{});
+        user_.over(id, JoinResult::Reset, kCut, LoadReport{});
         forget(id);
     }
 }
--- a/src/node/servers.hpp
+++ b/src/node/servers.hpp
@@ -48,7 +48,7 @@
     virtual ~ServersUser() = default;
     virtual const SetupWords* wordsOf(SubId) = 0;
     virtual void answered(SubId, const std::string& description) = 0;  // just before the core hears of it
-    virtual void over(SubId, JoinEnd, int cause, const Load&) = 0;     // it played
+    virtual void over(SubId, JoinResult, int cause, const LoadReport&) = 0;  // it played
 };
 
 struct ServerCounts {
@@ -102,7 +102,7 @@
     Link* open(Server&);
     void say(Server&, const std::string& line);
     void sendWaiting(Link&);
-    void takeBack(SubId, JoinEnd, const char* why);
+    void takeBack(SubId, JoinResult, const char* why);
     void takeBackAll(Server&, const char* why);
     void owe(Server&, const std::string& tag, Link* saidOn);
     void pay(Server&);
@@ -110,7 +110,7 @@
     void heard(Link&, const Message&);
     void standingHeard(SubId, Held&, const Message&);
     void linkGone(Link&, Gone);
-    void giveUp(SubId, JoinEnd, const char* why);
+    void giveUp(SubId, JoinResult, const char* why);
     void ended(SubId, core::JoinOutcome);
     void closeLink(Link&);
     void closeLinks(Server&, std::optional<Micros> before);
@@ -142,6 +142,6 @@
 };
 
 // "x0:12;x1:0.4": what of it the module reads.
-Load loadOf(const Message&);
+LoadReport loadOf(const Message&);
 
 }  // namespace valekeel::node
--- a/src/node/viewers.cpp
+++ b/src/node/viewers.cpp
@@ -53,7 +53,7 @@
 
 // What a set-up asks for; nothing, and why, where that can't be used.
 struct Request {
-    Wish wish;
+    SubscriptionRequest wish;
     Micros left = 0;
     std::optional<SfuId> playsAt;
 };
@@ -453,12 +453,12 @@
     tell(id, answer, false);
 }
 
-void Viewers::throttled(SubId id, Micros comeBack) {
+void Viewers::throttled(SubId id, Micros retryAfter) {
     ++counts_.throttled;
     const auto it = asking_.find(id);
     if (it == asking_.end()) return;
     Message refusal = finish(it->second.words.tag, kBusy);
-    if (comeBack > 0) refusal.opts["wait"] = std::to_string((comeBack + 999) / 1000);
+    if (retryAfter > 0) refusal.opts["wait"] = std::to_string((retryAfter + 999) / 1000);
     tell(id, refusal, false);
 }
 
@@ -518,7 +518,7 @@
     const auto it = asking_.find(id);
     if (it != asking_.end()) it->second.answer = description;
 }
-void Viewers::over(SubId id, JoinEnd end, int, const Load& load) {
+void Viewers::over(SubId id, JoinResult end, int, const LoadReport& load) {
     const auto it = asking_.find(id);
     if (it != asking_.end() && it->second.leaving)
         core_->left(id);  // its viewer has left, and is owed no release
--- a/src/node/viewers.hpp
+++ b/src/node/viewers.hpp
@@ -83,7 +83,7 @@
     struct Asking;
     // ---- core::Face ----
     void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros comeBack) override;
+    void throttled(SubId, Micros retryAfter) override;
     void terminated(SubId, core::Ended) override;
     void rungSet(SubId, int rung) override;
     void broke(SubId) override;
@@ -91,7 +91,7 @@
     // ---- ServersUser ----
     const SetupWords* wordsOf(SubId) override;
     void answered(SubId, const std::string& description) override;
-    void over(SubId, JoinEnd, int cause, const Load&) override;
+    void over(SubId, JoinResult, int cause, const LoadReport&) override;
 
     void accepted(std::unique_ptr<net::Stream>) override;
     void heard(Conn&, std::string_view line);
--- a/src/settings/site_settings.cpp
+++ b/src/settings/site_settings.cpp
@@ -97,8 +97,8 @@
     return out;
 }
 
-ColdTerms readColdTerms(Cursor& top) {
-    ColdTerms out;
+ColdStartLimits readColdTerms(Cursor& top) {
+    ColdStartLimits out;
     auto node = top.one("cold");
     if (!node) return out;
     out.warmUp = node->time("warm-up", 0, kLong);
@@ -120,8 +120,8 @@
     return out;
 }
 
-Tidings readTidings(Cursor& top) {
-    Tidings out;
+ReportTiming readTidings(Cursor& top) {
+    ReportTiming out;
     Cursor node = top.here("tidings");
     out.late = 100'000;
     out.every = kSecond;
@@ -133,23 +133,23 @@
     return out;
 }
 
-Prices readPrices(Cursor& top) {
-    Prices out;
+ServingCosts readPrices(Cursor& top) {
+    ServingCosts out;
     Cursor node = top.here("prices");
     out.crossZone = node.number("cross-zone", 0, 1, 0);
     node.finish();
     return out;
 }
 
-Allowed readAllowed(Cursor& top) {
-    Allowed out;
-    out.joinsEach = 3;
-    out.comeBack = true;
-    out.comeBackAtMost = 2 * kSecond;
+SubscriptionLimits readAllowed(Cursor& top) {
+    SubscriptionLimits out;
+    out.maxJoins = 3;
+    out.retryAfter = true;
+    out.maxRetryAfter = 2 * kSecond;
     Cursor node = top.here("allowed");
-    out.joinsEach = static_cast<int>(node.whole("joins", 1, 100, out.joinsEach));
-    out.comeBackAtMost = node.time("come-back-at-most", 0, kLong, out.comeBackAtMost);
-    out.comeBack = out.comeBackAtMost > 0;
+    out.maxJoins = static_cast<int>(node.whole("joins", 1, 100, out.maxJoins));
+    out.maxRetryAfter = node.time("come-back-at-most", 0, kLong, out.maxRetryAfter);
+    out.retryAfter = out.maxRetryAfter > 0;
     node.finish();
     return out;
 }
--- a/src/settings/site_settings.hpp
+++ b/src/settings/site_settings.hpp
@@ -26,11 +26,11 @@
 };
 Machines readMachines(Cursor& top);
 
-ColdTerms readColdTerms(Cursor& top);
+ColdStartLimits readColdTerms(Cursor& top);
 std::optional<JoinBudget> readJoinBudget(Cursor& top);
-Prices readPrices(Cursor& top);
-Tidings readTidings(Cursor& top);
-Allowed readAllowed(Cursor& top);
+ServingCosts readPrices(Cursor& top);
+ReportTiming readTidings(Cursor& top);
+SubscriptionLimits readAllowed(Cursor& top);
 
 struct Talk {  // where its holders begin, and how many there are
     Cell firstCell;
--- a/src/setup/setup.hpp
+++ b/src/setup/setup.hpp
@@ -17,27 +17,28 @@
 struct Names {
     std::vector<std::string> kinds, zones;
 };
-Names namesOf(const Json& setup, const std::string& where);
-Ladder ladderOf(const Json& setup, const std::string& where);
-std::vector<RoomType> roomTypesOf(const Json& setup, const Ladder&, const std::string& where);
-Fleet fleetOf(const Json& setup, const Names&, const std::string& where);
-ColdTerms coldOf(const Json& setup, const std::string& where);
-std::optional<JoinBudget> budgetOf(const Json& setup, const std::string& where);
-Tidings tidingsOf(const Json& setup, const std::string& where);
-Allowed allowedOf(const Json& setup, const std::string& where);
-Prices pricesOf(const Json& setup, const std::string& where);
+Names parseNames(const Json& setup, const std::string& where);
+Ladder parseLadder(const Json& setup, const std::string& where);
+std::vector<RoomType> parseRoomTypes(const Json& setup, const Ladder&, const std::string& where);
+Fleet parseFleet(const Json& setup, const Names&, const std::string& where);
+ColdStartLimits parseColdStartLimits(const Json& setup, const std::string& where);
+std::optional<JoinBudget> parseJoinBudget(const Json& setup, const std::string& where);
+ReportTiming parseReportTiming(const Json& setup, const std::string& where);
+SubscriptionLimits parseSubscriptionLimits(const Json& setup, const std::string& where);
+ServingCosts parseServingCosts(const Json& setup, const std::string& where);
 
 // Whoever decides, made from all of these: the module, or the module behind another interface.
 template <class Decider>
-std::unique_ptr<Decider> made(Host& host, Micros now, std::uint64_t seed, const Json& setup,
-                              const std::string& where) {
-    const Names names = namesOf(setup, where);
-    const Ladder ladder = ladderOf(setup, where);
-    const std::optional<JoinBudget> budget = budgetOf(setup, where);
-    return std::make_unique<Decider>(
-        host, now, seed, smallInt(setup, "balancers", where), ladder, roomTypesOf(setup, ladder, where),
-        fleetOf(setup, names, where), coldOf(setup, where), budget ? &*budget : nullptr,
-        tidingsOf(setup, where), allowedOf(setup, where), pricesOf(setup, where));
+std::unique_ptr<Decider> makeDecider(Host& host, Micros now, std::uint64_t seed, const Json& setup,
+                                     const std::string& where) {
+    const Names names = parseNames(setup, where);
+    const Ladder ladder = parseLadder(setup, where);
+    const std::optional<JoinBudget> budget = parseJoinBudget(setup, where);
+    return std::make_unique<Decider>(host, now, seed, intValue(setup, "balancers", where), ladder,
+                                     parseRoomTypes(setup, ladder, where), parseFleet(setup, names, where),
+                                     parseColdStartLimits(setup, where), budget ? &*budget : nullptr,
+                                     parseReportTiming(setup, where), parseSubscriptionLimits(setup, where),
+                                     parseServingCosts(setup, where));
 }
 
 }  // namespace valekeel::setup
--- a/src/setup/values.cpp
+++ b/src/setup/values.cpp
@@ -5,8 +5,8 @@
 
 namespace valekeel::setup {
 
-void bad(const std::string& where, const std::string& what) {
-    throw Bad(where + ": " + what);
+void throwInvalid(const std::string& where, const std::string& what) {
+    throw InvalidValue(where + ": " + what);
 }
 
 const Json* find(const Json& object, const char* key) {
@@ -14,16 +14,16 @@
     return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-const Json& need(const Json& object, const char* key, const std::string& where) {
-    if (!object.is_object()) bad(where, "an object is expected");
+const Json& require(const Json& object, const char* key, const std::string& where) {
+    if (!object.is_object()) throwInvalid(where, "an object is expected");
     const Json* value = find(object, key);
-    if (!value) bad(where, std::string("'") + key + "' is missing");
+    if (!value) throwInvalid(where, std::string("'") + key + "' is missing");
     return *value;
 }
 
 double number(const Json& object, const char* key, const std::string& where) {
-    const Json& value = need(object, key, where);
-    if (!value.is_number()) bad(where, std::string("'") + key + "' is no number");
+    const Json& value = require(object, key, where);
+    if (!value.is_number()) throwInvalid(where, std::string("'") + key + "' is no number");
     return value.get<double>();
 }
 
@@ -31,29 +31,29 @@
     return find(object, key) ? number(object, key, where) : otherwise;
 }
 
-std::int64_t whole(const Json& object, const char* key, const std::string& where) {
-    const Json& value = need(object, key, where);
-    if (!value.is_number_integer()) bad(where, std::string("'") + key + "' is no whole number");
+std::int64_t integer(const Json& object, const char* key, const std::string& where) {
+    const Json& value = require(object, key, where);
+    if (!value.is_number_integer()) throwInvalid(where, std::string("'") + key + "' is no whole number");
     return value.get<std::int64_t>();
 }
 
-std::uint32_t id32(const Json& object, const char* key, const std::string& where) {
-    std::int64_t value = whole(object, key, where);
+std::uint32_t uint32(const Json& object, const char* key, const std::string& where) {
+    std::int64_t value = integer(object, key, where);
     if (value < 0 || value > std::numeric_limits<std::uint32_t>::max())
-        bad(where, std::string("'") + key + "' is out of range");
+        throwInvalid(where, std::string("'") + key + "' is out of range");
     return static_cast<std::uint32_t>(value);
 }
 
-int smallInt(const Json& object, const char* key, const std::string& where) {
-    std::int64_t value = whole(object, key, where);
+int intValue(const Json& object, const char* key, const std::string& where) {
+    std::int64_t value = integer(object, key, where);
     if (value < std::numeric_limits<int>::min() || value > std::numeric_limits<int>::max())
-        bad(where, std::string("'") + key + "' is out of range");
+        throwInvalid(where, std::string("'") + key + "' is out of range");
     return static_cast<int>(value);
 }
 
 std::string text(const Json& object, const char* key, const std::string& where) {
-    const Json& value = need(object, key, where);
-    if (!value.is_string()) bad(where, std::string("'") + key + "' is no text");
+    const Json& value = require(object, key, where);
+    if (!value.is_string()) throwInvalid(where, std::string("'") + key + "' is no text");
     return value.get<std::string>();
 }
 
@@ -65,39 +65,39 @@
 bool flag(const Json& object, const char* key, const std::string& where) {
     const Json* value = find(object, key);
     if (!value) return false;
-    if (!value->is_boolean()) bad(where, std::string("'") + key + "' is neither true nor false");
+    if (!value->is_boolean()) throwInvalid(where, std::string("'") + key + "' is neither true nor false");
     return value->get<bool>();
 }
 
-Micros micros(double secs, const std::string& where) {
-    if (!std::isfinite(secs) || std::fabs(secs) > 1e12) bad(where, "a time is out of range");
+Micros toMicros(double secs, const std::string& where) {
+    if (!std::isfinite(secs) || std::fabs(secs) > 1e12) throwInvalid(where, "a time is out of range");
     return std::llround(secs * 1e6);
 }
 
-Micros time(const Json& object, const char* key, const std::string& where) {
-    return micros(number(object, key, where), where);
+Micros duration(const Json& object, const char* key, const std::string& where) {
+    return toMicros(number(object, key, where), where);
 }
 
-Micros timeOr(const Json& object, const char* key, const std::string& where) {
-    return find(object, key) ? time(object, key, where) : 0;
+Micros durationOrZero(const Json& object, const char* key, const std::string& where) {
+    return find(object, key) ? duration(object, key, where) : 0;
 }
 
-const Json& part(const Json& object, const char* key, const std::string& where) {
-    const Json& value = need(object, key, where);
-    if (!value.is_object()) bad(where, std::string("'") + key + "' is no object");
+const Json& objectAt(const Json& object, const char* key, const std::string& where) {
+    const Json& value = require(object, key, where);
+    if (!value.is_object()) throwInvalid(where, std::string("'") + key + "' is no object");
     return value;
 }
 
 const Json& array(const Json& object, const char* key, const std::string& where) {
-    const Json& value = need(object, key, where);
-    if (!value.is_array()) bad(where, std::string("'") + key + "' is no array");
+    const Json& value = require(object, key, where);
+    if (!value.is_array()) throwInvalid(where, std::string("'") + key + "' is no array");
     return value;
 }
 
 std::vector<double> numbers(const Json& object, const char* key, const std::string& where) {
     std::vector<double> out;
     for (const Json& value : array(object, key, where)) {
-        if (!value.is_number()) bad(where, std::string("'") + key + "' holds what is no number");
+        if (!value.is_number()) throwInvalid(where, std::string("'") + key + "' holds what is no number");
         out.push_back(value.get<double>());
     }
     return out;
@@ -108,23 +108,23 @@
     if (!find(object, key)) return out;
     for (const Json& value : array(object, key, where)) {
         if (!value.is_boolean())
-            bad(where, std::string("'") + key + "' holds what is neither true nor false");
+            throwInvalid(where, std::string("'") + key + "' holds what is neither true nor false");
         out.push_back(value.get<bool>());
     }
     return out;
 }
 
-std::uint32_t placeOf(const std::vector<std::string>& names, const std::string& name,
+std::uint32_t indexOf(const std::vector<std::string>& names, const std::string& name,
                       const std::string& where) {
     for (std::size_t i = 0; i < names.size(); ++i)
         if (names[i] == name) return static_cast<std::uint32_t>(i);
-    bad(where, "'" + name + "' is not among the names in the settings");
+    throwInvalid(where, "'" + name + "' is not among the names in the settings");
 }
 
 std::vector<std::string> texts(const Json& object, const char* key, const std::string& where) {
     std::vector<std::string> out;
     for (const Json& value : array(object, key, where)) {
-        if (!value.is_string()) bad(where, std::string("'") + key + "' holds what is no text");
+        if (!value.is_string()) throwInvalid(where, std::string("'") + key + "' holds what is no text");
         out.push_back(value.get<std::string>());
     }
     return out;
--- a/src/simulation/baselines.cpp
+++ b/src/simulation/baselines.cpp
@@ -11,7 +11,7 @@
 class Baseline final : public core::Decides {
   public:
     Baseline(Host& host, std::uint64_t seed, bool byLoad, const std::vector<RoomType>& rooms,
-             const Fleet& fleet, const Ladder& ladder, const Allowed& allowed)
+             const Fleet& fleet, const Ladder& ladder, const SubscriptionLimits& allowed)
         : host_(host),
           chance_(static_cast<std::knuth_b::result_type>(seed)),
           byLoad_(byLoad),
@@ -21,26 +21,26 @@
           allowed_(allowed) {
         host_.followList();
     }
-    void listed(Micros now, std::span<const ListedSfu> all, bool) override {
+    void onServerList(Micros now, std::span<const SfuEntry> all, bool) override {
         on_.clear();
-        listChanged(now, all);
+        onServerListChange(now, all);
     }
-    void listChanged(Micros, std::span<const ListedSfu> some) override {
-        for (const ListedSfu& s : some) {
-            if (s.standing == Standing::On)
+    void onServerListChange(Micros, std::span<const SfuEntry> some) override {
+        for (const SfuEntry& s : some) {
+            if (s.standing == ServerState::On)
                 on_[s.id] = s.cell;
             else
                 on_.erase(s.id);
         }
     }
-    void listFailed(Micros) override { host_.wakeAfter(500'000, "list"); }
-    void subscribe(Micros now, SubId id, const Wish& wish) override {
+    void onServerListFailure(Micros) override { host_.wakeAfter(500'000, "list"); }
+    void onSubscribe(Micros now, SubId id, const SubscriptionRequest& wish) override {
         subs_[id] = Sub{wish, 0, false, {}};
         place(now, id);
     }
-    void playing(Micros, SubId id, int, SfuId, Micros) override { subs_[id].plays = true; }
-    void joinEnded(Micros now, SubId id, int, SfuId at, JoinEnd end, bool over, Micros,
-                   const Load& load) override {
+    void onPlaying(Micros, SubId id, int, SfuId, Micros) override { subs_[id].plays = true; }
+    void onJoinEnded(Micros now, SubId id, int, SfuId at, JoinResult end, bool over, Micros,
+                     const LoadReport& load) override {
         if (load.linkUse) use_[at] = *load.linkUse;
         const auto it = subs_.find(id);
         if (it == subs_.end()) return;
@@ -50,7 +50,7 @@
             return;
         }
         const bool neverRan =
-            end == JoinEnd::Full || end == JoinEnd::NoConnection || end == JoinEnd::NeverSent;
+            end == JoinResult::Full || end == JoinResult::NoConnection || end == JoinResult::NeverSent;
         if (!neverRan) it->second.mayHaveRun = true;
         if (it->second.mayHaveRun && rooms_[it->second.wish.room.v].paid) {
             subs_.erase(it);
@@ -59,19 +59,19 @@
         }
         place(now, id);
     }
-    void viewerLeft(Micros, SubId id) override {
+    void onViewerLeft(Micros, SubId id) override {
         const auto it = subs_.find(id);
         if (it != subs_.end() && !it->second.out) subs_.erase(it);
     }
-    void shareDelivered(Micros, SubId, SfuId, double) override {}
-    void rungInForce(Micros, SubId, int) override {}
-    void linkUse(Micros, SubId, SfuId at, double use) override { use_[at] = use; }
-    void uplinkUse(Micros, SubId, SfuId, double) override {}
-    void woken(Micros, const std::string&) override { host_.followList(); }
+    void onShareDelivered(Micros, SubId, SfuId, double) override {}
+    void onRungInForce(Micros, SubId, int) override {}
+    void onLinkUse(Micros, SubId, SfuId at, double use) override { use_[at] = use; }
+    void onUplinkUse(Micros, SubId, SfuId, double) override {}
+    void onWake(Micros, const std::string&) override { host_.followList(); }
 
   private:
     struct Sub {
-        Wish wish;
+        SubscriptionRequest wish;
         int joins = 0;
         bool out = false;
         SfuId at;
@@ -91,11 +91,11 @@
                 static_cast<std::uint32_t>(sub.wish.holders))
                 may.push_back(sfu);
         const bool seat = room.seats <= 0 || seats_[{sub.wish.room.v, sub.wish.title.v}] < room.seats;
-        if (may.empty() || !seat || sub.joins >= allowed_.joinsEach || now >= sub.wish.giveUpAt) {
-            const bool mayThrottle = !(room.paid && sub.mayHaveRun) && now < sub.wish.giveUpAt;
+        if (may.empty() || !seat || sub.joins >= allowed_.maxJoins || now >= sub.wish.deadline) {
+            const bool mayThrottle = !(room.paid && sub.mayHaveRun) && now < sub.wish.deadline;
             subs_.erase(id);
             if (mayThrottle)
-                host_.throttle(id, allowed_.comeBackAtMost);
+                host_.throttle(id, allowed_.maxRetryAfter);
             else
                 host_.terminate(id);
             return;
@@ -110,7 +110,7 @@
         hold(sub, +1);
         host_.setRung(
             id, std::clamp(rung_, room.floor, std::max(room.floor, std::min(room.top, sub.wish.maxRung))));
-        host_.join(id, chosen, sub.wish.giveUpAt - now);
+        host_.join(id, chosen, sub.wish.deadline - now);
     }
 
     Host& host_;
@@ -119,7 +119,7 @@
     std::vector<RoomType> rooms_;
     Fleet fleet_;
     int rung_;
-    Allowed allowed_;
+    SubscriptionLimits allowed_;
     std::map<SfuId, Cell> on_;
     std::map<SfuId, double> use_;
     std::map<SubId, Sub> subs_;
@@ -132,7 +132,7 @@
     if (name != "random" && name != "least-load") throw std::invalid_argument("no such baseline: " + name);
     return [byLoad = name == "least-load"](Host& host, Micros, std::uint64_t seed,
                                            const std::vector<RoomType>& rooms, const Fleet& fleet,
-                                           const Ladder& ladder, const Allowed& allowed) {
+                                           const Ladder& ladder, const SubscriptionLimits& allowed) {
         return std::make_unique<Baseline>(host, seed, byLoad, rooms, fleet, ladder, allowed);
     };
 }
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -218,7 +218,7 @@
     day.ladder = settings::readLadder(site);
     day.rooms = settings::readRoomTypes(site, day.ladder);
     day.machines = settings::readMachines(site);
-    const ColdTerms cold = settings::readColdTerms(site);
+    const ColdStartLimits cold = settings::readColdTerms(site);
     const auto budget = settings::readJoinBudget(site);
     settings::readTidings(site);
     settings::readAllowed(site);
--- a/src/upstream/join_client.cpp
+++ b/src/upstream/join_client.cpp
@@ -18,7 +18,7 @@
         if (body_.size() <= all_.limits_.bytes) body_ += bytes;
     }
     void whole() override {
-        const Load load = loadOf(head_.fields);
+        const LoadReport load = loadOf(head_.fields);
         WireEnd end = WireEnd::ErrorStatus;
         if (head_.status == 200) {
             auto read = hls::readMultivariant(body_, all_.limits_);
@@ -41,7 +41,7 @@
     void failed(WireEnd end) override {
         // What failed after a head was read ran, whatever way it broke.
         if (head_.status != 0 && end == WireEnd::TimedOutOut) end = WireEnd::BrokenAnswer;
-        all_.ended(id_, joinNo_, end, Load{}, all_.net_.now() - began_);
+        all_.ended(id_, joinNo_, end, LoadReport{}, all_.net_.now() - began_);
     }
 
     Joins& all_;
@@ -96,7 +96,7 @@
     const auto it = out_.find(id);
     if (it == out_.end() || it->second->joinNo() != joinNo) return;
     const WireEnd end = it->second->request->cancel();
-    ended(id, joinNo, end, Load{}, 0);
+    ended(id, joinNo, end, LoadReport{}, 0);
 }
 
 void Joins::withdraw(SubId id, int joinNo) {
@@ -104,7 +104,7 @@
     if (it != out_.end() && !it->second->request->wroteAny()) cancel(id, joinNo);
 }
 
-void Joins::ended(SubId id, int joinNo, WireEnd end, Load load, Micros took) {
+void Joins::ended(SubId id, int joinNo, WireEnd end, LoadReport load, Micros took) {
     const auto it = out_.find(id);
     if (it == out_.end()) return;
     dead_.push_back(std::move(it->second));
--- a/src/upstream/join_client.hpp
+++ b/src/upstream/join_client.hpp
@@ -59,7 +59,7 @@
 
   private:
     class Out;
-    void ended(SubId, int joinNo, WireEnd, Load, Micros took);
+    void ended(SubId, int joinNo, WireEnd, LoadReport, Micros took);
     net::Net& net_;
     Boxes& boxes_;
     std::string name_;
--- a/src/upstream/request_result.cpp
+++ b/src/upstream/request_result.cpp
@@ -5,7 +5,7 @@
 namespace valekeel::upstream {
 namespace {
 
-using E = JoinEnd;
+using E = JoinResult;
 constexpr std::array<Meaning, static_cast<std::size_t>(WireEnd::Count_)> kTable{{
     {E::Played, false, "played", "the box says that it plays"},
     {E::NoConnection, true, "refused-connect", "the kernel there turned the connect away: nothing was sent"},
--- a/src/upstream/request_result.hpp
+++ b/src/upstream/request_result.hpp
@@ -29,7 +29,7 @@
 };
 
 struct Meaning {
-    JoinEnd end;
+    JoinResult end;
     bool neverRan;  // proof
     std::string_view name, why;
 };
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -297,8 +297,8 @@
     return sum;
 }
 
-Load loadOf(const http::Fields& fields) {
-    Load load;
+LoadReport loadOf(const http::Fields& fields) {
+    LoadReport load;
     const auto dynamic = fields.joined("CMSD-Dynamic");
     if (!dynamic) return load;
     for (const hints::CmsdEntry& entry : hints::parseCmsdDynamic(*dynamic)) {
--- a/src/upstream/upstream_client.hpp
+++ b/src/upstream/upstream_client.hpp
@@ -88,6 +88,6 @@
 };
 
 // Of a join's or segment's answer: what its CMSD entries tell.
-Load loadOf(const http::Fields&);
+LoadReport loadOf(const http::Fields&);
 
 }  // namespace valekeel::upstream
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -33,13 +33,13 @@
     return {{"verb", "DirectoryUpdate"}, {"i", "front/1"}, {"version", 1}, {"set_id", set}, {"mode", mode}};
 }
 
-Json ask(std::uint32_t ref, double giveUpAt) {
+Json ask(std::uint32_t ref, double deadline) {
     return {{"verb", "WorkItem"}, {"i", "front/1"},    {"ref", ref},        {"grade", "talk"},
-            {"title", "t"},       {"holders", 4},      {"max_rung", 2},     {"give_up_at", giveUpAt},
+            {"title", "t"},       {"holders", 4},      {"max_rung", 2},     {"give_up_at", deadline},
             {"first_cell", 0},    {"effort", nullptr}, {"project", nullptr}};
 }
 
-Json play(Wire& wire, double clock, std::vector<Json> items) {
+Json play(SimulatorAdapter& wire, double clock, std::vector<Json> items) {
     return Json::parse(wire.reply(Json{{"clock", clock}, {"items", items}}.dump()))["cmds"];
 }
 
@@ -49,12 +49,12 @@
     return nullptr;
 }
 
-TEST(Wire, AnswersAnEmptyBatch) {
-    EXPECT_EQ(Wire().reply(R"({"clock":8.41225,"items":[]})"), R"({"cmds":[]})");
+TEST(SimulatorAdapter, AnswersAnEmptyBatch) {
+    EXPECT_EQ(SimulatorAdapter().reply(R"({"clock":8.41225,"items":[]})"), R"({"cmds":[]})");
 }
 
-TEST(Wire, ReturnsIdsAndTimesExactly) {
-    Wire wire;
+TEST(SimulatorAdapter, ReturnsIdsAndTimesExactly) {
+    SimulatorAdapter wire;
     play(wire, 5.000001,
          {hello("front/1"), manifest(0, "on", 4294967295), update(0, "Complete"), ask(4294967294, 8.123457)});
     const Json relay =
@@ -65,8 +65,9 @@
     EXPECT_LE(relay["within"].get<double>(), 8.123457 - 5.020001 + 1e-9);
 }
 
-TEST(Wire, ResolvesListNumbersInOrderOfEvents) {
-    Wire wire;  // the number is used again within the batch: each update speaks of the list just before it
+TEST(SimulatorAdapter, ResolvesListNumbersInOrderOfEvents) {
+    SimulatorAdapter
+        wire;  // the number is used again within the batch: each update speaks of the list just before it
     play(wire, 5,
          {hello("front/1"), manifest(0, "on"), update(0, "Complete"), manifest(0, "fading"),
           update(0, "Partial"), ask(1, 9)});
@@ -75,15 +76,15 @@
     EXPECT_EQ(first(cmds, "TurnAway")["ref"], 1);
 }
 
-TEST(Wire, AFrontThatIsKilledForgetsAll) {
-    Wire wire;
+TEST(SimulatorAdapter, AFrontThatIsKilledForgetsAll) {
+    SimulatorAdapter wire;
     play(wire, 5, {hello("front/1"), manifest(0, "on"), update(0, "Complete"), ask(1, 9)});
     play(wire, 5.01, {{{"verb", "Detach"}, {"i", "front/1"}}, hello("front/1"), update(0, "Persisted")});
     const Json cmds = play(wire, 5.02, {{{"verb", "Wakeup"}, {"i", "front/1"}, {"key_back", "slot"}}});
     EXPECT_TRUE(first(cmds, "Relay").is_null());
 }
 
-TEST(Wire, SaysPlainlyWhatIsMalformed) {
+TEST(SimulatorAdapter, SaysPlainlyWhatIsMalformed) {
     const std::vector<std::pair<std::string, std::string>> lines = {
         {"{", "not valid JSON"},
         {R"({"items":[]})", "'clock' is missing"},
@@ -92,17 +93,17 @@
         {R"({"clock":"x","items":[]})", "'clock' is no number"}};
     for (const auto& [line, words] : lines) {
         try {
-            Wire().reply(line);
+            SimulatorAdapter().reply(line);
             ADD_FAILURE() << "taken: " << line;
-        } catch (const BadLine& e) {
+        } catch (const InvalidMessage& e) {
             EXPECT_NE(std::string(e.what()).find(words), std::string::npos) << e.what();
         }
     }
-    Wire wire;
+    SimulatorAdapter wire;
     play(wire, 5, {hello("front/1"), manifest(0, "on"), update(0, "Complete")});
     Json odd = ask(1, 9);
     odd["grade"] = "unheard";
-    EXPECT_THROW(play(wire, 6, {odd}), BadLine);
+    EXPECT_THROW(play(wire, 6, {odd}), InvalidMessage);
     EXPECT_THROW(play(wire, 6,
                       {{{"verb", "Result"},
                         {"i", "front/1"},
@@ -111,7 +112,7 @@
                         {"spent", 1},
                         {"send_no", 0},
                         {"verdict", 999}}}),
-                 BadLine);
+                 InvalidMessage);
 }
 
 }  // namespace
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -364,7 +364,7 @@
     for (int i = 0; i < static_cast<int>(upstream::WireEnd::Count_); ++i) {
         const upstream::Meaning& m = upstream::meaningOf(static_cast<upstream::WireEnd>(i));
         const bool module =
-            m.end == JoinEnd::Full || m.end == JoinEnd::NoConnection || m.end == JoinEnd::NeverSent;
+            m.end == JoinResult::Full || m.end == JoinResult::NoConnection || m.end == JoinResult::NeverSent;
         EXPECT_EQ(m.neverRan, module) << m.name;
         EXPECT_FALSE(m.why.empty());
     }
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -22,7 +22,7 @@
     int fronts, servers, places, holders;
     double perServer;  // set-ups a second asked for, for each media server, on a calm day
     double rush;       // of all at once over one title, for each front
-    ColdTerms cold;
+    ColdStartLimits cold;
     unsigned seeds;
 };
 
@@ -35,14 +35,14 @@
     ColdFleet(const Shape& shape, unsigned seed) : shape_(shape), dice_(seed) {
         for (int i = 0; i < shape.servers; ++i) {
             line_.push_back(
-                {SfuId{100u + unsigned(i)}, Standing::On, 0, Cell{unsigned(i)}, KindId{0}, 1, {}});
+                {SfuId{100u + unsigned(i)}, ServerState::On, 0, Cell{unsigned(i)}, MachineKindId{0}, 1, {}});
             running_[line_.back().id] = {};
         }
         history_.emplace_back(0, line_);
         for (int i = 0; i < shape.fronts; ++i) {
             weights_.push_back(i % 5 == 0 ? 4 : .25);
             fronts_.push_back(start(i));
-            fronts_.back()->logic->listed(now, line_, false);
+            fronts_.back()->logic->onServerList(now, line_, false);
         }
     }
 
@@ -80,11 +80,11 @@
         Front(ColdFleet& f, int n) : fleet(f), no(n), bornAt(f.now) {}
         void join(SubId id, SfuId to, Micros) override { fleet.join(*this, id, to); }
         void setRung(SubId, int) override {}
-        void throttle(SubId id, Micros comeBack) override { fleet.refused(id, comeBack); }
+        void throttle(SubId id, Micros retryAfter) override { fleet.refused(id, retryAfter); }
         void terminate(SubId) override { ++fleet.lost; }
         void wakeAfter(Micros after, const std::string& why) override {
             fleet.at(fleet.now + after, [this, why] {
-                if (!dead) logic->woken(fleet.now, why);
+                if (!dead) logic->onWake(fleet.now, why);
             });
         }
         void followList() override {}
@@ -126,9 +126,10 @@
         fleet.linkKbPerSize = 1e6;
         fleet.sizesTold = true;
         fleet.places = {shape_.places};
-        f.logic = std::make_unique<Logic>(
-            f, now, dice_(), shape_.fronts, Ladder{{100, 300, 900}, {.3, .7, 1}, 8, .5, 1}, std::vector{room},
-            fleet, shape_.cold, nullptr, Tidings{kSecond, 2 * kSecond}, Allowed{3, true, kSecond});
+        f.logic = std::make_unique<Logic>(f, now, dice_(), shape_.fronts,
+                                          Ladder{{100, 300, 900}, {.3, .7, 1}, 8, .5, 1}, std::vector{room},
+                                          fleet, shape_.cold, nullptr, ReportTiming{kSecond, 2 * kSecond},
+                                          SubscriptionLimits{3, true, kSecond});
         return &f;
     }
 
@@ -138,27 +139,28 @@
         Front* f = fronts_[no] = start(no);
         const auto later = std::upper_bound(history_.begin(), history_.end(), now - 5 * kSecond,
                                             [](Micros t, const auto& entry) { return t < entry.first; });
-        f->logic->listed(now, std::prev(std::max(later, history_.begin() + 1))->second, true);
+        f->logic->onServerList(now, std::prev(std::max(later, history_.begin() + 1))->second, true);
         at(now + kSecond / 5 + within(2 * kSecond), [=, this] {
             if (f->dead) return;
-            for (const ListedSfu& l : line_) f->told[l.id] = l.launched;
-            f->logic->listed(now, line_, false);
+            for (const SfuEntry& l : line_) f->told[l.id] = l.launched;
+            f->logic->onServerList(now, line_, false);
         });
     }
 
     // Half of the fresh servers keep their ids, as after a crash. One front in five is told late.
     void replace(int i) {
         ++starts;
-        ListedSfu& l = line_[std::size_t(i)];
-        ListedSfu old = l;
-        old.standing = Standing::Off;
+        SfuEntry& l = line_[std::size_t(i)];
+        SfuEntry old = l;
+        old.standing = ServerState::Off;
         Running& gone = running_[l.id];
         gone.off = true;
         for (const auto& [id, f] : gone.sessions) {
             if (f->dead) continue;
             at(now + kSecond / 50, [=, this] {
                 if (!f->dead)
-                    f->logic->joinEnded(now, id, subs_[id].joins - 1, old.id, JoinEnd::Reset, true, 0, {});
+                    f->logic->onJoinEnded(now, id, subs_[id].joins - 1, old.id, JoinResult::Reset, true, 0,
+                                          {});
             });
             const int title = subs_[id].title;
             at(now + kSecond / 4 + within(kSecond), [=, this] { ask(someFront(), title, 3); });
@@ -169,7 +171,7 @@
         l.launched = now;
         running_[l.id] = Running{now, false, false, {}, {}};
         history_.emplace_back(now, line_);
-        std::vector<ListedSfu> news{l};
+        std::vector<SfuEntry> news{l};
         if (!sameId) news.insert(news.begin(), old);
         for (Front* f : fronts_) {
             const Micros late =
@@ -177,7 +179,7 @@
             at(now + late, [=, this] {
                 if (f->dead || f->told[news.back().id] >= news.back().launched) return;
                 f->told[news.back().id] = news.back().launched;
-                f->logic->listChanged(now, news);
+                f->logic->onServerListChange(now, news);
             });
         }
     }
@@ -202,22 +204,22 @@
         for (int k = 0; k < shape_.holders; ++k)
             a.coldOnly &= cold(running_[line_[std::size_t((title + k) % shape_.servers)].id]);
         coldOnly += a.coldOnly;
-        Wish w;
+        SubscriptionRequest w;
         w.title = TitleId{std::to_string(title)};
-        w.giveUpAt = now + 3 * kSecond;
+        w.deadline = now + 3 * kSecond;
         w.firstCell = Cell{unsigned(title)};
         w.holders = shape_.holders;
         w.maxRung = 0;
-        fronts_[std::size_t(no)]->logic->subscribe(now, id, w);
+        fronts_[std::size_t(no)]->logic->onSubscribe(now, id, w);
     }
 
-    void refused(SubId id, Micros comeBack) {
+    void refused(SubId id, Micros retryAfter) {
         const Asked a = subs_[id];
         if (a.tries == 0) {
             ++lost;
             return;
         }
-        at(now + comeBack, [=, this] { ask(someFront(), a.title, a.tries - 1); });
+        at(now + retryAfter, [=, this] { ask(someFront(), a.title, a.tries - 1); });
     }
 
     void join(Front& f, SubId id, SfuId to) {
@@ -227,7 +229,7 @@
         if (r.off) {
             at(now + kSecond / 20, [=, this] {
                 if (!front->dead)
-                    front->logic->joinEnded(now, id, joinNo, to, JoinEnd::NoConnection, false, 0, {});
+                    front->logic->onJoinEnded(now, id, joinNo, to, JoinResult::NoConnection, false, 0, {});
             });
             return;
         }
@@ -239,12 +241,12 @@
             Running& there = running_[to];
             if (front->dead || there.startedAt != startedAt || there.off) return;
             ++played;
-            front->logic->playing(now, id, joinNo, to, kSecond / 16);
+            front->logic->onPlaying(now, id, joinNo, to, kSecond / 16);
         });
         at(now + 5 * kSecond + within(20 * kSecond), [=, this] {
             Running& there = running_[to];
             if (there.sessions.erase(id) && !front->dead)
-                front->logic->joinEnded(now, id, joinNo, to, JoinEnd::Played, true, 0, {});
+                front->logic->onJoinEnded(now, id, joinNo, to, JoinResult::Played, true, 0, {});
         });
     }
 
@@ -270,8 +272,8 @@
     Shape shape_;
     std::mt19937 dice_;
     Micros now = 1;
-    std::vector<ListedSfu> line_;
-    std::vector<std::pair<Micros, std::vector<ListedSfu>>> history_;
+    std::vector<SfuEntry> line_;
+    std::vector<std::pair<Micros, std::vector<SfuEntry>>> history_;
     std::map<SfuId, Running> running_;
     std::vector<double> weights_;
     std::vector<std::unique_ptr<Front>> all_;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -18,23 +18,24 @@
     std::vector<std::string> heard;
     explicit Scripted(Host& h) : host(h) {}
     void note(std::string s) { heard.push_back(std::move(s)); }
-    void listed(Micros, std::span<const ListedSfu>, bool) override { note("listed"); }
-    void listChanged(Micros, std::span<const ListedSfu>) override { note("changed"); }
-    void listFailed(Micros) override { note("failed"); }
-    void subscribe(Micros, SubId id, const Wish&) override {
+    void onServerList(Micros, std::span<const SfuEntry>, bool) override { note("listed"); }
+    void onServerListChange(Micros, std::span<const SfuEntry>) override { note("changed"); }
+    void onServerListFailure(Micros) override { note("failed"); }
+    void onSubscribe(Micros, SubId id, const SubscriptionRequest&) override {
         note("subscribe");
         onAsk(*this, id);
     }
-    void playing(Micros, SubId, int, SfuId, Micros) override { note("playing"); }
-    void joinEnded(Micros, SubId, int, SfuId, JoinEnd end, bool over, Micros, const Load&) override {
+    void onPlaying(Micros, SubId, int, SfuId, Micros) override { note("playing"); }
+    void onJoinEnded(Micros, SubId, int, SfuId, JoinResult end, bool over, Micros,
+                     const LoadReport&) override {
         note("ended " + std::to_string(static_cast<int>(end)) + (over ? " over" : ""));
     }
-    void viewerLeft(Micros, SubId) override { note("left"); }
-    void shareDelivered(Micros, SubId, SfuId, double) override { note("share"); }
-    void rungInForce(Micros, SubId, int rung) override { note("rung " + std::to_string(rung)); }
-    void linkUse(Micros, SubId, SfuId, double) override { note("link"); }
-    void uplinkUse(Micros, SubId, SfuId, double) override { note("uplink"); }
-    void woken(Micros, const std::string& why) override { note("woken " + why); }
+    void onViewerLeft(Micros, SubId) override { note("left"); }
+    void onShareDelivered(Micros, SubId, SfuId, double) override { note("share"); }
+    void onRungInForce(Micros, SubId, int rung) override { note("rung " + std::to_string(rung)); }
+    void onLinkUse(Micros, SubId, SfuId, double) override { note("link"); }
+    void onUplinkUse(Micros, SubId, SfuId, double) override { note("uplink"); }
+    void onWake(Micros, const std::string& why) override { note("woken " + why); }
 };
 
 struct Rig : core::Face, core::Sender, core::Watcher {
@@ -55,7 +56,7 @@
                                             });
     }
     SubId ask(std::uint32_t room = 1) {
-        Wish w;
+        SubscriptionRequest w;
         w.room = RoomTypeId{room};
         const SubId id = *core->ask(*this, w, 3 * kSecond);
         core->begin(id);
@@ -79,11 +80,11 @@
     }
     void cancel(SubId id, int no) override {
         sent.push_back("cancel");
-        core->joined(id, no, {JoinEnd::Cancelled, false, 0, {}, "cancelled"});
+        core->joined(id, no, {JoinResult::Cancelled, false, 0, {}, "cancelled"});
     }
     void withdraw(SubId id, int no) override {
         sent.push_back("withdraw");
-        if (unsent) core->joined(id, no, {JoinEnd::Cancelled, true, 0, {}, "withdrawn"});
+        if (unsent) core->joined(id, no, {JoinResult::Cancelled, true, 0, {}, "withdrawn"});
     }
     void release(SubId, SfuId) override { sent.push_back("release"); }
     void followList() override { sent.push_back("follow"); }
@@ -101,8 +102,8 @@
     };
     const SubId id = rig.ask();
     EXPECT_EQ(rig.sent, (std::vector<std::string>{"join 0 at 7"}));
-    rig.core->joined(id, 0, {JoinEnd::Played, false, 50'000, {0.5, {}}, "played"});
-    rig.core->joined(id, 0, {JoinEnd::Played, false, 50'000, {}, "played"});  // told twice: heard once
+    rig.core->joined(id, 0, {JoinResult::Played, false, 50'000, {0.5, {}}, "played"});
+    rig.core->joined(id, 0, {JoinResult::Played, false, 50'000, {}, "played"});  // told twice: heard once
     EXPECT_EQ(rig.said, (std::vector<std::string>{"plays 2"}));
     EXPECT_EQ(rig.count(rig.decides->heard, "playing"), 1);
     EXPECT_EQ(rig.count(rig.decides->heard, "link"), 1);
@@ -165,7 +166,7 @@
     EXPECT_EQ(rig.count(rig.sent, "cancel"), 1);
     EXPECT_EQ(rig.core->held(), 1u);
     const int releases = rig.count(rig.sent, "release");
-    rig.core->joined(paid, 0, {JoinEnd::Played, false, 1, {}, "played"});
+    rig.core->joined(paid, 0, {JoinResult::Played, false, 1, {}, "played"});
     EXPECT_EQ(rig.count(rig.sent, "release"), releases + 1) << "its place is given back";
     EXPECT_EQ(rig.said.size(), 0u) << "nobody is told";
     EXPECT_EQ(rig.core->held(), 0u);
@@ -200,14 +201,14 @@
 TEST(Core, FiguresOfAServerThatAWholeListLeavesOutAreForgotten) {
     Rig rig;
     const SubId id = rig.ask();
-    ListedSfu seven;
+    SfuEntry seven;
     seven.id = SfuId{7};
-    rig.core->listed(std::span(&seven, 1), false);
+    rig.core->onServerList(std::span(&seven, 1), false);
     rig.core->figures(id, seven.id, 0.5, {});
     rig.core->figures(id, seven.id, 0.5, {});  // no more often than each second
     EXPECT_EQ(rig.count(rig.decides->heard, "link"), 1);
-    rig.core->listed({}, false);
-    rig.core->listed(std::span(&seven, 1), false);
+    rig.core->onServerList({}, false);
+    rig.core->onServerList(std::span(&seven, 1), false);
     rig.core->figures(id, seven.id, 0.5, {});
     EXPECT_EQ(rig.count(rig.decides->heard, "link"), 2);
 }
@@ -217,7 +218,7 @@
     rig.hangUpAtOnce = true;
     rig.decides->onAsk = [](Scripted& d, SubId id) { d.host.join(id, SfuId{1}, kSecond); };
     const SubId id = rig.ask();
-    rig.core->joined(id, 0, {JoinEnd::Played, false, 1, {}, "played"});
+    rig.core->joined(id, 0, {JoinResult::Played, false, 1, {}, "played"});
     EXPECT_EQ(rig.core->held(), 0u);
     EXPECT_EQ(rig.count(rig.decides->heard, "ended 0 over"), 1);
     rig.decides->onAsk = [](Scripted& d, SubId i) { d.host.throttle(i, 0); };
@@ -228,7 +229,7 @@
 TEST(Core, TheModuleHearsOfNothingBeforeTheFaceIsReady) {
     Rig rig;
     rig.decides->onAsk = [](Scripted& d, SubId id) { d.host.throttle(id, 0); };
-    Wish w;
+    SubscriptionRequest w;
     w.room = RoomTypeId{1};
     const auto id = rig.core->ask(rig, w, kSecond);
     EXPECT_TRUE(rig.said.empty() && rig.decides->heard.empty());
@@ -242,9 +243,9 @@
     Rig rig;
     rig.decides->onAsk = [](Scripted& d, SubId id) { d.host.join(id, SfuId{1}, kSecond); };
     const SubId id = rig.ask();
-    rig.core->joined(id, 0, {JoinEnd::Played, false, 1, {}, "played"});
-    rig.core->lost(id, JoinEnd::Reset);
-    rig.core->lost(id, JoinEnd::Reset);
+    rig.core->joined(id, 0, {JoinResult::Played, false, 1, {}, "played"});
+    rig.core->lost(id, JoinResult::Reset);
+    rig.core->lost(id, JoinResult::Reset);
     EXPECT_EQ(rig.count(rig.said, "broke"), 1);
     EXPECT_EQ(rig.count(rig.decides->heard, "ended 5 over"), 1);
     EXPECT_EQ(rig.core->held(), 0u);
@@ -256,7 +257,7 @@
     Rig rig(limits);
     rig.ask();
     rig.ask();
-    Wish w;
+    SubscriptionRequest w;
     w.room = RoomTypeId{1};
     EXPECT_FALSE(rig.core->ask(rig, w, kSecond));
     EXPECT_EQ(rig.core->counts().refusedFull, 1u);
@@ -298,16 +299,16 @@
             const SubId id{static_cast<std::uint32_t>(pick(1, static_cast<int>(asked) + 1))};
             switch (pick(0, 5)) {
                 case 0:
-                    rig.core->joined(id, 0, {JoinEnd::Played, false, 1, {}, "played"});
+                    rig.core->joined(id, 0, {JoinResult::Played, false, 1, {}, "played"});
                     break;
                 case 1:
-                    rig.core->joined(id, 0, {JoinEnd::Full, true, 1, {}, "unseen"});
+                    rig.core->joined(id, 0, {JoinResult::Full, true, 1, {}, "unseen"});
                     break;
                 case 2:
                     rig.core->left(id);
                     break;
                 case 3:
-                    rig.core->lost(id, JoinEnd::Reset);
+                    rig.core->lost(id, JoinResult::Reset);
                     break;
                 case 4:
                     rig.decides->host.throttle(id, 0);
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -116,22 +116,22 @@
 
 TEST(Deployments, SettingsAreReadAsTheyAre) {
     const Json pier = pierNotices(), halls = sevenHalls();
-    EXPECT_FALSE(setup::budgetOf(pier, "pier"));
-    EXPECT_EQ(setup::allowedOf(pier, "pier").joinsEach, 1);
-    EXPECT_FALSE(setup::allowedOf(pier, "pier").comeBack);
-    EXPECT_EQ(setup::coldOf(pier, "pier").tipAfter, 700'000);
-    EXPECT_FALSE(setup::fleetOf(pier, setup::namesOf(pier, "pier"), "pier").sizesTold);
-    EXPECT_EQ(setup::pricesOf(pier, "pier").crossZone, 0);
-    const auto budget = setup::budgetOf(halls, "halls");
+    EXPECT_FALSE(setup::parseJoinBudget(pier, "pier"));
+    EXPECT_EQ(setup::parseSubscriptionLimits(pier, "pier").maxJoins, 1);
+    EXPECT_FALSE(setup::parseSubscriptionLimits(pier, "pier").retryAfter);
+    EXPECT_EQ(setup::parseColdStartLimits(pier, "pier").tipAfter, 700'000);
+    EXPECT_FALSE(setup::parseFleet(pier, setup::parseNames(pier, "pier"), "pier").sizesTold);
+    EXPECT_EQ(setup::parseServingCosts(pier, "pier").crossZone, 0);
+    const auto budget = setup::parseJoinBudget(halls, "halls");
     ASSERT_TRUE(budget);
     EXPECT_EQ(budget->free, 2);
     EXPECT_EQ(budget->window, 4 * kSecond);
-    const auto rooms = setup::roomTypesOf(halls, setup::ladderOf(halls, "halls"), "halls");
+    const auto rooms = setup::parseRoomTypes(halls, setup::parseLadder(halls, "halls"), "halls");
     ASSERT_EQ(rooms.size(), 7u);
     EXPECT_EQ(rooms[3].seats, 3);
     EXPECT_TRUE(rooms[3].paid);
     EXPECT_EQ(rooms[5].top, 2);
-    const Fleet fleet = setup::fleetOf(halls, setup::namesOf(halls, "halls"), "halls");
+    const Fleet fleet = setup::parseFleet(halls, setup::parseNames(halls, "halls"), "halls");
     EXPECT_EQ(fleet.zone, ZoneId{2});
     EXPECT_EQ(fleet.places, (std::vector<int>{40, 90}));
 }
@@ -144,14 +144,14 @@
         m.opts["load"] = told;
         return node::loadOf(m);
     };
-    const Load last = load("throughput:9;errors_per_s:0;outstanding:12;utilization:0.4");
+    const LoadReport last = load("throughput:9;errors_per_s:0;outstanding:12;utilization:0.4");
     EXPECT_EQ(last.linkUse, 0.4);
     EXPECT_FALSE(last.uplinkUse);
     for (const char* both : {"x0:1.3;utilization:1;x1:0.2", "utilization:1;x1:0.2;x0:1.3"}) {
         EXPECT_EQ(load(both).linkUse, 1.3) << both;
         EXPECT_EQ(load(both).uplinkUse, 0.2) << both;
     }
-    const Load none = load("backlog:3;recent_ms:70");
+    const LoadReport none = load("backlog:3;recent_ms:70");
     EXPECT_FALSE(none.linkUse);
     EXPECT_FALSE(none.uplinkUse);
 }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -43,7 +43,7 @@
     ASSERT_EQ(read.boxes.size(), 2u);
     EXPECT_EQ(read.boxes[0].sfu.launched, 1796115600250000);
     EXPECT_EQ(read.boxes[0].sfu.kind.v, 1u);
-    EXPECT_EQ(read.boxes[1].sfu.standing, Standing::Off);
+    EXPECT_EQ(read.boxes[1].sfu.standing, ServerState::Off);
     const BoxList back = parseList("t", writeList(read, kKinds), kKinds, {});
     EXPECT_EQ(back.version, 3);
     EXPECT_EQ(back.boxes[0].sfu.launched, read.boxes[0].sfu.launched);
@@ -228,7 +228,7 @@
     ASSERT_TRUE(loop.until([&] { return hears.last() == "unreachable"; }));
     BoxList list;
     list.version = 1;
-    list.boxes.push_back({{SfuId{1}, Standing::On, 0, Cell{0}, KindId{0}, 1}, Loop::any()});
+    list.boxes.push_back({{SfuId{1}, ServerState::On, 0, Cell{0}, MachineKindId{0}, 1}, Loop::any()});
     list.boxes[0].at.port = 5;
     keepList(path, list, kKinds);
     ASSERT_TRUE(loop.until([&] { return hears.last() == "list 1"; }));
--- a/tests/evidence_test.cpp
+++ b/tests/evidence_test.cpp
@@ -7,10 +7,10 @@
 namespace valekeel::evidence {
 namespace {
 
-TEST(Learnt, ComesBackAsItWasKept) {
+TEST(ServerEvidence, ComesBackAsItWasKept) {
     Kept kept{77, {}};
-    kept.boxes.push_back({Learnt{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
-    kept.boxes.push_back({Learnt{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
+    kept.boxes.push_back({ServerEvidence{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
+    kept.boxes.push_back({ServerEvidence{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
     const Kept back = parseKept("f", writeKept(kept), 10);
     EXPECT_EQ(back.savedAt, 77);
     ASSERT_EQ(back.boxes.size(), 2u);
@@ -23,7 +23,7 @@
     EXPECT_FALSE(back.boxes[1].what.linkUse);
 }
 
-TEST(Learnt, WhatIsNotWholeOrOddIsRefused) {
+TEST(ServerEvidence, WhatIsNotWholeOrOddIsRefused) {
     for (const char* bad :
          {"", "learnt 2 saved-us=1", "learnt 1", "learnt 1 saved-us=1\nbox", "box 3",
           "learnt 1 saved-us=1\nbox 3 link-use=-1", "learnt 1 saved-us=1\nbox 3 link-use=#nan",
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -972,32 +972,35 @@
     int rung;
     std::size_t next = 0;
     Broken(Host& h, int again, int rung) : host(h), again(again), rung(rung) { host.followList(); }
-    void listed(Micros, std::span<const ListedSfu> all, bool) override {
-        for (const ListedSfu& s : all)
+    void onServerList(Micros, std::span<const SfuEntry> all, bool) override {
+        for (const SfuEntry& s : all)
             if (std::find(known.begin(), known.end(), s.id) == known.end()) known.push_back(s.id);
     }
-    void listChanged(Micros now, std::span<const ListedSfu> some) override { listed(now, some, false); }
-    void listFailed(Micros) override {}
-    void subscribe(Micros, SubId id, const Wish&) override { join(id); }
+    void onServerListChange(Micros now, std::span<const SfuEntry> some) override {
+        onServerList(now, some, false);
+    }
+    void onServerListFailure(Micros) override {}
+    void onSubscribe(Micros, SubId id, const SubscriptionRequest&) override { join(id); }
     void join(SubId id) {
         ++joins[id];
         host.setRung(id, rung);
         host.join(id, known[next++ % known.size()], kSecond);
     }
-    void playing(Micros, SubId, int, SfuId, Micros) override {}
-    void joinEnded(Micros, SubId id, int, SfuId, JoinEnd, bool over, Micros, const Load&) override {
+    void onPlaying(Micros, SubId, int, SfuId, Micros) override {}
+    void onJoinEnded(Micros, SubId id, int, SfuId, JoinResult, bool over, Micros,
+                     const LoadReport&) override {
         if (over) return;
         if (joins[id] < again)
             join(id);
         else
             host.throttle(id, 0);
     }
-    void viewerLeft(Micros, SubId) override {}
-    void shareDelivered(Micros, SubId, SfuId, double) override {}
-    void rungInForce(Micros, SubId, int) override {}
-    void linkUse(Micros, SubId, SfuId, double) override {}
-    void uplinkUse(Micros, SubId, SfuId, double) override {}
-    void woken(Micros, const std::string&) override {}
+    void onViewerLeft(Micros, SubId) override {}
+    void onShareDelivered(Micros, SubId, SfuId, double) override {}
+    void onRungInForce(Micros, SubId, int) override {}
+    void onLinkUse(Micros, SubId, SfuId, double) override {}
+    void onUplinkUse(Micros, SubId, SfuId, double) override {}
+    void onWake(Micros, const std::string&) override {}
 };
 
 struct BrokenRig : Rig {
@@ -1005,7 +1008,7 @@
         front.reset();
         startFront(
             "", [=](Host& h, Micros, std::uint64_t, const std::vector<RoomType>&, const Fleet&, const Ladder&,
-                    const Allowed&) { return std::make_unique<Broken>(h, again, rung); });
+                    const SubscriptionLimits&) { return std::make_unique<Broken>(h, again, rung); });
     }
     std::set<int> play(const std::string& room, int many, Micros apart = 0) {
         for (int i = 0; i < many; ++i) {
@@ -1051,7 +1054,7 @@
 TEST(BrokenFront, ThatNeverAnswersIsCaughtByItsOwnGuard) {
     BrokenRig rig(1);
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.silent = true;
-    rig.front->core().listFailed();
+    rig.front->core().onServerListFailure();
     EXPECT_EQ(rig.play("open", 1), std::set<int>{});
 }
 
--- a/tests/logic_fixture.hpp
+++ b/tests/logic_fixture.hpp
@@ -20,7 +20,7 @@
     Micros repeatWithin = 5 * kSecond;
     int floor = 0;
     int seats = 0;
-    bool comeBack = true;
+    bool retryAfter = true;
     std::optional<JoinBudget> budget{};
     Micros every = 2 * kSecond;
     Micros launched = 0;
@@ -58,28 +58,29 @@
                   {24},
                   ZoneId{},
                   s.fullFrom},
-            ColdTerms{12 * kSecond, .4, 2.5, 3 * kSecond}, s.budget ? &*s.budget : nullptr,
-            Tidings{kSecond, s.every}, Allowed{3, s.comeBack, kSecond / 2}, Prices{s.crossZone});
-        std::vector<ListedSfu> list;
+            ColdStartLimits{12 * kSecond, .4, 2.5, 3 * kSecond}, s.budget ? &*s.budget : nullptr,
+            ReportTiming{kSecond, s.every}, SubscriptionLimits{3, s.retryAfter, kSecond / 2},
+            ServingCosts{s.crossZone});
+        std::vector<SfuEntry> list;
         for (int i = 0; i < s.sfus; ++i) {
-            list.push_back(entry(i, Standing::On, s.launched));
+            list.push_back(entry(i, ServerState::On, s.launched));
             if (s.crossZone > 0) list.back().zone = ZoneId{static_cast<unsigned>(i % 2)};
         }
-        logic->listed(now, list, s.stale);
+        logic->onServerList(now, list, s.stale);
     }
-    static ListedSfu entry(int i, Standing standing, Micros launched = 0) {
-        return {SfuId{100u + static_cast<unsigned>(i)}, standing,  launched,
-                Cell{static_cast<unsigned>(i)},         KindId{0}, 1};
+    static SfuEntry entry(int i, ServerState standing, Micros launched = 0) {
+        return {SfuId{100u + static_cast<unsigned>(i)}, standing,         launched,
+                Cell{static_cast<unsigned>(i)},         MachineKindId{0}, 1};
     }
     void subscribe(unsigned id, Micros giveUpIn = 3 * kSecond, unsigned room = 0,
                    const std::string& title = "t") {
-        Wish w;
+        SubscriptionRequest w;
         w.room = RoomTypeId{room};
         w.title = TitleId{title};
-        w.giveUpAt = now + giveUpIn;
+        w.deadline = now + giveUpIn;
         w.holders = site.sfus;
         w.maxRung = 2;
-        logic->subscribe(now, SubId{id}, w);
+        logic->onSubscribe(now, SubId{id}, w);
     }
     void run(Micros span) {  // fires the wakes that fall due
         const Micros until = now + span;
@@ -87,7 +88,7 @@
             auto [at, why] = *wakes.begin();
             wakes.erase(wakes.begin());
             now = std::max(now, at);
-            logic->woken(now, why);
+            logic->onWake(now, why);
         }
         now = until;
     }
@@ -96,25 +97,25 @@
             if (it->id == SubId{id}) return *it;
         throw std::out_of_range("never joined");
     }
-    void end(unsigned id, JoinEnd how, bool over = false) {
+    void end(unsigned id, JoinResult how, bool over = false) {
         const Sent sent = last(id);
-        logic->joinEnded(now, sent.id, sent.no, sent.at, how, over, now - sent.when, Load{});
+        logic->onJoinEnded(now, sent.id, sent.no, sent.at, how, over, now - sent.when, LoadReport{});
     }
     void play(unsigned id) {
         const Sent sent = last(id);
-        logic->playing(now, sent.id, sent.no, sent.at, now - sent.when);
+        logic->onPlaying(now, sent.id, sent.no, sent.at, now - sent.when);
     }
 
     void join(SubId id, SfuId at, Micros timeOut) override {
         joins.push_back({id, at, now, timeOut, static_cast<int>(count[id]++)});
     }
     void setRung(SubId id, int rung) override { rungs[id] = rung; }
-    void throttle(SubId id, Micros comeBack) override { throttled[id] = comeBack; }
+    void throttle(SubId id, Micros retryAfter) override { throttled[id] = retryAfter; }
     void terminate(SubId id) override { terminated.insert(id); }
     void wakeAfter(Micros after, const std::string& why) override { wakes.emplace(now + after, why); }
     void followList() override { ++follows; }
     void log(const std::string&) override {}
-    void chose(SubId, SfuId at, const double* score, int among) override {
+    void recordPlacement(SubId, SfuId at, const double* score, int among) override {
         choices.push_back({at, score != nullptr, among});
     }
 
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -15,7 +15,7 @@
     rig.subscribe(1);
     rig.run(kSecond / 10);
     ASSERT_EQ(rig.joins.size(), 1u);
-    rig.end(1, JoinEnd::TimedOut);
+    rig.end(1, JoinResult::TimedOut);
     rig.run(kSecond);
     EXPECT_EQ(rig.joins.size(), 1u);
     EXPECT_EQ(rig.terminated.count(SubId{1}), 1u);
@@ -27,7 +27,7 @@
     rig.subscribe(1);
     rig.run(kSecond / 10);
     const SfuId first = rig.joins.at(0).at;
-    rig.end(1, JoinEnd::Full);
+    rig.end(1, JoinResult::Full);
     rig.run(kSecond / 10);
     ASSERT_EQ(rig.joins.size(), 2u);
     EXPECT_NE(rig.joins[1].at, first);
@@ -49,7 +49,7 @@
 TEST(List, IsAskedForAgainWhereItMustBeAndFailed) {
     Rig rig(Site{.listAsked = true});
     EXPECT_EQ(rig.follows, 1);
-    rig.logic->listFailed(rig.now);
+    rig.logic->onServerListFailure(rig.now);
     rig.run(2 * kSecond);
     EXPECT_EQ(rig.follows, 2);
     EXPECT_EQ(Rig(Site{}).follows, 0);
@@ -64,7 +64,7 @@
     rig.play(1);
     const SfuId told = rig.last(1).at;
     rig.run(2 * kSecond);
-    rig.logic->linkUse(rig.now, SubId{1}, told, 1.5);
+    rig.logic->onLinkUse(rig.now, SubId{1}, told, 1.5);
     rig.run(kSecond / 2);
     rig.subscribe(2);
     rig.run(kSecond / 10);
@@ -76,10 +76,10 @@
 TEST(Room, OnACrowdedRackTheEmptierLinkIsTaken) {
     Rig rig(Site{.sfus = 4, .fronts = 1});
     for (int other : {1, 3})
-        rig.logic->listChanged(rig.now, std::vector{Rig::entry(other, Standing::Fading)});
-    rig.logic->uplinkUse(rig.now, SubId{0}, SfuId{100}, 0.97);
-    rig.logic->linkUse(rig.now, SubId{0}, SfuId{100}, 0.85);
-    rig.logic->linkUse(rig.now, SubId{0}, SfuId{102}, 0.1);
+        rig.logic->onServerListChange(rig.now, std::vector{Rig::entry(other, ServerState::Draining)});
+    rig.logic->onUplinkUse(rig.now, SubId{0}, SfuId{100}, 0.97);
+    rig.logic->onLinkUse(rig.now, SubId{0}, SfuId{100}, 0.85);
+    rig.logic->onLinkUse(rig.now, SubId{0}, SfuId{102}, 0.1);
     rig.run(kSecond / 2);
     rig.subscribe(1);
     rig.run(kSecond / 10);
@@ -92,7 +92,7 @@
     Rig rig(Site{.sfus = 6, .fronts = 1});
     for (unsigned i = 1; i <= 18; ++i) {
         for (unsigned n = 0; n < 6; ++n)
-            rig.logic->linkUse(rig.now, SubId{0}, SfuId{100 + n}, n == i % 6 ? 0.2 : 0.7);
+            rig.logic->onLinkUse(rig.now, SubId{0}, SfuId{100 + n}, n == i % 6 ? 0.2 : 0.7);
         rig.subscribe(i);
         rig.run(kSecond + kSecond / 2);  // past the age of the figures
         rig.play(i);
@@ -101,9 +101,9 @@
     const auto before = rig.rungs;
     for (int n = 0; n < 3; ++n) {
         rig.run(kSecond);
-        for (unsigned i = 0; i < 6; ++i) rig.logic->linkUse(rig.now, SubId{0}, SfuId{100 + i}, 0.7);
-        rig.logic->shareDelivered(rig.now, SubId{1}, weak, 0.4);
-        rig.logic->linkUse(rig.now, SubId{1}, weak, 0.7);
+        for (unsigned i = 0; i < 6; ++i) rig.logic->onLinkUse(rig.now, SubId{0}, SfuId{100 + i}, 0.7);
+        rig.logic->onShareDelivered(rig.now, SubId{1}, weak, 0.4);
+        rig.logic->onLinkUse(rig.now, SubId{1}, weak, 0.7);
     }
     for (const auto& [id, rung] : before)
         EXPECT_TRUE(rig.rungs[id] >= rung || rig.last(id.v).at == weak)
@@ -136,7 +136,7 @@
     for (unsigned id = 1; id <= 40; ++id) {
         rig.subscribe(id, 3 * kSecond, 0, "unheard " + std::to_string(id));
         rig.run(kSecond / 10);
-        for (int join = 0; join < 2; ++join) rig.end(id, JoinEnd::Error);
+        for (int join = 0; join < 2; ++join) rig.end(id, JoinResult::Error);
         rig.run(kSecond / 10);
         EXPECT_EQ(rig.throttled.count(SubId{id}), 1u);  // two have said so: no third join is spent on it
     }
@@ -150,7 +150,7 @@
     for (unsigned id = 101; id <= 120 && rig.choices.back().among == 2; ++id) {
         rig.subscribe(id);
         rig.run(kSecond / 10);
-        rig.end(id, JoinEnd::Error);
+        rig.end(id, JoinResult::Error);
         rig.run(kSecond / 10);
         if (rig.last(id).no == 1) rig.play(id);
     }
@@ -162,7 +162,7 @@
     for (unsigned id = 1; id < 6; ++id) {
         rig.subscribe(id);
         rig.run(kSecond / 10);
-        if (rig.count.count(SubId{id})) rig.end(id, JoinEnd::NoConnection);
+        if (rig.count.count(SubId{id})) rig.end(id, JoinResult::NoConnection);
         rig.run(4 * kSecond);
     }
     rig.run(20 * kSecond);  // longer than the warm-up
@@ -186,8 +186,8 @@
         for (int i = 0; i < fronts; ++i) {
             all.push_back(
                 std::make_unique<Rig>(Site{.sfus = 1, .fronts = fronts, .seed = 17u + unsigned(i)}));
-            all[std::size_t(i)]->logic->listChanged(all[0]->now,
-                                                    std::vector{Rig::entry(0, Standing::On, all[0]->now)});
+            all[std::size_t(i)]->logic->onServerListChange(
+                all[0]->now, std::vector{Rig::entry(0, ServerState::On, all[0]->now)});
         }
         for (unsigned id = 1; id <= 50; ++id)
             for (auto& rig : all) {
@@ -223,16 +223,16 @@
 // Room over the number of fronts let nobody rise among hundreds; own rates over all that is asked do.
 TEST(Room, ALoneSubscriptionOnAnEmptyLinkRisesHoweverManyFrontsThereAre) {
     Rig rig(Site{.sfus = 4, .fronts = 300});
-    Wish w;
+    SubscriptionRequest w;
     w.title = TitleId{"t"};
-    w.giveUpAt = rig.now;
+    w.deadline = rig.now;
     w.holders = 4;
     w.maxRung = 2;
-    rig.logic->handedOver(rig.now, SubId{1}, w, SfuId{100});
+    rig.logic->onAdopted(rig.now, SubId{1}, w, SfuId{100});
     for (int n = 0; n < 6; ++n) {
         rig.run(7 * kSecond);
         const double rate[] = {100, 300, 900};
-        rig.logic->linkUse(rig.now, SubId{1}, SfuId{100}, rate[rig.rungs[SubId{1}]] / 10'000);
+        rig.logic->onLinkUse(rig.now, SubId{1}, SfuId{100}, rate[rig.rungs[SubId{1}]] / 10'000);
     }
     rig.run(kSecond);
     EXPECT_EQ(rig.rungs[SubId{1}], 2);
@@ -243,14 +243,14 @@
     int drops = 0;
     for (unsigned i = 0; i < 100; ++i) {
         Rig rig(Site{.sfus = 4, .fronts = 100, .seed = i + 1});
-        Wish w;
+        SubscriptionRequest w;
         w.title = TitleId{"t"};
         w.holders = 4;
         w.maxRung = 2;
-        rig.logic->handedOver(rig.now, SubId{1}, w, SfuId{100});
-        rig.logic->rungInForce(rig.now, SubId{1}, 2);
+        rig.logic->onAdopted(rig.now, SubId{1}, w, SfuId{100});
+        rig.logic->onRungInForce(rig.now, SubId{1}, 2);
         rig.run(11 * kSecond);
-        rig.logic->linkUse(rig.now, SubId{1}, SfuId{100}, 1.1);
+        rig.logic->onLinkUse(rig.now, SubId{1}, SfuId{100}, 1.1);
         rig.run(2 * kSecond);
         drops += rig.rungs.count(SubId{1}) && rig.rungs[SubId{1}] == 1;
     }
@@ -263,7 +263,7 @@
     Rig rig(Site{.sfus = 1, .fronts = 300});
     rig.subscribe(1);
     rig.run(kSecond / 10);
-    rig.end(1, JoinEnd::Reset);
+    rig.end(1, JoinResult::Reset);
     rig.run(kSecond / 10);
     ASSERT_EQ(rig.joins.size(), 2u) << "tried again at once, with no cold pace";
 }
@@ -297,9 +297,10 @@
     }
     EXPECT_NE(a, b);
     Rig rig(Site{.sfus = 40, .fronts = 100, .every = 0, .joinPart = .3});
-    std::vector<ListedSfu> fading;
-    for (const SfuId id : a) fading.push_back(Rig::entry(static_cast<int>(id.v - 100), Standing::Fading));
-    rig.logic->listChanged(rig.now, fading);
+    std::vector<SfuEntry> fading;
+    for (const SfuId id : a)
+        fading.push_back(Rig::entry(static_cast<int>(id.v - 100), ServerState::Draining));
+    rig.logic->onServerListChange(rig.now, fading);
     rig.subscribe(1, 3 * kSecond, 0, "one");
     rig.run(kSecond / 10);
     EXPECT_FALSE(a.contains(rig.last(1).at));
@@ -314,10 +315,10 @@
             rig.subscribe(1);
             rig.run(kSecond / 10);
             rig.play(1);
-            rig.logic->rungInForce(rig.now, SubId{1}, 2);
+            rig.logic->onRungInForce(rig.now, SubId{1}, 2);
             rig.rungs[SubId{1}] = 2;
             rig.run(10 * kSecond);
-            rig.logic->shareDelivered(rig.now, SubId{1}, rig.last(1).at, .7);
+            rig.logic->onShareDelivered(rig.now, SubId{1}, rig.last(1).at, .7);
             rig.run(kSecond);
             (part < 1 ? shared : alone) += rig.rungs[SubId{1}] < 2;
         }
@@ -333,7 +334,7 @@
             rig.subscribe(id);
             rig.run(kSecond / 10);
             rig.play(id);
-            rig.logic->rungInForce(rig.now, SubId{id}, 0);
+            rig.logic->onRungInForce(rig.now, SubId{id}, 0);
             rig.rungs[SubId{id}] = 0;
         }
         const auto risen = [&] {
@@ -370,7 +371,7 @@
         rig.subscribe(1);
         rig.run(kSecond / 10);
         const SfuId first = rig.last(1).at;
-        rig.end(1, JoinEnd::Full);
+        rig.end(1, JoinResult::Full);
         rig.run(1'500'000);
         rig.subscribe(2);
         rig.run(kSecond / 10);
@@ -390,16 +391,16 @@
             rig.subscribe(id, 3 * kSecond, 1);
             rig.run(kSecond / 20);
             rig.play(id);
-            if (!at.emplace(rig.last(id).at, id).second) rig.end(id, JoinEnd::Played, true);
+            if (!at.emplace(rig.last(id).at, id).second) rig.end(id, JoinResult::Played, true);
         }
         ASSERT_EQ(at.size(), 4u);
         for (const auto& [sfu, id] : at) {
-            rig.logic->rungInForce(rig.now, SubId{id}, 2);
+            rig.logic->onRungInForce(rig.now, SubId{id}, 2);
             rig.rungs[SubId{id}] = 2;
         }
         rig.run(2 * kSecond);
         for (int second = 0; second < 3; ++second) {
-            rig.logic->shareDelivered(rig.now, SubId{at[SfuId{102}]}, SfuId{102}, .7);
+            rig.logic->onShareDelivered(rig.now, SubId{at[SfuId{102}]}, SfuId{102}, .7);
             rig.run(kSecond);
         }
         there += rig.rungs[SubId{at[SfuId{102}]}] < 2;
@@ -412,8 +413,8 @@
 // Given up on is answered at once: no request is held so that its viewer can't ask again.
 TEST(Untold, WhatNobodyCanServeIsAnsweredLongBeforeItsClientTimeout) {
     Rig rig(Site{.sfus = 2, .every = 0});
-    rig.logic->listChanged(rig.now,
-                           std::vector{Rig::entry(0, Standing::Off), Rig::entry(1, Standing::Fading)});
+    rig.logic->onServerListChange(
+        rig.now, std::vector{Rig::entry(0, ServerState::Off), Rig::entry(1, ServerState::Draining)});
     rig.subscribe(1);
     rig.run(50'000);
     EXPECT_EQ(rig.throttled.count(SubId{1}), 1u);
@@ -429,9 +430,9 @@
     }
     EXPECT_EQ(across, 0);
     Rig rig(Site{.sfus = 8, .fronts = 20, .crossZone = .04});
-    std::vector<ListedSfu> gone;
-    for (int i = 0; i < 8; i += 2) gone.push_back(Rig::entry(i, Standing::Off));
-    rig.logic->listChanged(rig.now, gone);
+    std::vector<SfuEntry> gone;
+    for (int i = 0; i < 8; i += 2) gone.push_back(Rig::entry(i, ServerState::Off));
+    rig.logic->onServerListChange(rig.now, gone);
     rig.subscribe(1);
     rig.run(kSecond / 10);
     EXPECT_EQ(rig.last(1).at.v % 2, 1u) << "better served across than not at all";
@@ -441,7 +442,7 @@
 TEST(Recall, AFailingServerStaysSetAsideAndARestartedOneDoesNot) {
     Rig first(Site{.sfus = 2, .fronts = 1});
     const auto evidence = [&] {
-        for (const Learnt& l : first.logic->learnt(first.now))
+        for (const ServerEvidence& l : first.logic->serverEvidence(first.now))
             if (l.id == SfuId{100}) return l.evidence;
         return 0.0;
     };
@@ -449,16 +450,17 @@
         ASSERT_LT(id, 60u);
         first.subscribe(id);
         first.run(kSecond / 10);
-        if (first.last(id).at == SfuId{100}) first.end(id, JoinEnd::Error);
+        if (first.last(id).at == SfuId{100}) first.end(id, JoinResult::Error);
         first.play(id);
     }
-    const auto learnt = first.logic->learnt(first.now);
+    const auto learnt = first.logic->serverEvidence(first.now);
     for (const bool restarted : {false, true}) {
         int there = 0;
         for (unsigned seed = 1; seed <= 20; ++seed) {
             Rig next(Site{.sfus = 2, .fronts = 1, .seed = seed});
-            next.logic->recall(next.now, learnt);
-            if (restarted) next.logic->listChanged(next.now, std::vector{Rig::entry(0, Standing::On, 1)});
+            next.logic->restoreServerEvidence(next.now, learnt);
+            if (restarted)
+                next.logic->onServerListChange(next.now, std::vector{Rig::entry(0, ServerState::On, 1)});
             next.subscribe(1);
             next.run(kSecond / 10);
             there += next.last(1).at == SfuId{100};
@@ -470,8 +472,8 @@
         }
     }
     Rig other(Site{.sfus = 2});
-    other.logic->recall(other.now,
-                        std::vector<Learnt>{{SfuId{999}, 6, 3, 0}});  // of a box that is not listed
+    other.logic->restoreServerEvidence(
+        other.now, std::vector<ServerEvidence>{{SfuId{999}, 6, 3, 0}});  // of a box that is not listed
     other.subscribe(1);
     other.run(kSecond / 10);
     EXPECT_EQ(other.joins.size(), 1u);
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -193,7 +193,7 @@
     void broke(SubId) override {}
     const node::SetupWords* wordsOf(SubId id) override { return &words.at(id); }
     void answered(SubId, const std::string&) override {}
-    void over(SubId, JoinEnd, int, const Load&) override {}
+    void over(SubId, JoinResult, int, const LoadReport&) override {}
 };
 
 TEST(NodeServers, OneMayBeCalledOffWhileItsConnectionGoes) {
@@ -204,17 +204,18 @@
     core::Watcher watcher;
     node::Servers servers(net, {}, user);
     const Json told = settings();
-    core::Core core(
-        net, setup::roomTypesOf(told, setup::ladderOf(told, "s"), "s"), {}, kSecond, servers, watcher,
-        [&](Host& host, Micros now) { return setup::made<core::ModuleDecides>(host, now, 7, told, "s"); });
+    core::Core core(net, setup::parseRoomTypes(told, setup::parseLadder(told, "s"), "s"), {}, kSecond,
+                    servers, watcher, [&](Host& host, Micros now) {
+                        return setup::makeDecider<core::ModuleDecides>(host, now, 7, told, "s");
+                    });
     user.core = &core;
     servers.connect(core);
     servers.at(SfuId{0}, day.servers[0]->at());
-    ListedSfu one;
-    one.standing = Standing::On;
-    core.listed(std::span(&one, 1), false);
+    SfuEntry one;
+    one.standing = ServerState::On;
+    core.onServerList(std::span(&one, 1), false);
     const auto ask = [&](std::uint32_t room, int n) {
-        Wish wish;
+        SubscriptionRequest wish;
         wish.room = RoomTypeId{room};
         wish.title = TitleId{"t"};
         wish.holders = 3;
@@ -242,7 +243,7 @@
         return &words;
     }
     void answered(SubId, const std::string&) override {}
-    void over(SubId, JoinEnd, int, const Load&) override {}
+    void over(SubId, JoinResult, int, const LoadReport&) override {}
 };
 
 // Guards against a dead server that fills the memory, and is knocked at by hundreds of fronts all the time.
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -475,7 +475,7 @@
     const auto wrong = [&](const std::string& text) -> std::string {
         try {
             node::Node(day.machine(15), "c.json", text, log);
-        } catch (const setup::Bad& e) {
+        } catch (const setup::InvalidValue& e) {
             return e.what();
         }
         return "taken";
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -14,21 +14,21 @@
     explicit PlainRules(const Site& s) : Rig(s) {}
 
     struct Request {
-        Wish wish;
+        SubscriptionRequest wish;
         Micros takenAt = 0;
         std::vector<std::pair<SfuId, Micros>> sent;
-        std::vector<JoinEnd> ends;
+        std::vector<JoinResult> ends;
         std::optional<Micros> playsAt, answeredAt;
         bool left = false, over = false;
         int answers = 0;
         bool out() const { return sent.size() > ends.size(); }
     };
     std::map<SubId, Request> requests;
-    std::map<SfuId, ListedSfu> lines;
+    std::map<SfuId, SfuEntry> lines;
     std::vector<Micros> further;
 
-    static bool provesNothingRan(JoinEnd end) {
-        return end == JoinEnd::Full || end == JoinEnd::NoConnection || end == JoinEnd::NeverSent;
+    static bool provesNothingRan(JoinResult end) {
+        return end == JoinResult::Full || end == JoinResult::NoConnection || end == JoinResult::NeverSent;
     }
     static bool nothingRan(const Request& r) {
         return !r.out() && std::all_of(r.ends.begin(), r.ends.end(), provesNothingRan);
@@ -39,14 +39,14 @@
         Request& r = requests.at(id);
         EXPECT_EQ(r.answers, 0) << "a join after the answer";
         EXPECT_FALSE(r.left || r.over || r.out()) << "a join beside another, or for a viewer who left";
-        EXPECT_LT(now, r.wish.giveUpAt);
-        EXPECT_LE(timeOut, r.wish.giveUpAt - now);
+        EXPECT_LT(now, r.wish.deadline);
+        EXPECT_LE(timeOut, r.wish.deadline - now);
         EXPECT_GT(timeOut, 0);
         EXPECT_LT(r.sent.size(), 3u) << "more joins than the site allows";
         EXPECT_TRUE(!room(r).paid || nothingRan(r)) << "a paid set-up repeated";
         EXPECT_TRUE(!room(r).keyed || nothingRan(r) || now - r.sent.back().second < room(r).repeatWithin);
         ASSERT_TRUE(lines.count(at));
-        EXPECT_EQ(lines[at].standing, Standing::On) << "a join to a media server that drains or is gone";
+        EXPECT_EQ(lines[at].standing, ServerState::On) << "a join to a media server that drains or is gone";
         bool holds = false;
         for (int j = 0; j < r.wish.holders; ++j)
             holds |= (r.wish.firstCell.v + static_cast<unsigned>(j)) % static_cast<unsigned>(site.sfus) ==
@@ -78,23 +78,23 @@
         r.sent.emplace_back(at, now);
         Rig::join(id, at, timeOut);
     }
-    void throttle(SubId id, Micros comeBack) override {
+    void throttle(SubId id, Micros retryAfter) override {
         Request& r = requests.at(id);
         EXPECT_FALSE(r.out()) << "throttled with a join out";
         EXPECT_TRUE(!room(r).paid || nothingRan(r)) << "a paid one throttled that may have run";
-        EXPECT_LE(comeBack, site.comeBack ? kSecond / 2 : 0);
+        EXPECT_LE(retryAfter, site.retryAfter ? kSecond / 2 : 0);
         answer(r);
     }
     void terminate(SubId id) override { answer(requests.at(id)); }
     void answer(Request& r) {
         EXPECT_FALSE(r.left || r.over || r.playsAt) << "answered what is over";
-        EXPECT_LE(now, r.wish.giveUpAt + 10'000) << "answered too late";
+        EXPECT_LE(now, r.wish.deadline + 10'000) << "answered too late";
         EXPECT_EQ(++r.answers, 1) << "answered twice";
     }
-    void take(unsigned id, const Wish& wish) {
+    void take(unsigned id, const SubscriptionRequest& wish) {
         requests[SubId{id}].wish = wish;
         requests[SubId{id}].takenAt = now;
-        logic->subscribe(now, SubId{id}, wish);
+        logic->onSubscribe(now, SubId{id}, wish);
     }
     std::optional<SubId> dueBy(Micros until) {
         std::optional<SubId> first;
@@ -110,14 +110,14 @@
             const auto first = dueBy(now);
             if (!first) run(std::min<Micros>(until - now, 5'000));
             if (!first) continue;
-            requests[*first].ends.push_back(JoinEnd::TimedOut);
+            requests[*first].ends.push_back(JoinResult::TimedOut);
             requests[*first].over = requests[*first].left;
-            end(first->v, JoinEnd::TimedOut, requests[*first].over);
+            end(first->v, JoinResult::TimedOut, requests[*first].over);
         }
     }
-    void list(const ListedSfu& line) {
+    void list(const SfuEntry& line) {
         lines[line.id] = line;
-        logic->listChanged(now, std::vector{line});
+        logic->onServerListChange(now, std::vector{line});
     }
 };
 
@@ -134,12 +134,12 @@
     site.repeatWithin = pick(0, 1) ? kSecond / 10 : 5 * kSecond;
     site.floor = pick(0, 1);
     site.seats = pick(0, 1) ? pick(1, 4) : 0;
-    site.comeBack = pick(0, 1);
+    site.retryAfter = pick(0, 1);
     if (pick(0, 1)) site.budget = JoinBudget{static_cast<double>(pick(0, 3)), .1, 5 * kSecond};
     site.every = pick(0, 1) ? 2 * kSecond : 0;
     PlainRules front(site);
     for (int i = 0; i < site.sfus; ++i)
-        front.lines[Rig::entry(i, Standing::On).id] = Rig::entry(i, Standing::On);
+        front.lines[Rig::entry(i, ServerState::On).id] = Rig::entry(i, ServerState::On);
 
     unsigned next = 1;
     const int calm = pick(1, 8);   // how seldom things fail
@@ -147,10 +147,10 @@
     for (int step = 0; step < 2500; ++step) {
         front.runWithTimeOuts(pick(1, 60) * 1'000);
         if (step < 2200 && pick(0, 2) == 0) {
-            Wish w;
+            SubscriptionRequest w;
             w.room = RoomTypeId{static_cast<unsigned>(pick(0, 1))};
             w.title = TitleId{std::to_string(pick(0, 3))};
-            w.giveUpAt = front.now + pick(1, 4000) * 1'000;
+            w.deadline = front.now + pick(1, 4000) * 1'000;
             w.firstCell = Cell{static_cast<unsigned>(pick(0, site.sfus - 1))};
             w.holders = pick(1, site.sfus);
             w.maxRung = pick(0, 2);
@@ -164,39 +164,39 @@
                 front.play(id.v);
                 continue;
             }
-            auto end = static_cast<JoinEnd>(pick(1, 7));
-            if (r.playsAt) end = pick(0, calm) ? JoinEnd::Played : JoinEnd::Reset;
+            auto end = static_cast<JoinResult>(pick(1, 7));
+            if (r.playsAt) end = pick(0, calm) ? JoinResult::Played : JoinResult::Reset;
             r.ends.push_back(end);
             r.over = r.playsAt || r.left;
             front.end(id.v, end, r.over);
         }
         const int i = pick(0, site.sfus - 1);
-        const SfuId sfu = Rig::entry(i, Standing::On).id;
+        const SfuId sfu = Rig::entry(i, ServerState::On).id;
         const SubId any{static_cast<unsigned>(pick(1, static_cast<int>(next)))};
         switch (pick(0, 60)) {
             case 0:
-                front.list(Rig::entry(i, Standing::Fading));
+                front.list(Rig::entry(i, ServerState::Draining));
                 break;
             case 1:
-                front.list(Rig::entry(i, Standing::Off));
+                front.list(Rig::entry(i, ServerState::Off));
                 break;
             case 2:
             case 3:
-                front.list(Rig::entry(i, Standing::On, front.now));
+                front.list(Rig::entry(i, ServerState::On, front.now));
                 break;
             case 4: {
                 auto it = front.requests.find(any);
                 if (it == front.requests.end() || it->second.playsAt || it->second.answers) break;
                 it->second.left = true;
-                front.logic->viewerLeft(front.now, any);
+                front.logic->onViewerLeft(front.now, any);
                 break;
             }
             default:
                 break;
         }
-        if (pick(0, 3) == 0) front.logic->linkUse(front.now, any, sfu, pick(0, 200) / 100.0);
-        if (pick(0, 9) == 0) front.logic->uplinkUse(front.now, any, sfu, pick(0, 200) / 100.0);
-        if (pick(0, 9) == 0) front.logic->shareDelivered(front.now, any, sfu, pick(0, 100) / 100.0);
+        if (pick(0, 3) == 0) front.logic->onLinkUse(front.now, any, sfu, pick(0, 200) / 100.0);
+        if (pick(0, 9) == 0) front.logic->onUplinkUse(front.now, any, sfu, pick(0, 200) / 100.0);
+        if (pick(0, 9) == 0) front.logic->onShareDelivered(front.now, any, sfu, pick(0, 100) / 100.0);
         if (HasFailure()) FAIL() << "seed " << GetParam() << " step " << step;
     }
     int played = 0;
