--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -402,7 +402,7 @@
         static_cast<unsigned long long>(c.messages), static_cast<unsigned long long>(front.sip()->absorbed()),
         static_cast<unsigned long long>(c.cancelled), static_cast<unsigned long long>(c.unacknowledged),
         static_cast<unsigned long long>(c.expired), seconds(toQuiet), front.sip()->calls(),
-        front.sip()->transactions(), front.core().held(), plays, given, breaches.size());
+        front.sip()->transactions(), front.core().subscriptionCount(), plays, given, breaches.size());
     for (const auto& b : breaches) std::printf("  rule %d: %s\n", b.rule, b.what.c_str());
     return breaches.empty() && twice == 0 && front.sip()->calls() == 0 ? 0 : 1;
 }
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -5,15 +5,15 @@
 namespace valekeel::core {
 
 Core::Core(net::Net& net, const std::vector<RoomType>& rooms, const CoreLimits& limits, Micros deliveryWindow,
-           Sender& sender, Watcher& watcher, const Decide& decide)
+           JoinSender& sender, CoreObserver& observer, const ModuleFactory& decide)
     : net_(net),
       rooms_(rooms),
       limits_(limits),
       delivery_(deliveryWindow),
       sender_(sender),
-      watcher_(watcher),
+      observer_(observer),
       reportTimer_(net, [this] { report(); }) {
-    tell([&] { decides_ = decide(*this, net_.now()); });
+    callModule([&] { module_ = decide(*this, net_.now()); });
     reportTimer_.after(delivery_.window());
 }
 
@@ -22,7 +22,7 @@
 // The module calls back while it is told something. What that sets off outside is done once it has returned:
 // an answer that finds its connection broken must not come back into the module from below.
 template <class Call>
-void Core::tell(Call&& call) {
+void Core::callModule(Call&& call) {
     ++telling_;
     call();
     --telling_;
@@ -38,12 +38,13 @@
 
 void Core::after(std::function<void()> what) {
     after_.push_back(std::move(what));
-    if (telling_ == 0 && !draining_) tell([] {});
+    if (telling_ == 0 && !draining_) callModule([] {});
 }
 
 // ================= from a face =================
 
-std::optional<SubId> Core::ask(Face& face, SubscriptionRequest wish, Micros clientTimeout) {
+std::optional<SubId> Core::subscribe(SubscriptionHandler& handler, SubscriptionRequest wish,
+                                     Micros clientTimeout) {
     if (subs_.size() >= limits_.subs) {
         ++counts_.refusedFull;
         return std::nullopt;
@@ -51,7 +52,7 @@
     const Micros now = net_.now();
     const SubId id{nextSub_++};
     Sub& sub = subs_[id];
-    sub.face = &face;
+    sub.handler = &handler;
     wish.deadline = now + clientTimeout - limits_.answerMargin;
     sub.wish = wish;
     sub.askedAt = now;
@@ -59,15 +60,15 @@
     sub.guard->at(now + clientTimeout - limits_.answerMargin / 2);
     ++unanswered_;
     ++counts_.asked;
-    watcher_.asked(id, wish);
+    observer_.onRequest(id, wish);
     return id;
 }
 
-std::optional<SubId> Core::handOver(Face& face, const SubscriptionRequest& wish, SfuId at) {
+std::optional<SubId> Core::adopt(SubscriptionHandler& handler, const SubscriptionRequest& wish, SfuId at) {
     if (subs_.size() >= limits_.subs) return std::nullopt;
     const SubId id{nextSub_++};
     Sub& sub = subs_[id];
-    sub.face = &face;
+    sub.handler = &handler;
     sub.wish = wish;
     sub.state = State::Answered;
     sub.begun = sub.plays = true;
@@ -75,19 +76,19 @@
     sub.at = at;
     sub.rung = rooms_[wish.room.v].floor;
     sub.askedAt = sub.playsSince = net_.now();
-    tell([&] { decides_->onAdopted(net_.now(), id, wish, at); });
+    callModule([&] { module_->onAdopted(net_.now(), id, wish, at); });
     return id;
 }
 
-void Core::begin(SubId id) {
+void Core::start(SubId id) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.begun) return;
     it->second.begun = true;
     const SubscriptionRequest wish = it->second.wish;
-    tell([&] { decides_->onSubscribe(net_.now(), id, wish); });
+    callModule([&] { module_->onSubscribe(net_.now(), id, wish); });
 }
 
-void Core::left(SubId id) {
+void Core::unsubscribe(SubId id) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.left) return;
     Sub& sub = it->second;
@@ -101,13 +102,13 @@
     sub.guard.reset();
     if (sub.plays) {
         sender_.release(id, sub.at);
-        tell([&] {
-            decides_->onJoinEnded(now, id, sub.joins - 1, sub.at, JoinResult::Played, true,
-                                  now - sub.playsSince, LoadReport{});
+        callModule([&] {
+            module_->onJoinEnded(now, id, sub.joins - 1, sub.at, JoinResult::Played, true,
+                                 now - sub.playsSince, LoadReport{});
         });
         drop(id, "left");
     } else {
-        tell([&] { decides_->onViewerLeft(now, id); });
+        callModule([&] { module_->onViewerLeft(now, id); });
         // What a join that is out comes to is still awaited. One that may be repeated is called off. A paid
         // one that may have left runs to its end, and its place is given back then.
         if (!sub.joinOut)
@@ -119,72 +120,75 @@
     }
 }
 
-void Core::rungFetched(SubId id, int rung) {
+void Core::onRungFetched(SubId id, int rung) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || !it->second.plays || it->second.rung != rung) return;
-    tell([&] { decides_->onRungInForce(net_.now(), id, rung); });
+    callModule([&] { module_->onRungInForce(net_.now(), id, rung); });
 }
 
-void Core::lost(SubId id, JoinResult end, const LoadReport& load) {
+void Core::onPlaybackEnded(SubId id, JoinResult end, const LoadReport& load) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || !it->second.plays) return;
     Sub& sub = it->second;
     const Micros now = net_.now();
     if (end != JoinResult::Played) ++counts_.broke;
     sub.plays = false;
-    Face* face = sub.left ? nullptr : sub.face;
-    tell([&] {
-        decides_->onJoinEnded(now, id, sub.joins - 1, sub.at, end, true, now - sub.playsSince, load);
-        if (face)
-            after([face, id, end] { end == JoinResult::Played ? face->finished(id) : face->broke(id); });
+    SubscriptionHandler* handler = sub.left ? nullptr : sub.handler;
+    callModule([&] {
+        module_->onJoinEnded(now, id, sub.joins - 1, sub.at, end, true, now - sub.playsSince, load);
+        if (handler)
+            after([handler, id, end] {
+                end == JoinResult::Played ? handler->onFinished(id) : handler->onServerLost(id);
+            });
     });
     drop(id, end == JoinResult::Played ? "finished" : "broke");
 }
 
-void Core::rungTold(SubId id, int rung) {
+void Core::onRungInForce(SubId id, int rung) {
     const auto it = subs_.find(id);
-    if (it != subs_.end() && it->second.plays) tell([&] { decides_->onRungInForce(net_.now(), id, rung); });
+    if (it != subs_.end() && it->second.plays)
+        callModule([&] { module_->onRungInForce(net_.now(), id, rung); });
 }
 
-void Core::delivered(SubId id, SfuId at, double share) {
-    tell([&] { decides_->onShareDelivered(net_.now(), id, at, share); });
+void Core::onShareDelivered(SubId id, SfuId at, double share) {
+    callModule([&] { module_->onShareDelivered(net_.now(), id, at, share); });
 }
 
 // ================= from what is sent =================
 
-void Core::joined(SubId id, int joinNo, const JoinOutcome& outcome) {
+void Core::onJoinOutcome(SubId id, int joinNo, const JoinOutcome& outcome) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || !it->second.joinOut || joinNo != it->second.joins - 1) return;
     Sub& sub = it->second;
     const Micros now = net_.now();
     sub.joinOut = false;
-    watcher_.onJoinEnded(id, joinNo, sub.at, outcome);
+    observer_.onJoinEnded(id, joinNo, sub.at, outcome);
     if (outcome.end == JoinResult::Played) {
         sub.plays = true;
         sub.playsSince = now;
         const SfuId at = sub.at;
         bool wanted = false;
-        tell([&] {
+        callModule([&] {
             wanted = !sub.left && answer(id, sub, "plays");
             if (wanted) {
                 ++counts_.played;
                 after([this, id] {
                     const auto found = subs_.find(id);
                     if (found != subs_.end() && !found->second.left)
-                        found->second.face->plays(id, found->second.at, found->second.rung);
+                        found->second.handler->onPlaying(id, found->second.at, found->second.rung);
                 });
             }
-            decides_->onPlaying(now, id, joinNo, at, outcome.took);
+            module_->onPlaying(now, id, joinNo, at, outcome.took);
             // Nobody waits for it any more: its place is given back at once.
             if (!wanted)
-                decides_->onJoinEnded(now, id, joinNo, at, JoinResult::Played, true, outcome.took,
-                                      outcome.load);
+                module_->onJoinEnded(now, id, joinNo, at, JoinResult::Played, true, outcome.took,
+                                     outcome.load);
         });
         if (!wanted) {
             sender_.release(id, at);
             drop(id, "left");
         } else if (subs_.count(id)) {
-            figures(id, at, outcome.load.linkUse, outcome.load.uplinkUse);
+            onLoadReport(id, at, outcome.load.linkUse, outcome.load.uplinkUse);
         }
         return;
     }
@@ -192,12 +196,13 @@
     // A try that may have run and is given up on leaves nothing behind if that can be helped.
     if (!outcome.neverRan) sender_.release(id, sub.at);
     const SfuId at = sub.at;
-    tell([&] { decides_->onJoinEnded(now, id, joinNo, at, outcome.end, over, outcome.took, outcome.load); });
+    callModule(
+        [&] { module_->onJoinEnded(now, id, joinNo, at, outcome.end, over, outcome.took, outcome.load); });
     const auto again = subs_.find(id);
     if (over && again != subs_.end()) drop(id, "left");
 }
 
-void Core::figures(SubId id, SfuId at, std::optional<double> link, std::optional<double> uplink) {
+void Core::onLoadReport(SubId id, SfuId at, std::optional<double> link, std::optional<double> uplink) {
     if (!link && !uplink) return;
     const Micros now = net_.now();
     auto& [linkAt, uplinkAt] =
@@ -206,16 +211,16 @@
     const bool tellUplink = uplink && now - uplinkAt >= limits_.reportEvery;
     if (tellLink) linkAt = now;
     if (tellUplink) uplinkAt = now;
-    tell([&] {
-        if (tellLink) decides_->onLinkUse(now, id, at, *link);
-        if (tellUplink) decides_->onUplinkUse(now, id, at, *uplink);
+    callModule([&] {
+        if (tellLink) module_->onLinkUse(now, id, at, *link);
+        if (tellUplink) module_->onUplinkUse(now, id, at, *uplink);
     });
 }
 
 void Core::report() {
     const Micros now = net_.now();
-    for (const Delivery::Told& t : delivery_.told(now))
-        tell([&] { decides_->onShareDelivered(now, t.sub, t.at, t.share); });
+    for (const DeliveryMeter::ShareReport& t : delivery_.takeReports(now))
+        callModule([&] { module_->onShareDelivered(now, t.sub, t.at, t.share); });
     reportTimer_.after(delivery_.window());
 }
 
@@ -226,21 +231,21 @@
         return std::none_of(all.begin(), all.end(),
                             [&](const SfuEntry& one) { return one.id == told.first; });
     });
-    tell([&] { decides_->onServerList(net_.now(), all, stale); });
+    callModule([&] { module_->onServerList(net_.now(), all, stale); });
 }
 void Core::onServerListChange(std::span<const SfuEntry> some) {
     for (const SfuEntry& one : some)
         if (one.standing == ServerState::Off) figuresAt_.erase(one.id);
-    tell([&] { decides_->onServerListChange(net_.now(), some); });
+    callModule([&] { module_->onServerListChange(net_.now(), some); });
 }
 std::vector<ServerEvidence> Core::serverEvidence() const {
-    return decides_->serverEvidence(net_.now());
+    return module_->serverEvidence(net_.now());
 }
 void Core::restoreServerEvidence(std::span<const ServerEvidence> all) {
-    tell([&] { decides_->restoreServerEvidence(net_.now(), all); });
+    callModule([&] { module_->restoreServerEvidence(net_.now(), all); });
 }
 void Core::onServerListFailure() {
-    tell([&] { decides_->onServerListFailure(net_.now()); });
+    callModule([&] { module_->onServerListFailure(net_.now()); });
 }
 
 // ================= Host =================
@@ -262,8 +267,8 @@
         const Sub& s = found->second;
         // Whoever has gone since, or has been answered, gets nothing set up.
         if (s.left || s.state == State::Answered)
-            return joined(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "its viewer has gone"});
-        watcher_.joinSent(id, joinNo, at, s.rung, until - net_.now());
+            return onJoinOutcome(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "its viewer has gone"});
+        observer_.onJoinSent(id, joinNo, at, s.rung, until - net_.now());
         sender_.join(id, joinNo, at, s.rung, until - net_.now(), rooms_[s.wish.room.v].paid);
     });
 }
@@ -276,7 +281,7 @@
     after([this, id, rung] {
         const auto found = subs_.find(id);
         if (found != subs_.end() && found->second.plays && !found->second.left)
-            found->second.face->rungSet(id, rung);
+            found->second.handler->onRungChanged(id, rung);
     });
 }
 
@@ -286,7 +291,7 @@
     sub.state = State::Answered;
     sub.guard.reset();
     --unanswered_;
-    watcher_.answered(id, how, net_.now() - sub.askedAt);
+    observer_.onAnswer(id, how, net_.now() - sub.askedAt);
     return true;
 }
 
@@ -294,9 +299,9 @@
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.left || !answer(id, it->second, "throttled")) return;
     ++counts_.throttled;
-    Face* face = it->second.face;
-    after([this, face, id, retryAfter] {
-        face->throttled(id, retryAfter);
+    SubscriptionHandler* handler = it->second.handler;
+    after([this, handler, id, retryAfter] {
+        handler->onThrottled(id, retryAfter);
         drop(id, "throttled");
     });
 }
@@ -305,10 +310,11 @@
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.left || !answer(id, it->second, "terminated")) return;
     ++counts_.terminated;
-    Face* face = it->second.face;
-    const Ended how = net_.now() >= it->second.wish.deadline ? Ended::TimedOut : Ended::Terminated;
-    after([this, face, id, how] {
-        face->terminated(id, how);
+    SubscriptionHandler* handler = it->second.handler;
+    const TerminationReason how =
+        net_.now() >= it->second.wish.deadline ? TerminationReason::TimedOut : TerminationReason::SetupFailed;
+    after([this, handler, id, how] {
+        handler->onTerminated(id, how);
         drop(id, "terminated");
     });
 }
@@ -322,7 +328,7 @@
         wakes_.erase(it);
         const std::string why = spent_.why;
         if (why == "slot") ++slot_;
-        tell([&] { decides_->onWake(net_.now(), why); });
+        callModule([&] { module_->onWake(net_.now(), why); });
     });
     it->timer->after(wait);
 }
@@ -331,7 +337,7 @@
     after([this] { sender_.followList(); });
 }
 void Core::log(const std::string& words) {
-    watcher_.said(words);
+    observer_.onModuleLog(words);
 }
 
 // The module answers in time by itself. Should it ever not, the viewer is still owed an answer.
@@ -339,13 +345,13 @@
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.state != State::Asked) return;
     ++counts_.guarded;
-    watcher_.guarded(id);
-    Face* face = it->second.face;
+    observer_.onGuardTriggered(id);
+    SubscriptionHandler* handler = it->second.handler;
     if (!answer(id, it->second, "terminated")) return;
     ++counts_.terminated;
-    tell([&] { decides_->onViewerLeft(net_.now(), id); });
-    after([this, face, id] {
-        face->terminated(id, Ended::TimedOut);
+    callModule([&] { module_->onViewerLeft(net_.now(), id); });
+    after([this, handler, id] {
+        handler->onTerminated(id, TerminationReason::TimedOut);
         const auto found = subs_.find(id);
         if (found != subs_.end() && !found->second.joinOut) drop(id, "guarded");
     });
@@ -355,7 +361,7 @@
     const auto it = subs_.find(id);
     if (it == subs_.end()) return;
     if (it->second.joinOut && it->second.left) return;
-    watcher_.over(id, why);
+    observer_.onClosed(id, why);
     subs_.erase(it);
 }
 
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -16,23 +16,23 @@
 
 namespace valekeel::core {
 
-enum class Ended {
-    Terminated,  // its set-up failed, and may have run
-    TimedOut,    // the same, with the client timeout at hand
+enum class TerminationReason {
+    SetupFailed,  // its set-up failed, and may have run
+    TimedOut,     // the same, with the client timeout at hand
 };
 
 // A face, which owns the viewer's side of subscriptions. Called after the call that caused it has returned.
-class Face {
+class SubscriptionHandler {
   public:
-    virtual ~Face() = default;
+    virtual ~SubscriptionHandler() = default;
     // The three answers. Exactly one of them for each subscription that is taken, unless the face said
     // left() before.
-    virtual void plays(SubId, SfuId, int rung) = 0;
-    virtual void throttled(SubId, Micros retryAfter) = 0;  // 0: no time is named
-    virtual void terminated(SubId, Ended) = 0;
-    virtual void rungSet(SubId, int rung) = 0;  // while it plays
-    virtual void broke(SubId) = 0;              // it played, and its media server lost it
-    virtual void finished(SubId) {}             // it played to its end
+    virtual void onPlaying(SubId, SfuId, int rung) = 0;
+    virtual void onThrottled(SubId, Micros retryAfter) = 0;  // 0: no time is named
+    virtual void onTerminated(SubId, TerminationReason) = 0;
+    virtual void onRungChanged(SubId, int rung) = 0;  // while it plays
+    virtual void onServerLost(SubId) = 0;             // it played, and its media server lost it
+    virtual void onFinished(SubId) {}                 // it played to its end
 };
 
 // How one join ended, as the sender of it found.
@@ -48,9 +48,9 @@
 
 // Who sends joins. Never calls back within join(). What waits there, for a connection or for a peer that does
 // not read, must be held back until it can leave: until then whatever allowed it may cease to hold.
-class Sender {
+class JoinSender {
   public:
-    virtual ~Sender() = default;
+    virtual ~JoinSender() = default;
     virtual void join(SubId, int joinNo, SfuId, int rung, Micros timeOut, bool paid) = 0;
     virtual void cancel(SubId, int joinNo) = 0;  // its outcome comes all the same
     // The same, but only where provably nothing of it has left this front; else it runs on.
@@ -61,18 +61,18 @@
 };
 
 // For the record, at each step of a subscription's way.
-class Watcher {
+class CoreObserver {
   public:
-    virtual ~Watcher() = default;
-    virtual void asked(SubId, const SubscriptionRequest&) {}
+    virtual ~CoreObserver() = default;
+    virtual void onRequest(SubId, const SubscriptionRequest&) {}
     // What decided a join: the score that won, if anything fitted, among so many boxes, in which slot.
-    virtual void chose(SubId, SfuId, const double* /*score*/, int /*among*/, std::uint64_t /*slot*/) {}
-    virtual void joinSent(SubId, int /*joinNo*/, SfuId, int /*rung*/, Micros /*timeOut*/) {}
+    virtual void onPlacement(SubId, SfuId, const double* /*score*/, int /*among*/, std::uint64_t /*slot*/) {}
+    virtual void onJoinSent(SubId, int /*joinNo*/, SfuId, int /*rung*/, Micros /*timeOut*/) {}
     virtual void onJoinEnded(SubId, int /*joinNo*/, SfuId, const JoinOutcome&) {}
-    virtual void answered(SubId, std::string_view /*how*/, Micros /*took*/) {}
-    virtual void over(SubId, std::string_view /*why*/) {}
-    virtual void guarded(SubId) {}  // the core had to answer where the module had not: a bug
-    virtual void said(const std::string&) {}
+    virtual void onAnswer(SubId, std::string_view /*how*/, Micros /*took*/) {}
+    virtual void onClosed(SubId, std::string_view /*why*/) {}
+    virtual void onGuardTriggered(SubId) {}  // the core had to answer where the module had not: a bug
+    virtual void onModuleLog(const std::string&) {}
 };
 
 struct CoreLimits {
@@ -81,7 +81,7 @@
     Micros reportEvery = 1'000'000;  // a media server's figures of its load are passed on no more often
 };
 
-struct Counts {
+struct CoreCounts {
     std::uint64_t asked = 0, played = 0, throttled = 0, terminated = 0, left = 0, broke = 0, joins = 0,
                   guarded = 0, refusedFull = 0;
 };
@@ -89,29 +89,30 @@
 class Core final : public Host {
   public:
     // `decide` is handed this core as its Host and must not call it before it returns.
-    using Decide = std::function<std::unique_ptr<Decides>(Host&, Micros now)>;
-    Core(net::Net&, const std::vector<RoomType>&, const CoreLimits&, Micros deliveryWindow, Sender&, Watcher&,
-         const Decide&);
+    using ModuleFactory = std::function<std::unique_ptr<DecisionModule>(Host&, Micros now)>;
+    Core(net::Net&, const std::vector<RoomType>&, const CoreLimits&, Micros deliveryWindow, JoinSender&,
+         CoreObserver&, const ModuleFactory&);
     ~Core() override;
 
     // ---- from a face ----
     // Nothing if no more can be held: the face throttles. `clientTimeout` counts from now. The module hears
     // of it with begin(), which may call the face back before it returns: the face must know the id by then.
-    std::optional<SubId> ask(Face&, SubscriptionRequest, Micros clientTimeout);
-    void begin(SubId);
-    void left(SubId);                                      // the viewer is gone; nothing more is said of it
-    void rungFetched(SubId, int rung);                     // the first segment of a rung was asked for
-    void lost(SubId, JoinResult, const LoadReport& = {});  // its media server broke, or played it to its end
+    std::optional<SubId> subscribe(SubscriptionHandler&, SubscriptionRequest, Micros clientTimeout);
+    void start(SubId);
+    void unsubscribe(SubId);              // the viewer is gone; nothing more is said of it
+    void onRungFetched(SubId, int rung);  // the first segment of a rung was asked for
+    void onPlaybackEnded(SubId, JoinResult,
+                         const LoadReport& = {});  // its media server broke, or played it to its end
     // It plays already, and no answer is owed. Nothing if no more can be held.
-    std::optional<SubId> handOver(Face&, const SubscriptionRequest&, SfuId);
+    std::optional<SubId> adopt(SubscriptionHandler&, const SubscriptionRequest&, SfuId);
 
     // ---- from what is sent ----
-    void joined(SubId, int joinNo, const JoinOutcome&);
-    void figures(SubId, SfuId, std::optional<double> linkUse, std::optional<double> uplinkUse);
-    Delivery& delivery() { return delivery_; }
+    void onJoinOutcome(SubId, int joinNo, const JoinOutcome&);
+    void onLoadReport(SubId, SfuId, std::optional<double> linkUse, std::optional<double> uplinkUse);
+    DeliveryMeter& delivery() { return delivery_; }
     // Where media servers tell of these by themselves.
-    void delivered(SubId, SfuId, double share);
-    void rungTold(SubId, int rung);
+    void onShareDelivered(SubId, SfuId, double share);
+    void onRungInForce(SubId, int rung);
 
     // ---- from the list ----
     void onServerList(std::span<const SfuEntry>, bool stale);
@@ -122,14 +123,14 @@
     std::vector<ServerEvidence> serverEvidence() const;
     void restoreServerEvidence(std::span<const ServerEvidence>);
 
-    const Counts& counts() const { return counts_; }
-    std::size_t held() const { return subs_.size(); }
-    std::size_t unanswered() const { return unanswered_; }
+    const CoreCounts& counts() const { return counts_; }
+    std::size_t subscriptionCount() const { return subs_.size(); }
+    std::size_t unansweredCount() const { return unanswered_; }
 
   private:
     enum class State { Asked, Answered };
     struct Sub {
-        Face* face;
+        SubscriptionHandler* handler;
         SubscriptionRequest wish;
         State state = State::Asked;
         Micros askedAt = 0;
@@ -150,11 +151,11 @@
     void followList() override;
     void log(const std::string&) override;
     void recordPlacement(SubId id, SfuId at, const double* score, int among) override {
-        watcher_.chose(id, at, score, among, slot_);
+        observer_.onPlacement(id, at, score, among, slot_);
     }
 
     template <class Call>
-    void tell(Call&&);
+    void callModule(Call&&);
     void after(std::function<void()>);
     bool answer(SubId, Sub&, std::string_view how);
     void drop(SubId, std::string_view why);
@@ -164,13 +165,13 @@
     net::Net& net_;
     std::vector<RoomType> rooms_;
     CoreLimits limits_;
-    Delivery delivery_;
-    Sender& sender_;
-    Watcher& watcher_;
+    DeliveryMeter delivery_;
+    JoinSender& sender_;
+    CoreObserver& observer_;
     std::map<SubId, Sub> subs_;
     std::uint32_t nextSub_ = 1;
     std::size_t unanswered_ = 0;
-    Counts counts_;
+    CoreCounts counts_;
     std::map<SfuId, std::pair<Micros, Micros>> figuresAt_;  // link, uplink
     struct Wake {
         std::unique_ptr<net::Timer> timer;
@@ -183,7 +184,7 @@
     std::uint64_t slot_ = 0;  // slots of the module that have ended
     bool draining_ = false;
     net::Timer reportTimer_;
-    std::unique_ptr<Decides> decides_;
+    std::unique_ptr<DecisionModule> module_;
 };
 
 }  // namespace valekeel::core
--- a/src/core/decision_module.hpp
+++ b/src/core/decision_module.hpp
@@ -11,9 +11,9 @@
 
 namespace valekeel::core {
 
-class Decides {
+class DecisionModule {
   public:
-    virtual ~Decides() = default;
+    virtual ~DecisionModule() = default;
     virtual void onServerList(Micros now, std::span<const SfuEntry>, bool stale) = 0;
     virtual void onServerListChange(Micros now, std::span<const SfuEntry>) = 0;
     virtual void onServerListFailure(Micros now) = 0;
@@ -33,10 +33,10 @@
 };
 
 // The module, as it is.
-class ModuleDecides final : public Decides {
+class LogicModule final : public DecisionModule {
   public:
     template <class... Given>
-    explicit ModuleDecides(Given&&... given) : logic_(std::forward<Given>(given)...) {}
+    explicit LogicModule(Given&&... given) : logic_(std::forward<Given>(given)...) {}
     void onServerList(Micros now, std::span<const SfuEntry> all, bool stale) override {
         logic_.onServerList(now, all, stale);
     }
--- a/src/core/delivery_meter.cpp
+++ b/src/core/delivery_meter.cpp
@@ -7,33 +7,34 @@
 constexpr double kShort = 0.98;
 }
 
-Micros Delivery::spent(Micros now, const Open& o) {
+Micros DeliveryMeter::spent(Micros now, const Open& o) {
     return now - o.began - o.held - (o.isHeld ? now - o.heldSince : 0);
 }
 
-void Delivery::began(Micros now, FetchId id, SubId sub, SfuId at, Micros playTime, std::uint64_t length) {
+void DeliveryMeter::start(Micros now, FetchId id, SubId sub, SfuId at, Micros playTime,
+                          std::uint64_t length) {
     open_[id] = Open{sub, at, now, playTime, 0, 0, length, 0, false};
 }
-void Delivery::got(FetchId id, std::uint64_t bytes) {
+void DeliveryMeter::addBytes(FetchId id, std::uint64_t bytes) {
     if (const auto it = open_.find(id); it != open_.end()) it->second.bytes += bytes;
 }
-void Delivery::heldBack(Micros now, FetchId id) {
+void DeliveryMeter::pause(Micros now, FetchId id) {
     const auto it = open_.find(id);
     if (it == open_.end() || it->second.isHeld) return;
     it->second.isHeld = true;
     it->second.heldSince = now;
 }
-void Delivery::goesOn(Micros now, FetchId id) {
+void DeliveryMeter::resume(Micros now, FetchId id) {
     const auto it = open_.find(id);
     if (it == open_.end() || !it->second.isHeld) return;
     it->second.isHeld = false;
     it->second.held += now - it->second.heldSince;
 }
-void Delivery::forget(FetchId id) {
+void DeliveryMeter::discard(FetchId id) {
     open_.erase(id);
 }
 
-void Delivery::ended(Micros now, FetchId id) {
+void DeliveryMeter::finish(Micros now, FetchId id) {
     const auto it = open_.find(id);
     if (it == open_.end()) return;
     const Open& o = it->second;
@@ -45,7 +46,7 @@
     open_.erase(it);
 }
 
-std::vector<Delivery::Told> Delivery::told(Micros now) {
+std::vector<DeliveryMeter::ShareReport> DeliveryMeter::takeReports(Micros now) {
     // What comes too slowly to have ended yet counts by how far it is: a server that gives nothing at all
     // would otherwise never be told to be short.
     for (const auto& [id, o] : open_) {
@@ -58,7 +59,7 @@
         box.weight += play;
         box.lastSub = o.sub;
     }
-    std::vector<Told> out;
+    std::vector<ShareReport> out;
     for (auto it = boxes_.begin(); it != boxes_.end();) {
         AtBox& box = it->second;
         if (box.weight <= 0) {
--- a/src/core/delivery_meter.hpp
+++ b/src/core/delivery_meter.hpp
@@ -11,29 +11,29 @@
 
 using FetchId = Id<struct FetchTag, std::uint64_t>;
 
-class Delivery {
+class DeliveryMeter {
   public:
     // `window`: over which shares are averaged, and how often one is told.
-    explicit Delivery(Micros window) : window_(window) {}
+    explicit DeliveryMeter(Micros window) : window_(window) {}
 
     // A segment of so much play time begins to come; it is so many bytes long.
-    void began(Micros now, FetchId, SubId, SfuId, Micros playTime, std::uint64_t length);
-    void got(FetchId, std::uint64_t bytes);
-    void heldBack(Micros now, FetchId);  // the viewer takes nothing
-    void goesOn(Micros now, FetchId);
-    void ended(Micros now, FetchId);  // whole or not
-    void forget(FetchId);             // broken: says nothing of the share
+    void start(Micros now, FetchId, SubId, SfuId, Micros playTime, std::uint64_t length);
+    void addBytes(FetchId, std::uint64_t bytes);
+    void pause(Micros now, FetchId);  // the viewer takes nothing
+    void resume(Micros now, FetchId);
+    void finish(Micros now, FetchId);  // whole or not
+    void discard(FetchId);             // broken: says nothing of the share
 
     // To be asked once a window. Tells, for each media server that is short, its share on one subscription
     // there; and once more, with 1, when it no longer is.
-    struct Told {
+    struct ShareReport {
         SubId sub;
         SfuId at;
         double share;
     };
-    std::vector<Told> told(Micros now);
+    std::vector<ShareReport> takeReports(Micros now);
     Micros window() const { return window_; }
-    std::size_t open() const { return open_.size(); }
+    std::size_t openCount() const { return open_.size(); }
 
   private:
     struct Open {
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -235,7 +235,7 @@
 
 }  // namespace
 
-struct Front::Parts final : core::Watcher, discovery::ListUser {
+struct Front::Parts final : core::CoreObserver, discovery::ListUser {
     net::Net& net;
     Told told;
     logging::Log log;
@@ -282,14 +282,14 @@
                                                        told.listTimes, *this);
         core = std::make_unique<core::Core>(
             net, told.rooms.types, told.core, told.deliveryWindow, joins, *this,
-            [&](Host& host, Micros now) -> std::unique_ptr<core::Decides> {
+            [&](Host& host, Micros now) -> std::unique_ptr<core::DecisionModule> {
                 if (other)
                     return other(host, now, seed, told.rooms.types, told.machines.fleet, told.ladder,
                                  told.allowed);
-                return std::make_unique<core::ModuleDecides>(host, now, seed, told.fronts, told.ladder,
-                                                             told.rooms.types, told.machines.fleet, told.cold,
-                                                             told.budget ? &*told.budget : nullptr,
-                                                             told.tidings, told.allowed, told.prices);
+                return std::make_unique<core::LogicModule>(host, now, seed, told.fronts, told.ladder,
+                                                           told.rooms.types, told.machines.fleet, told.cold,
+                                                           told.budget ? &*told.budget : nullptr,
+                                                           told.tidings, told.allowed, told.prices);
             });
         joins.connect(*core);
         readLearnt();
@@ -320,7 +320,7 @@
         out["sub"] = id.v;
         return out;
     }
-    void chose(SubId id, SfuId at, const double* score, int among, std::uint64_t slot) override {
+    void onPlacement(SubId id, SfuId at, const double* score, int among, std::uint64_t slot) override {
         auto fields = of(id);
         fields["box"] = at.v;
         fields["slot"] = slot;
@@ -331,7 +331,7 @@
             fields["fits"] = false;
         line(logging::Level::Info, "chosen", std::move(fields));
     }
-    void joinSent(SubId id, int joinNo, SfuId at, int rung, Micros timeOut) override {
+    void onJoinSent(SubId id, int joinNo, SfuId at, int rung, Micros timeOut) override {
         auto fields = of(id);
         fields["join"] = joinNo;
         fields["box"] = at.v;
@@ -348,7 +348,7 @@
         fields["took_us"] = outcome.took;
         line(logging::Level::Info, "join-ended", std::move(fields));
     }
-    void answered(SubId id, std::string_view how, Micros took) override {
+    void onAnswer(SubId id, std::string_view how, Micros took) override {
         if (how == "throttled")
             gate.throttled(net.now());
         else
@@ -359,8 +359,8 @@
         fields["took_us"] = took;
         line(logging::Level::Info, "answered", std::move(fields));
     }
-    void guarded(SubId id) override { line(logging::Level::Error, "guard-answered", of(id)); }
-    void said(const std::string& words) override {
+    void onGuardTriggered(SubId id) override { line(logging::Level::Error, "guard-answered", of(id)); }
+    void onModuleLog(const std::string& words) override {
         line(logging::Level::Debug, "module", {{"words", words}});
     }
 
@@ -487,14 +487,14 @@
 
     void lookWhetherDone() {
         const bool plays = face->viewers() > 0 || (sip && sip->calls() > 0);
-        if (core->unanswered() > 0 || (plays && net.now() < stopBy)) {
+        if (core->unansweredCount() > 0 || (plays && net.now() < stopBy)) {
             stopping.after(20'000);
             return;
         }
         if (!told.learntFile.empty()) keepLearnt();
         if (sip) sip->finishUp();
         face->finishUp([this] {
-            const core::Counts& c = core->counts();
+            const core::CoreCounts& c = core->counts();
             line(logging::Level::Info, "stopped",
                  {{"asked", c.asked},
                   {"played", c.played},
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -16,9 +16,9 @@
 namespace valekeel::front {
 
 // What may be put in the place of the module: a baseline in the drill, a broken one in tests.
-using OtherDecide = std::function<std::unique_ptr<core::Decides>(Host&, Micros now, std::uint64_t seed,
-                                                                 const std::vector<RoomType>&, const Fleet&,
-                                                                 const Ladder&, const SubscriptionLimits&)>;
+using OtherDecide = std::function<std::unique_ptr<core::DecisionModule>(
+    Host&, Micros now, std::uint64_t seed, const std::vector<RoomType>&, const Fleet&, const Ladder&,
+    const SubscriptionLimits&)>;
 
 class Front {
   public:
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -76,7 +76,7 @@
     }
     ~Relay() override {
         if (exchange_) exchange_->heldBy(nullptr);
-        face_.core_.delivery().forget(core::FetchId{key_});
+        face_.core_.delivery().discard(core::FetchId{key_});
     }
     void start() {
         Viewer* viewer = face_.byToken(token_);
@@ -168,12 +168,12 @@
                 fields.add("Cache-Control", "no-store");
                 begun_ = true;
                 if (what_ == What::Segment)
-                    face_.core_.delivery().began(face_.net_.now(), core::FetchId{key_}, sub_, at_, playTime_,
+                    face_.core_.delivery().start(face_.net_.now(), core::FetchId{key_}, sub_, at_, playTime_,
                                                  length_);
                 exchange_->begin(200, fields, length_);
             }
         }
-        face_.core_.figures(sub_, at_, load.linkUse, load.uplinkUse);
+        face_.core_.onLoadReport(sub_, at_, load.linkUse, load.uplinkUse);
     }
 
     void piece(std::string_view bytes) override {
@@ -184,12 +184,12 @@
         if (!begun_ || !exchange_) return;
         if (got_ + bytes.size() > length_) bytes = bytes.substr(0, length_ - got_);
         got_ += bytes.size();
-        face_.core_.delivery().got(core::FetchId{key_}, bytes.size());
+        face_.core_.delivery().addBytes(core::FetchId{key_}, bytes.size());
         exchange_->send(bytes);
         if (exchange_ && exchange_->unsent() > face_.terms_.relayBytes && !held_) {
             held_ = heldEver_ = true;
             request_->pause();
-            face_.core_.delivery().heldBack(face_.net_.now(), core::FetchId{key_});
+            face_.core_.delivery().pause(face_.net_.now(), core::FetchId{key_});
         }
     }
 
@@ -217,7 +217,7 @@
         if (!begun_) return end(502, "the box answered " + std::to_string(status_));
         if (got_ < length_) return cutShort();
         const Micros now = face_.net_.now();
-        if (what_ == What::Segment) face_.core_.delivery().ended(now, core::FetchId{key_});
+        if (what_ == What::Segment) face_.core_.delivery().finish(now, core::FetchId{key_});
         if (Viewer* viewer = face_.byToken(token_)) {
             const Micros took = std::max<Micros>(1, now - sentAt_);
             if (what_ == What::Segment) {
@@ -266,7 +266,7 @@
     void drained() override {
         if (!held_ || !request_) return;
         held_ = false;
-        face_.core_.delivery().goesOn(face_.net_.now(), core::FetchId{key_});
+        face_.core_.delivery().resume(face_.net_.now(), core::FetchId{key_});
         request_->resume();
     }
     void gone() override {
@@ -282,7 +282,7 @@
         const SubId sub = sub_;
         HttpFace& face = face_;
         end(how == upstream::WireEnd::TimedOutOut ? 504 : 502, upstream::meaningOf(how).name);
-        face.core_.lost(
+        face.core_.onPlaybackEnded(
             sub, how == upstream::WireEnd::BrokenAnswer ? JoinResult::Reset : upstream::meaningOf(how).end);
     }
     void cutShort() {
@@ -503,7 +503,7 @@
             wish.watchSeconds = static_cast<double>(*whole);
     }
 
-    const auto id = core_.ask(*this, wish, rooms_.clientTimeouts[room->v]);
+    const auto id = core_.subscribe(*this, wish, rooms_.clientTimeouts[room->v]);
     if (!id) {
         gate_.answered(network);
         ++turnedAway_;
@@ -545,7 +545,7 @@
     if (hint.sid) fields["sid"] = *hint.sid;
     log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "asked", std::move(fields));
     viewers_.emplace(viewer.token, std::move(made));
-    core_.begin(*id);
+    core_.start(*id);
 }
 
 void HttpFace::askMedia(http::Exchange& exchange, Viewer& viewer) {
@@ -601,7 +601,7 @@
     if (what == Relay::What::Segment) viewer.window.fetched(value);
     if (what == Relay::What::Segment && rung != viewer.rungSeen) {
         viewer.rungSeen = rung;
-        core_.rungFetched(viewer.sub, rung);
+        core_.onRungFetched(viewer.sub, rung);
     }
     relay->start();
 }
@@ -647,7 +647,7 @@
     }
 }
 
-void HttpFace::plays(SubId id, SfuId at, int rung) {
+void HttpFace::onPlaying(SubId id, SfuId at, int rung) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     viewer->playing = true;
@@ -677,7 +677,7 @@
     exchange.respond(200, fields, hls::write(hls::Multivariant{{best}}));
 }
 
-void HttpFace::throttled(SubId id, Micros retryAfter) {
+void HttpFace::onThrottled(SubId id, Micros retryAfter) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     const Micros told = retryAfter > 0 ? gate_.retryAfter(net_.now(), retryAfter) : 0;
@@ -685,20 +685,20 @@
     endViewer(*viewer, false);
 }
 
-void HttpFace::terminated(SubId id, core::Ended how) {
+void HttpFace::onTerminated(SubId id, core::TerminationReason how) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     answerWaiters(*viewer, [&](http::Exchange& e) {
-        refuse(e, how == core::Ended::TimedOut ? 504 : 502, "its set-up failed");
+        refuse(e, how == core::TerminationReason::TimedOut ? 504 : 502, "its set-up failed");
     });
     endViewer(*viewer, false);
 }
 
-void HttpFace::rungSet(SubId id, int rung) {
+void HttpFace::onRungChanged(SubId id, int rung) {
     if (Viewer* viewer = bySub(id)) viewer->rung = rung;
 }
 
-void HttpFace::broke(SubId id) {
+void HttpFace::onServerLost(SubId id) {
     if (Viewer* viewer = bySub(id)) endViewer(*viewer, false);
 }
 
@@ -720,7 +720,7 @@
     deadViewers_.push_back(std::move(it->second));
     viewers_.erase(it);
     bury_.soon();
-    if (tellCore) core_.left(id);
+    if (tellCore) core_.unsubscribe(id);
     joins_.forget(id);
 }
 
@@ -752,7 +752,7 @@
 }
 
 std::string HttpFace::statusText() const {
-    const core::Counts& c = core_.counts();
+    const core::CoreCounts& c = core_.counts();
     nlohmann::ordered_json out{{"front", name_},
                                {"asked", c.asked},
                                {"played", c.played},
@@ -764,7 +764,7 @@
                                {"guarded", c.guarded},
                                {"turned_away", turnedAway_},
                                {"playing", viewers_.size()},
-                               {"unanswered", core_.unanswered()},
+                               {"unanswered", core_.unansweredCount()},
                                {"connections", server_->connections()},
                                {"box_connections", boxes_.connections()},
                                {"segments", relayedSegments_},
--- a/src/frontends/http/http_frontend.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -34,7 +34,10 @@
     Micros retryWhenFull = 1'000'000;   // named to those that admission turns away
 };
 
-class HttpFace final : public core::Face, public http::Handler, public upstream::JoinScribe, Surroundings {
+class HttpFace final : public core::SubscriptionHandler,
+                       public http::Handler,
+                       public upstream::JoinScribe,
+                       Surroundings {
   public:
     HttpFace(const Surroundings&, const net::Endpoint&, const http::WireLimits&, const HttpTerms&,
              const hints::HintLimits&);
@@ -67,11 +70,11 @@
     void malformed(const net::Endpoint&, int, const std::string&) override;
 
     // ---- core::Face ----
-    void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros retryAfter) override;
-    void terminated(SubId, core::Ended) override;
-    void rungSet(SubId, int rung) override;
-    void broke(SubId) override;
+    void onPlaying(SubId, SfuId, int rung) override;
+    void onThrottled(SubId, Micros retryAfter) override;
+    void onTerminated(SubId, core::TerminationReason) override;
+    void onRungChanged(SubId, int rung) override;
+    void onServerLost(SubId) override;
 
     upstream::JoinWords wordsFor(SubId, int joinNo) override;
 
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -174,8 +174,8 @@
     void whole() override {
         Call* call = face_.bySub(sub_);
         if (!call) return;
-        if (status_ == 410) return face_.core_.lost(sub_, JoinResult::Reset);
-        face_.core_.figures(sub_, call->at, load_.linkUse, load_.uplinkUse);
+        if (status_ == 410) return face_.core_.onPlaybackEnded(sub_, JoinResult::Reset);
+        face_.core_.onLoadReport(sub_, call->at, load_.linkUse, load_.uplinkUse);
         call->holdTimer->after(face_.terms_.holdEvery);
     }
     void failed(upstream::WireEnd how) override {
@@ -186,7 +186,7 @@
             call->holdTimer->after(face_.terms_.holdEvery / 4);
             return;
         }
-        face_.core_.lost(sub_, upstream::meaningOf(how).end);
+        face_.core_.onPlaybackEnded(sub_, upstream::meaningOf(how).end);
     }
     SipFace& face_;
     SubId sub_;
@@ -461,7 +461,7 @@
     const SubscriptionRequest wish = wishFor(*room, m.user, talk->second, ladder_, type, kbits);
     Micros timeout = rooms_.clientTimeouts[room->v];
     if (m.expires && *m.expires > 0) timeout = std::min(timeout, static_cast<Micros>(*m.expires) * kSecond);
-    const auto id = core_.ask(*this, wish, timeout);
+    const auto id = core_.subscribe(*this, wish, timeout);
     if (!id) {
         gate_.answered(network);
         return reply(key, m, 503, {{"Retry-After", wholeSecondsUp(terms_.retryWhenFull)}});
@@ -519,7 +519,7 @@
                {"call", call.invite.callId},
                {"network", gate_.nameOf(network)}});
     reply(key, call.invite, 100);
-    core_.begin(*id);
+    core_.start(*id);
 }
 
 void SipFace::onCancel(const sip::Message& m, const std::string& key) {
@@ -587,7 +587,7 @@
              wholeSecondsUp(call.expires) + (call.callerRefreshes ? ";refresher=uac" : ";refresher=uas")}};
 }
 
-void SipFace::plays(SubId id, SfuId at, int rung) {
+void SipFace::onPlaying(SubId id, SfuId at, int rung) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
@@ -603,7 +603,7 @@
     reply(call->key, call->invite, 200, std::move(more), answerBody(*call));
 }
 
-void SipFace::throttled(SubId id, Micros retryAfter) {
+void SipFace::onThrottled(SubId id, Micros retryAfter) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
@@ -614,15 +614,15 @@
     forget(*call, false);
 }
 
-void SipFace::terminated(SubId id, core::Ended how) {
+void SipFace::onTerminated(SubId id, core::TerminationReason how) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
-    reply(call->key, call->invite, how == core::Ended::TimedOut ? 504 : 500);
+    reply(call->key, call->invite, how == core::TerminationReason::TimedOut ? 504 : 500);
     forget(*call, false);
 }
 
-void SipFace::rungSet(SubId id, int rung) {
+void SipFace::onRungChanged(SubId id, int rung) {
     Call* call = bySub(id);
     if (!call || call->rung == rung) return;
     call->rung = rung;
@@ -633,7 +633,7 @@
     if (!call->updateOut) call->updateTimer->after(0);
 }
 
-void SipFace::broke(SubId id) {
+void SipFace::onServerLost(SubId id) {
     if (Call* call = bySub(id)) hangUp(*call, false);
 }
 
@@ -695,7 +695,7 @@
     deadCalls_.push_back(std::move(it->second));
     calls_.erase(it);
     bury_.soon();
-    if (tellCore) core_.left(id);
+    if (tellCore) core_.unsubscribe(id);
     joins_.forget(id);
 }
 
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -42,7 +42,7 @@
                   unacknowledged = 0, expired = 0, updates = 0;
 };
 
-class SipFace final : public core::Face,
+class SipFace final : public core::SubscriptionHandler,
                       public upstream::JoinScribe,
                       sip::TransactionUser,
                       net::DatagramUser,
@@ -83,11 +83,11 @@
     bool turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::Way&);
     void replyStateless(const sip::Message&, const sip::Way&, int status, Micros retryAfter = 0);
 
-    void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros retryAfter) override;
-    void terminated(SubId, core::Ended) override;
-    void rungSet(SubId, int rung) override;
-    void broke(SubId) override;
+    void onPlaying(SubId, SfuId, int rung) override;
+    void onThrottled(SubId, Micros retryAfter) override;
+    void onTerminated(SubId, core::TerminationReason) override;
+    void onRungChanged(SubId, int rung) override;
+    void onServerLost(SubId) override;
     upstream::JoinWords wordsFor(SubId, int joinNo) override;
 
     void sendOn(const sip::Way&, const std::string& bytes) override;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -138,7 +138,7 @@
     return seed;
 }
 
-struct Node::Parts final : core::Watcher, ChangeLogUser {
+struct Node::Parts final : core::CoreObserver, ChangeLogUser {
     Parts(net::Net& net, const std::string& file, const Json& all, logging::Log& log)
         : net(net),
           file(file),
@@ -156,7 +156,7 @@
           core(net, setup::parseRoomTypes(settings, setup::parseLadder(settings, where), where),
                core::CoreLimits{20'000, kAnswerMargin, 0}, kSecond, servers, *this,
                [&](Host& host, Micros now) {
-                   return setup::makeDecider<core::ModuleDecides>(host, now, seedOf(all), settings, where);
+                   return setup::makeDecider<core::LogicModule>(host, now, seedOf(all), settings, where);
                }),
           log_(net, changelogAt, known.empty() ? 0 : known.back().number,
                FrameReader(names.kinds.size(), names.zones.size(), 4096), ChangeLogTimes{}, *this),
@@ -244,17 +244,19 @@
     }
 
     // ---- core::Watcher ----
-    void over(SubId id, std::string_view) override {
+    void onClosed(SubId id, std::string_view) override {
         servers.forget(id);
         viewers.forget(id);
     }
-    void guarded(SubId id) override { say(logging::Level::Error, "answered by the guard", {{"sub", id.v}}); }
-    void chose(SubId, SfuId, const double* score, int among, std::uint64_t) override {
+    void onGuardTriggered(SubId id) override {
+        say(logging::Level::Error, "answered by the guard", {{"sub", id.v}});
+    }
+    void onPlacement(SubId, SfuId, const double* score, int among, std::uint64_t) override {
         fits += score != nullptr;
         chosen += 1;
         holders += among;
     }
-    void joinSent(SubId id, int no, SfuId at, int rung, Micros timeOut) override {
+    void onJoinSent(SubId id, int no, SfuId at, int rung, Micros timeOut) override {
         if (log.wants(logging::Level::Debug))
             say(logging::Level::Debug, "join",
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"rung", rung}, {"time_out", timeOut}});
@@ -275,8 +277,8 @@
         const auto& v = viewers.counts();
         const auto& s = servers.counts();
         say(logging::Level::Info, "status",
-            {{"held", core.held()},
-             {"unanswered", core.unanswered()},
+            {{"held", core.subscriptionCount()},
+             {"unanswered", core.unansweredCount()},
              {"conns", viewers.connections()},
              {"links", servers.links()},
              {"out", servers.out()},
@@ -332,7 +334,8 @@
         // Only looks after that time count: a process that had no turn for a while looks before it reads.
         quietLooks = since >= kStopComing && arrivals == viewers.arrivals() ? quietLooks + 1 : 0;
         arrivals = viewers.arrivals();
-        const bool nothing = core.unanswered() == 0 && core.held() == 0 && viewers.untold() == 0;
+        const bool nothing =
+            core.unansweredCount() == 0 && core.subscriptionCount() == 0 && viewers.untold() == 0;
         if (past(kReleaseBefore)) viewers.releaseAll();
         if (past(kAnswerBefore)) viewers.answerAll();
         closing |= past(kAnswerBefore) || (since >= kStopComing && nothing && quietLooks >= kQuietLooks);
@@ -385,7 +388,7 @@
 
 std::size_t Node::remembered() const {
     const Parts& p = *parts_;
-    return p.core.held() + p.viewers.remembered() + p.servers.out() + p.servers.standing();
+    return p.core.subscriptionCount() + p.viewers.remembered() + p.servers.out() + p.servers.standing();
 }
 std::size_t Node::connections() const {
     return parts_->viewers.connections() + parts_->viewers.lingering();
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -153,7 +153,7 @@
                   [this] {
                       std::deque<Later> now;
                       now.swap(later_);
-                      for (Later& one : now) core_->joined(one.id, one.joinNo, one.outcome);
+                      for (Later& one : now) core_->onJoinOutcome(one.id, one.joinNo, one.outcome);
                   }),
       buryTimer_(net, [this] { dead_.clear(); }),
       tidyTimer_(net, [this] { tidy(); }) {
@@ -448,7 +448,7 @@
     if (it->second.link) it->second.link->out.erase(id);
     byTag_.erase(it->second.tag);
     held_.erase(it);
-    core_->joined(id, joinNo, outcome);
+    core_->onJoinOutcome(id, joinNo, outcome);
 }
 
 // A set-up given up on, or the end of what stands.
@@ -589,7 +589,7 @@
         server.standing.insert(id);
         const std::vector<Message> early = std::exchange(held.early, {});
         user_.answered(id, *message.description);
-        core_->joined(id, joinNo, {JoinResult::Played, false, took, {}, "played"});
+        core_->onJoinOutcome(id, joinNo, {JoinResult::Played, false, took, {}, "played"});
         for (const Message& note : early) {
             const auto standing = held_.find(id);
             if (standing != held_.end()) standingHeard(id, standing->second, note);
@@ -618,16 +618,16 @@
     if (!note || !value) return;
     if (*note == "served") {
         ++counts_.notes[0];
-        core_->delivered(id, at, *value);
+        core_->onShareDelivered(id, at, *value);
     } else if (*note == "at_rung") {
         ++counts_.notes[1];
-        core_->rungTold(id, static_cast<int>(*value));
+        core_->onRungInForce(id, static_cast<int>(*value));
     } else if (*note == "link_use") {
         ++counts_.notes[2];
-        core_->figures(id, at, *value, std::nullopt);
+        core_->onLoadReport(id, at, *value, std::nullopt);
     } else if (*note == "rack_use") {
         ++counts_.notes[3];
-        core_->figures(id, at, std::nullopt, *value);
+        core_->onLoadReport(id, at, std::nullopt, *value);
     }
 }
 
--- a/src/node/servers.hpp
+++ b/src/node/servers.hpp
@@ -58,7 +58,7 @@
     std::array<std::uint64_t, 4> notes{};  // served, at_rung, link_use, rack_use
 };
 
-class Servers final : public core::Sender {
+class Servers final : public core::JoinSender {
   public:
     Servers(net::Net&, const ServerLimits&, ServersUser&);
     ~Servers() override;
--- a/src/node/viewers.cpp
+++ b/src/node/viewers.cpp
@@ -225,7 +225,7 @@
     }
     for (const SubId id : open) {
         ++counts_.givenUp;
-        core_->left(id);
+        core_->unsubscribe(id);
     }
 }
 
@@ -304,7 +304,7 @@
         if (conn.open.count(id)) {
             conn.wire.say(lineOf(finish(m.tag, kUnusable)));
             conn.open.erase(id);
-            core_->left(id);
+            core_->unsubscribe(id);
         }
         return drop(conn);
     }
@@ -314,7 +314,7 @@
     if (request->playsAt) {
         ++counts_.handedOver;
         const auto id = servers_->knows(*request->playsAt)
-                            ? core_->handOver(*this, request->wish, *request->playsAt)
+                            ? core_->adopt(*this, request->wish, *request->playsAt)
                             : std::nullopt;
         if (!id) {  // what plays at a server that is gone is over
             conn.wire.say(lineOf(finish(m.tag, kCut)));
@@ -331,7 +331,7 @@
     }
     ++counts_.setups;
     const bool taken = !draining_ && !conn.tooMany && conn.open.size() < limits_.openOnOne;
-    const auto id = taken ? core_->ask(*this, request->wish, request->left) : std::nullopt;
+    const auto id = taken ? core_->subscribe(*this, request->wish, request->left) : std::nullopt;
     if (!id) {
         conn.wire.say(lineOf(finish(m.tag, kBusy)));
         if (conn.tooMany) drop(conn);
@@ -342,7 +342,7 @@
     asking.conn = conn.key;
     byTag_[m.tag] = *id;
     conn.open.insert(*id);
-    core_->begin(*id);
+    core_->start(*id);
 }
 
 void Viewers::ending(Conn& conn, const Message& m) {
@@ -359,7 +359,7 @@
     if (!asking.plays) {
         ++counts_.givenUp;
         if (const auto it = conns_.find(asking.conn); it != conns_.end()) it->second->open.erase(id);
-        core_->left(id);
+        core_->unsubscribe(id);
         return;
     }
     if (asking.leaving) return;
@@ -370,7 +370,7 @@
 // Its seat counts until its media server has ended it, or has had time to.
 void Viewers::endThere(SubId id, Asking& asking) {
     asking.leaving = true;
-    asking.cut = std::make_unique<net::Timer>(net_, [this, id] { core_->left(id); });
+    asking.cut = std::make_unique<net::Timer>(net_, [this, id] { core_->unsubscribe(id); });
     asking.cut->after(limits_.cutWithin);
     servers_->cut(id);
 }
@@ -434,7 +434,7 @@
     tell(id, finish(it->second.words.tag, cause), true);
 }
 
-void Viewers::plays(SubId id, SfuId, int) {
+void Viewers::onPlaying(SubId id, SfuId, int) {
     const auto it = asking_.find(id);
     if (it == asking_.end()) return;
     ++counts_.played;
@@ -453,7 +453,7 @@
     tell(id, answer, false);
 }
 
-void Viewers::throttled(SubId id, Micros retryAfter) {
+void Viewers::onThrottled(SubId id, Micros retryAfter) {
     ++counts_.throttled;
     const auto it = asking_.find(id);
     if (it == asking_.end()) return;
@@ -462,20 +462,21 @@
     tell(id, refusal, false);
 }
 
-void Viewers::terminated(SubId id, core::Ended how) {
+void Viewers::onTerminated(SubId id, core::TerminationReason how) {
     ++counts_.terminated;
     const auto it = asking_.find(id);
     if (it != asking_.end())
-        tell(id, finish(it->second.words.tag, how == core::Ended::TimedOut ? kTimedOut : kFailed), false);
+        tell(id, finish(it->second.words.tag, how == core::TerminationReason::TimedOut ? kTimedOut : kFailed),
+             false);
 }
 
-void Viewers::rungSet(SubId id, int rung) {
+void Viewers::onRungChanged(SubId id, int rung) {
     servers_->setRung(id, rung);
 }
-void Viewers::broke(SubId id) {
+void Viewers::onServerLost(SubId id) {
     release(id, kCut);
 }
-void Viewers::finished(SubId id) {
+void Viewers::onFinished(SubId id) {
     release(id, kNormal);
 }
 
@@ -493,7 +494,7 @@
     for (const auto& [key, conn] : conns_) open.insert(open.end(), conn->open.begin(), conn->open.end());
     for (const SubId id : open) {
         tell(id, finish(asking_.at(id).words.tag, kFailed), false);
-        core_->left(id);
+        core_->unsubscribe(id);
     }
 }
 
@@ -521,9 +522,9 @@
 void Viewers::over(SubId id, JoinResult end, int, const LoadReport& load) {
     const auto it = asking_.find(id);
     if (it != asking_.end() && it->second.leaving)
-        core_->left(id);  // its viewer has left, and is owed no release
+        core_->unsubscribe(id);  // its viewer has left, and is owed no release
     else
-        core_->lost(id, end, load);
+        core_->onPlaybackEnded(id, end, load);
 }
 
 void Viewers::forget(SubId id) {
--- a/src/node/viewers.hpp
+++ b/src/node/viewers.hpp
@@ -47,7 +47,7 @@
     int cells = 1, rungs = 1;
 };
 
-class Viewers final : public core::Face, public ServersUser, private net::ListenerUser {
+class Viewers final : public core::SubscriptionHandler, public ServersUser, private net::ListenerUser {
   public:
     Viewers(net::Net&, const net::Endpoint&, const ViewerLimits&, Asked);
     ~Viewers() override;
@@ -82,12 +82,12 @@
     class Conn;
     struct Asking;
     // ---- core::Face ----
-    void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros retryAfter) override;
-    void terminated(SubId, core::Ended) override;
-    void rungSet(SubId, int rung) override;
-    void broke(SubId) override;
-    void finished(SubId) override;
+    void onPlaying(SubId, SfuId, int rung) override;
+    void onThrottled(SubId, Micros retryAfter) override;
+    void onTerminated(SubId, core::TerminationReason) override;
+    void onRungChanged(SubId, int rung) override;
+    void onServerLost(SubId) override;
+    void onFinished(SubId) override;
     // ---- ServersUser ----
     const SetupWords* wordsOf(SubId) override;
     void answered(SubId, const std::string& description) override;
--- a/src/simulation/baselines.cpp
+++ b/src/simulation/baselines.cpp
@@ -8,7 +8,7 @@
 namespace valekeel::simulation {
 namespace {
 
-class Baseline final : public core::Decides {
+class Baseline final : public core::DecisionModule {
   public:
     Baseline(Host& host, std::uint64_t seed, bool byLoad, const std::vector<RoomType>& rooms,
              const Fleet& fleet, const Ladder& ladder, const SubscriptionLimits& allowed)
--- a/src/upstream/join_client.cpp
+++ b/src/upstream/join_client.cpp
@@ -111,7 +111,8 @@
     out_.erase(it);
     bury_.soon();
     const Meaning& meaning = meaningOf(end);
-    core_->joined(id, joinNo, core::JoinOutcome{meaning.end, meaning.neverRan, took, load, meaning.name});
+    core_->onJoinOutcome(id, joinNo,
+                         core::JoinOutcome{meaning.end, meaning.neverRan, took, load, meaning.name});
 }
 
 void Joins::release(SubId id, SfuId at) {
--- a/src/upstream/join_client.hpp
+++ b/src/upstream/join_client.hpp
@@ -33,7 +33,7 @@
     Micros toHead = 0;
 };
 
-class Joins final : public core::Sender {
+class Joins final : public core::JoinSender {
   public:
     // `name`: of this front, unlike that of any other and of its own earlier life: it names subscriptions at
     // boxes. `follow`: begins to follow the list.
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Decides by a script, and may be as bad as a test needs.
-struct Scripted : core::Decides {
+struct Scripted : core::DecisionModule {
     Host& host;
     std::function<void(Scripted&, SubId)> onAsk = [](Scripted&, SubId) {};
     std::vector<std::string> heard;
@@ -38,7 +38,7 @@
     void onWake(Micros, const std::string& why) override { note("woken " + why); }
 };
 
-struct Rig : core::Face, core::Sender, core::Watcher {
+struct Rig : core::SubscriptionHandler, core::JoinSender, core::CoreObserver {
     HandNet net;
     Scripted* decides = nullptr;
     std::unique_ptr<core::Core> core;
@@ -58,37 +58,37 @@
     SubId ask(std::uint32_t room = 1) {
         SubscriptionRequest w;
         w.room = RoomTypeId{room};
-        const SubId id = *core->ask(*this, w, 3 * kSecond);
-        core->begin(id);
+        const SubId id = *core->subscribe(*this, w, 3 * kSecond);
+        core->start(id);
         return id;
     }
-    void plays(SubId id, SfuId, int rung) override {
+    void onPlaying(SubId id, SfuId, int rung) override {
         said.push_back("plays " + std::to_string(rung));
-        if (hangUpAtOnce) core->left(id);
+        if (hangUpAtOnce) core->unsubscribe(id);
     }
     std::function<void()> whenThrottled = [] {};
-    void throttled(SubId id, Micros) override {
+    void onThrottled(SubId id, Micros) override {
         said.push_back("throttled");
         whenThrottled();
-        if (hangUpAtOnce) core->left(id);
+        if (hangUpAtOnce) core->unsubscribe(id);
     }
-    void terminated(SubId, core::Ended) override { said.push_back("terminated"); }
-    void rungSet(SubId, int rung) override { said.push_back("rung " + std::to_string(rung)); }
-    void broke(SubId) override { said.push_back("broke"); }
+    void onTerminated(SubId, core::TerminationReason) override { said.push_back("terminated"); }
+    void onRungChanged(SubId, int rung) override { said.push_back("rung " + std::to_string(rung)); }
+    void onServerLost(SubId) override { said.push_back("broke"); }
     void join(SubId, int no, SfuId at, int, Micros, bool) override {
         sent.push_back("join " + std::to_string(no) + " at " + std::to_string(at.v));
     }
     void cancel(SubId id, int no) override {
         sent.push_back("cancel");
-        core->joined(id, no, {JoinResult::Cancelled, false, 0, {}, "cancelled"});
+        core->onJoinOutcome(id, no, {JoinResult::Cancelled, false, 0, {}, "cancelled"});
     }
     void withdraw(SubId id, int no) override {
         sent.push_back("withdraw");
-        if (unsent) core->joined(id, no, {JoinResult::Cancelled, true, 0, {}, "withdrawn"});
+        if (unsent) core->onJoinOutcome(id, no, {JoinResult::Cancelled, true, 0, {}, "withdrawn"});
     }
     void release(SubId, SfuId) override { sent.push_back("release"); }
     void followList() override { sent.push_back("follow"); }
-    void guarded(SubId) override { ++guards; }
+    void onGuardTriggered(SubId) override { ++guards; }
     int count(const std::vector<std::string>& in, const std::string& what) const {
         return static_cast<int>(std::count(in.begin(), in.end(), what));
     }
@@ -102,21 +102,22 @@
     };
     const SubId id = rig.ask();
     EXPECT_EQ(rig.sent, (std::vector<std::string>{"join 0 at 7"}));
-    rig.core->joined(id, 0, {JoinResult::Played, false, 50'000, {0.5, {}}, "played"});
-    rig.core->joined(id, 0, {JoinResult::Played, false, 50'000, {}, "played"});  // told twice: heard once
+    rig.core->onJoinOutcome(id, 0, {JoinResult::Played, false, 50'000, {0.5, {}}, "played"});
+    rig.core->onJoinOutcome(id, 0,
+                            {JoinResult::Played, false, 50'000, {}, "played"});  // told twice: heard once
     EXPECT_EQ(rig.said, (std::vector<std::string>{"plays 2"}));
     EXPECT_EQ(rig.count(rig.decides->heard, "playing"), 1);
     EXPECT_EQ(rig.count(rig.decides->heard, "link"), 1);
     rig.decides->host.setRung(id, 1);
     EXPECT_EQ(rig.said.back(), "rung 1");
-    rig.core->rungFetched(id, 2);  // an old one
-    rig.core->rungFetched(id, 1);
+    rig.core->onRungFetched(id, 2);  // an old one
+    rig.core->onRungFetched(id, 1);
     EXPECT_EQ(rig.decides->heard.back(), "rung 1");
-    rig.core->left(id);
-    rig.core->left(id);
+    rig.core->unsubscribe(id);
+    rig.core->unsubscribe(id);
     EXPECT_EQ(rig.count(rig.decides->heard, "ended 0 over"), 1);
     EXPECT_EQ(rig.count(rig.sent, "release"), 1);
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
 }
 
 // Whatever a module does wrong, a viewer gets one answer, in time, and one join is out.
@@ -130,7 +131,7 @@
     };
     rig.ask();
     EXPECT_EQ(rig.said, (std::vector<std::string>{"throttled"}));
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
 }
 
 TEST(Core, AModuleThatNeverAnswersIsGuardedBeforeTheClientTimeout) {
@@ -141,8 +142,8 @@
     rig.net.pass(61'000);
     EXPECT_EQ(rig.said, (std::vector<std::string>{"terminated"}));
     EXPECT_EQ(rig.guards, 1);
-    EXPECT_EQ(rig.core->unanswered(), 0u);
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->unansweredCount(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
 }
 
 TEST(Core, TwoJoinsAreNeverOutAtOnce) {
@@ -158,18 +159,18 @@
 TEST(Core, AFreeJoinOfAViewerWhoLeftIsCalledOffAPaidOneRunsToItsEnd) {
     Rig rig;
     rig.decides->onAsk = [](Scripted& d, SubId id) { d.host.join(id, SfuId{1}, kSecond); };
-    rig.core->left(rig.ask(1));
+    rig.core->unsubscribe(rig.ask(1));
     EXPECT_EQ(rig.count(rig.sent, "cancel"), 1);
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
     const SubId paid = rig.ask(0);
-    rig.core->left(paid);
+    rig.core->unsubscribe(paid);
     EXPECT_EQ(rig.count(rig.sent, "cancel"), 1);
-    EXPECT_EQ(rig.core->held(), 1u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 1u);
     const int releases = rig.count(rig.sent, "release");
-    rig.core->joined(paid, 0, {JoinResult::Played, false, 1, {}, "played"});
+    rig.core->onJoinOutcome(paid, 0, {JoinResult::Played, false, 1, {}, "played"});
     EXPECT_EQ(rig.count(rig.sent, "release"), releases + 1) << "its place is given back";
     EXPECT_EQ(rig.said.size(), 0u) << "nobody is told";
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
 }
 
 // Guards against a set-up that lies somewhere for a connection and goes out when its viewer has long gone.
@@ -177,24 +178,26 @@
     Rig rig;
     rig.unsent = true;
     rig.decides->onAsk = [](Scripted& d, SubId id) { d.host.join(id, SfuId{1}, kSecond); };
-    rig.core->left(rig.ask(0));
+    rig.core->unsubscribe(rig.ask(0));
     EXPECT_EQ(rig.count(rig.sent, "withdraw"), 1);
     EXPECT_EQ(rig.count(rig.sent, "release"), 0) << "it never ran";
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
 }
 
 TEST(Core, AJoinDecidedForAViewerWhoIsGoneBeforeItIsSentIsNotSent) {
     Rig rig;
     const SubId first = rig.ask();
     rig.decides->onAsk = [&](Scripted& d, SubId id) {
-        rig.whenThrottled = [&rig, id] { rig.core->left(id); };  // one connection, closed at the refusal
+        rig.whenThrottled = [&rig, id] {
+            rig.core->unsubscribe(id);
+        };  // one connection, closed at the refusal
         d.host.throttle(first, 0);
         d.host.join(id, SfuId{1}, kSecond);
     };
     rig.ask();
     EXPECT_EQ(rig.count(rig.sent, "join 0 at 1"), 0);
     EXPECT_EQ(rig.count(rig.decides->heard, "ended 7 over"), 1) << "the module hears that it never left";
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
 }
 
 // What is kept of a media server goes with it, also where only a whole list shows that it is gone.
@@ -204,12 +207,12 @@
     SfuEntry seven;
     seven.id = SfuId{7};
     rig.core->onServerList(std::span(&seven, 1), false);
-    rig.core->figures(id, seven.id, 0.5, {});
-    rig.core->figures(id, seven.id, 0.5, {});  // no more often than each second
+    rig.core->onLoadReport(id, seven.id, 0.5, {});
+    rig.core->onLoadReport(id, seven.id, 0.5, {});  // no more often than each second
     EXPECT_EQ(rig.count(rig.decides->heard, "link"), 1);
     rig.core->onServerList({}, false);
     rig.core->onServerList(std::span(&seven, 1), false);
-    rig.core->figures(id, seven.id, 0.5, {});
+    rig.core->onLoadReport(id, seven.id, 0.5, {});
     EXPECT_EQ(rig.count(rig.decides->heard, "link"), 2);
 }
 
@@ -218,12 +221,12 @@
     rig.hangUpAtOnce = true;
     rig.decides->onAsk = [](Scripted& d, SubId id) { d.host.join(id, SfuId{1}, kSecond); };
     const SubId id = rig.ask();
-    rig.core->joined(id, 0, {JoinResult::Played, false, 1, {}, "played"});
-    EXPECT_EQ(rig.core->held(), 0u);
+    rig.core->onJoinOutcome(id, 0, {JoinResult::Played, false, 1, {}, "played"});
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
     EXPECT_EQ(rig.count(rig.decides->heard, "ended 0 over"), 1);
     rig.decides->onAsk = [](Scripted& d, SubId i) { d.host.throttle(i, 0); };
     rig.ask();
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
 }
 
 TEST(Core, TheModuleHearsOfNothingBeforeTheFaceIsReady) {
@@ -231,10 +234,10 @@
     rig.decides->onAsk = [](Scripted& d, SubId id) { d.host.throttle(id, 0); };
     SubscriptionRequest w;
     w.room = RoomTypeId{1};
-    const auto id = rig.core->ask(rig, w, kSecond);
+    const auto id = rig.core->subscribe(rig, w, kSecond);
     EXPECT_TRUE(rig.said.empty() && rig.decides->heard.empty());
-    rig.core->begin(*id);
-    rig.core->begin(*id);
+    rig.core->start(*id);
+    rig.core->start(*id);
     EXPECT_EQ(rig.said.size(), 1u);
     EXPECT_EQ(rig.decides->heard.size(), 1u);
 }
@@ -243,12 +246,12 @@
     Rig rig;
     rig.decides->onAsk = [](Scripted& d, SubId id) { d.host.join(id, SfuId{1}, kSecond); };
     const SubId id = rig.ask();
-    rig.core->joined(id, 0, {JoinResult::Played, false, 1, {}, "played"});
-    rig.core->lost(id, JoinResult::Reset);
-    rig.core->lost(id, JoinResult::Reset);
+    rig.core->onJoinOutcome(id, 0, {JoinResult::Played, false, 1, {}, "played"});
+    rig.core->onPlaybackEnded(id, JoinResult::Reset);
+    rig.core->onPlaybackEnded(id, JoinResult::Reset);
     EXPECT_EQ(rig.count(rig.said, "broke"), 1);
     EXPECT_EQ(rig.count(rig.decides->heard, "ended 5 over"), 1);
-    EXPECT_EQ(rig.core->held(), 0u);
+    EXPECT_EQ(rig.core->subscriptionCount(), 0u);
 }
 
 TEST(Core, HoldsNoMoreThanItsBound) {
@@ -259,14 +262,14 @@
     rig.ask();
     SubscriptionRequest w;
     w.room = RoomTypeId{1};
-    EXPECT_FALSE(rig.core->ask(rig, w, kSecond));
+    EXPECT_FALSE(rig.core->subscribe(rig, w, kSecond));
     EXPECT_EQ(rig.core->counts().refusedFull, 1u);
 }
 
 TEST(Core, FiguresOfABoxArePassedOnAtTheStatedPace) {
     Rig rig;
     for (int i = 0; i < 10; ++i) {
-        rig.core->figures(SubId{1}, SfuId{3}, 0.5, 0.4);
+        rig.core->onLoadReport(SubId{1}, SfuId{3}, 0.5, 0.4);
         rig.net.pass(200'000);
     }
     EXPECT_EQ(rig.count(rig.decides->heard, "link"), 2);
@@ -299,16 +302,16 @@
             const SubId id{static_cast<std::uint32_t>(pick(1, static_cast<int>(asked) + 1))};
             switch (pick(0, 5)) {
                 case 0:
-                    rig.core->joined(id, 0, {JoinResult::Played, false, 1, {}, "played"});
+                    rig.core->onJoinOutcome(id, 0, {JoinResult::Played, false, 1, {}, "played"});
                     break;
                 case 1:
-                    rig.core->joined(id, 0, {JoinResult::Full, true, 1, {}, "unseen"});
+                    rig.core->onJoinOutcome(id, 0, {JoinResult::Full, true, 1, {}, "unseen"});
                     break;
                 case 2:
-                    rig.core->left(id);
+                    rig.core->unsubscribe(id);
                     break;
                 case 3:
-                    rig.core->lost(id, JoinResult::Reset);
+                    rig.core->onPlaybackEnded(id, JoinResult::Reset);
                     break;
                 case 4:
                     rig.decides->host.throttle(id, 0);
@@ -318,7 +321,7 @@
             }
         }
         rig.net.pass(10 * kSecond);
-        const core::Counts& c = rig.core->counts();
+        const core::CoreCounts& c = rig.core->counts();
         EXPECT_EQ(c.asked, asked);
         const auto answers = c.played + c.throttled + c.terminated;
         EXPECT_LE(answers, asked);
@@ -326,51 +329,51 @@
                       static_cast<std::uint64_t>(rig.count(rig.said, "broke")),
                   answers)
             << "seed " << seed;
-        EXPECT_EQ(rig.core->unanswered(), 0u);
+        EXPECT_EQ(rig.core->unansweredCount(), 0u);
     }
 }
 
-TEST(Delivery, MeasuresWhatCameOfWhatPlays) {
-    core::Delivery d(kSecond);
+TEST(DeliveryMeter, MeasuresWhatCameOfWhatPlays) {
+    core::DeliveryMeter d(kSecond);
     const core::FetchId a{1}, b{2};
-    d.began(0, a, SubId{1}, SfuId{3}, kSecond, 1'000);
-    d.ended(900'000, a);
-    EXPECT_TRUE(d.told(kSecond).empty()) << "in time: nothing is told";
-    d.began(kSecond, b, SubId{1}, SfuId{3}, kSecond, 1'000);
-    d.ended(3 * kSecond, b);
-    auto told = d.told(3 * kSecond);
+    d.start(0, a, SubId{1}, SfuId{3}, kSecond, 1'000);
+    d.finish(900'000, a);
+    EXPECT_TRUE(d.takeReports(kSecond).empty()) << "in time: nothing is told";
+    d.start(kSecond, b, SubId{1}, SfuId{3}, kSecond, 1'000);
+    d.finish(3 * kSecond, b);
+    auto told = d.takeReports(3 * kSecond);
     ASSERT_EQ(told.size(), 1u);
     EXPECT_DOUBLE_EQ(told[0].share, 0.5);
-    d.began(3 * kSecond, a, SubId{1}, SfuId{3}, kSecond, 1'000);
-    d.ended(4 * kSecond, a);
-    told = d.told(4 * kSecond);
+    d.start(3 * kSecond, a, SubId{1}, SfuId{3}, kSecond, 1'000);
+    d.finish(4 * kSecond, a);
+    told = d.takeReports(4 * kSecond);
     ASSERT_EQ(told.size(), 1u) << "once more when it is well again";
     EXPECT_DOUBLE_EQ(told[0].share, 1);
-    EXPECT_TRUE(d.told(5 * kSecond).empty());
+    EXPECT_TRUE(d.takeReports(5 * kSecond).empty());
 }
 
-TEST(Delivery, ASegmentThatHangsIsShortLongBeforeItEnds) {
-    core::Delivery d(kSecond);
-    d.began(0, core::FetchId{1}, SubId{1}, SfuId{3}, kSecond, 1'000);
-    d.got(core::FetchId{1}, 100);
-    auto told = d.told(2 * kSecond);
+TEST(DeliveryMeter, ASegmentThatHangsIsShortLongBeforeItEnds) {
+    core::DeliveryMeter d(kSecond);
+    d.start(0, core::FetchId{1}, SubId{1}, SfuId{3}, kSecond, 1'000);
+    d.addBytes(core::FetchId{1}, 100);
+    auto told = d.takeReports(2 * kSecond);
     ASSERT_EQ(told.size(), 1u);
     EXPECT_NEAR(told[0].share, 0.05, 1e-9);
 }
 
-TEST(Delivery, TimeThatTheViewerTookNothingIsNotTheBoxs) {
-    core::Delivery d(kSecond);
+TEST(DeliveryMeter, TimeThatTheViewerTookNothingIsNotTheBoxs) {
+    core::DeliveryMeter d(kSecond);
     const core::FetchId a{1};
-    d.began(0, a, SubId{1}, SfuId{3}, kSecond, 1'000);
-    d.heldBack(200'000, a);
-    d.heldBack(300'000, a);
-    EXPECT_TRUE(d.told(5 * kSecond).empty());
-    d.goesOn(8 * kSecond, a);
-    d.ended(8'500'000, a);
-    EXPECT_TRUE(d.told(9 * kSecond).empty());
-    d.began(0, a, SubId{1}, SfuId{3}, kSecond, 1'000);
-    d.forget(a);
-    EXPECT_EQ(d.open(), 0u);
+    d.start(0, a, SubId{1}, SfuId{3}, kSecond, 1'000);
+    d.pause(200'000, a);
+    d.pause(300'000, a);
+    EXPECT_TRUE(d.takeReports(5 * kSecond).empty());
+    d.resume(8 * kSecond, a);
+    d.finish(8'500'000, a);
+    EXPECT_TRUE(d.takeReports(9 * kSecond).empty());
+    d.start(0, a, SubId{1}, SfuId{3}, kSecond, 1'000);
+    d.discard(a);
+    EXPECT_EQ(d.openCount(), 0u);
 }
 
 }  // namespace
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -481,7 +481,7 @@
     bool stopped = false;
     rig.front->stop(200'000, [&] { stopped = true; });
     ASSERT_TRUE(rig.until([&] { return stopped; }));
-    EXPECT_EQ(rig.front->core().unanswered(), 0u);
+    EXPECT_EQ(rig.front->core().unansweredCount(), 0u);
     rig.front.reset();
     rig.site = reshaped({{"stall-loss=7 {", "stall-loss=7 join=0.3 {"},
                          {"benefit=1\n", "benefit=1 live=#true\n"},
@@ -491,7 +491,7 @@
     for (int i = 0; i < 6; ++i) rig.play("open", 300'000, 2);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }, 12 * kSecond));
     EXPECT_EQ(rig.count("no-answer"), 0);
-    EXPECT_EQ(rig.front->core().unanswered(), 0u);
+    EXPECT_EQ(rig.front->core().unansweredCount(), 0u);
     EXPECT_GE(rig.front->core().counts().played, 6u);
     rig.expectRules();
 }
@@ -577,7 +577,8 @@
         return *callers.back();
     }
     bool quiet(Micros atMost = 10 * kSecond) {
-        return until([&] { return front->sip()->calls() == 0 && front->core().held() == 0; }, atMost);
+        return until([&] { return front->sip()->calls() == 0 && front->core().subscriptionCount() == 0; },
+                     atMost);
     }
 };
 
@@ -819,11 +820,11 @@
 TEST(Sip, AChangeOfRungIsToldByUpdateAndGlareIsSettled) {
     RawRig rig;
     ASSERT_TRUE(rig.plays());
-    core::Face& face = *rig.front->sip();
+    core::SubscriptionHandler& face = *rig.front->sip();
     const SubId sub{1};
     const std::string* first = rig.raw.heard("SIP/2.0 200");
     const int now = first->find("b=TIAS:80000\r\n") != std::string::npos ? 2 : 0;
-    face.rungSet(sub, now);
+    face.onRungChanged(sub, now);
     ASSERT_TRUE(rig.until([&] { return rig.raw.heard("UPDATE "); }));
     const std::string update = *rig.raw.heard("UPDATE ");
     EXPECT_NE(update.find(now == 2 ? "b=TIAS:480000\r\n" : "b=TIAS:80000\r\n"), std::string::npos);
@@ -850,7 +851,7 @@
 TEST(Sip, ADialogThatTheCallerNoLongerKnowsIsOver) {
     RawRig rig;
     ASSERT_TRUE(rig.plays());
-    static_cast<core::Face&>(*rig.front->sip()).rungSet(SubId{1}, 1);
+    static_cast<core::SubscriptionHandler&>(*rig.front->sip()).onRungChanged(SubId{1}, 1);
     ASSERT_TRUE(rig.until([&] { return rig.raw.heard("UPDATE "); }));
     rig.raw.answer(*rig.raw.heard("UPDATE "), 481);
     ASSERT_TRUE(rig.quiet());
@@ -964,7 +965,7 @@
 // ---- fronts that are deliberately broken: the audit must catch each ----
 
 // Joins any box that was ever listed, at once, and again and again, whatever the rules say.
-struct Broken : core::Decides {
+struct Broken : core::DecisionModule {
     Host& host;
     std::vector<SfuId> known;
     std::map<SubId, int> joins;
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -178,19 +178,19 @@
 }
 
 // A face that ends one subscription as it hears of another's end, on the connection that has just gone.
-struct Follows final : core::Face, node::ServersUser {
+struct Follows final : core::SubscriptionHandler, node::ServersUser {
     core::Core* core = nullptr;
     SubId other{};
     std::vector<SubId> ended;
     std::map<SubId, node::SetupWords> words;
-    void plays(SubId, SfuId, int) override {}
-    void throttled(SubId, Micros) override {}
-    void terminated(SubId id, core::Ended) override {
+    void onPlaying(SubId, SfuId, int) override {}
+    void onThrottled(SubId, Micros) override {}
+    void onTerminated(SubId id, core::TerminationReason) override {
         ended.push_back(id);
-        core->left(other);
+        core->unsubscribe(other);
     }
-    void rungSet(SubId, int) override {}
-    void broke(SubId) override {}
+    void onRungChanged(SubId, int) override {}
+    void onServerLost(SubId) override {}
     const node::SetupWords* wordsOf(SubId id) override { return &words.at(id); }
     void answered(SubId, const std::string&) override {}
     void over(SubId, JoinResult, int, const LoadReport&) override {}
@@ -201,12 +201,12 @@
     day.servers[0]->does = [](const std::string&) { return Does::Nothing; };
     net::Net& net = day.machine(21);
     Follows user;
-    core::Watcher watcher;
+    core::CoreObserver watcher;
     node::Servers servers(net, {}, user);
     const Json told = settings();
     core::Core core(net, setup::parseRoomTypes(told, setup::parseLadder(told, "s"), "s"), {}, kSecond,
                     servers, watcher, [&](Host& host, Micros now) {
-                        return setup::makeDecider<core::ModuleDecides>(host, now, 7, told, "s");
+                        return setup::makeDecider<core::LogicModule>(host, now, 7, told, "s");
                     });
     user.core = &core;
     servers.connect(core);
@@ -219,9 +219,9 @@
         wish.room = RoomTypeId{room};
         wish.title = TitleId{"t"};
         wish.holders = 3;
-        const SubId id = *core.ask(user, wish, 3 * kSecond);
+        const SubId id = *core.subscribe(user, wish, 3 * kSecond);
         user.words[id] = {idOf(n), room ? "paid" : "talk", "t", "offer"};
-        core.begin(id);
+        core.start(id);
         return id;
     };
     const SubId paid = ask(1, 1);
@@ -231,7 +231,7 @@
     day.servers[0]->resetAll();
     day.run(kSecond);
     EXPECT_EQ(user.ended, std::vector<SubId>{paid});
-    EXPECT_EQ(core.held(), 0u);
+    EXPECT_EQ(core.subscriptionCount(), 0u);
 }
 
 // ================= limits =================
