--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -110,7 +110,7 @@
 }
 
 ChangeLog::ChangeLog(net::Net& net, const net::Endpoint& at, std::uint64_t last, FrameReader reader,
-                     const ChangeLogTimes& times, ChangeLogUser& user)
+                     const ChangeLogTimes& times, ChangeLogHandler& user)
     : net_(net),
       at_(at),
       last_(last),
--- a/src/node/changelog.hpp
+++ b/src/node/changelog.hpp
@@ -45,9 +45,9 @@
     Micros againAtMost = 400'000;
 };
 
-class ChangeLogUser {
+class ChangeLogHandler {
   public:
-    virtual ~ChangeLogUser() = default;
+    virtual ~ChangeLogHandler() = default;
     virtual void changed(const ChangeEvent&) = 0;
     virtual void current() = 0;                            // all that there was has been told
     virtual void unreachable(const std::string& why) = 0;  // at the first failure: of a start, or since well
@@ -56,7 +56,7 @@
 class ChangeLog final : private net::StreamUser {
   public:
     ChangeLog(net::Net&, const net::Endpoint&, std::uint64_t last, FrameReader, const ChangeLogTimes&,
-              ChangeLogUser&);
+              ChangeLogHandler&);
     ~ChangeLog() override;
     void start() { open(); }
     // From here on it is asked there; also from within a call to the user.
@@ -78,7 +78,7 @@
     std::uint64_t last_;
     FrameReader reader_;
     ChangeLogTimes times_;
-    ChangeLogUser& user_;
+    ChangeLogHandler& user_;
     std::unique_ptr<net::Stream> stream_;
     net::Timer silent_, again_, more_;
     Micros wait_, patience_, askedAt_ = 0;
--- a/src/node/line_connection.cpp
+++ b/src/node/line_connection.cpp
@@ -11,28 +11,28 @@
 
 }  // namespace
 
-const char* nameOf(Gone gone) {
+const char* nameOf(DisconnectReason gone) {
     static constexpr const char* kNames[] = {"refused", "no connection", "no descriptor", "closed",
                                              "broken",  "garbled",       "slow"};
     return kNames[static_cast<int>(gone)];
 }
 
-Wire::Wire(net::Net& net, State state, const Limits& limits, WireUser& user)
+LineConnection::LineConnection(net::Net& net, State state, const Limits& limits, LineConnectionHandler& user)
     : net_(net),
       limits_(limits),
       user_(user),
       state_(state),
       heardAt_(net.now()),
       usedAt_(net.now()),
-      late_(net, [this] { lose(Gone::NoConnect); }),
+      late_(net, [this] { lose(DisconnectReason::NoConnect); }),
       more_(net, [this] { readable(); }),
       unfinished_(net, [this] { stillUnfinished(); }) {}
 
 // ================= lingering close =================
 
-class Lingering::One final : public net::StreamUser {
+class LingeringCloser::One final : public net::StreamUser {
   public:
-    One(Lingering& all, std::unique_ptr<net::Stream> stream, std::string unsent)
+    One(LingeringCloser& all, std::unique_ptr<net::Stream> stream, std::string unsent)
         : all_(all),
           stream_(std::move(stream)),
           out_(std::move(unsent)),
@@ -74,7 +74,7 @@
     }
 
   private:
-    Lingering& all_;
+    LingeringCloser& all_;
     std::unique_ptr<net::Stream> stream_;
     std::string out_;
     std::size_t discarded_ = 0;
@@ -82,21 +82,21 @@
     net::Timer late_, more_;
 };
 
-Lingering::Lingering(net::Net& net, const Limits& limits)
+LingeringCloser::LingeringCloser(net::Net& net, const Limits& limits)
     : net_(net), limits_(limits), bury_(net, [this] { dead_.clear(); }) {}
-Lingering::~Lingering() = default;
+LingeringCloser::~LingeringCloser() = default;
 
-void Lingering::take(std::unique_ptr<net::Stream> stream, std::string unsent) {
+void LingeringCloser::take(std::unique_ptr<net::Stream> stream, std::string unsent) {
     if (all_.size() >= limits_.most) freeOldest();
     all_.push_back(std::make_unique<One>(*this, std::move(stream), std::move(unsent)));
 }
 
-void Lingering::freeOldest() {
+void LingeringCloser::freeOldest() {
     if (!all_.empty()) end(*all_.front());
 }
 
 // The descriptor is free at once; the rest a turn later, as this may be called from within.
-void Lingering::end(One& one) {
+void LingeringCloser::end(One& one) {
     one.free();
     const auto it =
         std::find_if(all_.begin(), all_.end(), [&](const auto& held) { return held.get() == &one; });
@@ -106,23 +106,24 @@
 
 // ================= wires =================
 
-Wire::Wire(net::Net& net, std::unique_ptr<net::Stream> stream, const Limits& limits, WireUser& user,
-           Lingering& lingering)
-    : Wire(net, State::Open, limits, user) {
+LineConnection::LineConnection(net::Net& net, std::unique_ptr<net::Stream> stream, const Limits& limits,
+                               LineConnectionHandler& user, LingeringCloser& lingering)
+    : LineConnection(net, State::Open, limits, user) {
     lingering_ = &lingering;
     stream_ = std::move(stream);
     stream_->handTo(*this);
 }
 
-Wire::Wire(net::Net& net, const net::Endpoint& to, Micros connectWithin, const Limits& limits, WireUser& user)
-    : Wire(net, State::Connecting, limits, user) {
+LineConnection::LineConnection(net::Net& net, const net::Endpoint& to, Micros connectWithin,
+                               const Limits& limits, LineConnectionHandler& user)
+    : LineConnection(net, State::Connecting, limits, user) {
     stream_ = net.connect(to, *this);
     late_.after(connectWithin);
 }
 
-Wire::~Wire() = default;
+LineConnection::~LineConnection() = default;
 
-std::uint64_t Wire::say(std::string_view line) {
+std::uint64_t LineConnection::say(std::string_view line) {
     const std::uint64_t at = said_;
     if (state_ == State::Closed) return at;
     said_ += line.size();
@@ -134,7 +135,7 @@
 
 // A write that finds the connection broken is told of by the next turn's edge, or by a slow reader's limit:
 // never from within say(), whose caller is in the middle of something.
-void Wire::flush() {
+void LineConnection::flush() {
     if (out_.empty() || state_ != State::Open) return;
     const net::Moved put = stream_->write(out_);
     taken_ += put.bytes;
@@ -143,7 +144,7 @@
     if (put.then == net::Moved::Then::Broken || out_.size() > limits_.unsent) more_.soon();
 }
 
-void Wire::connected() {
+void LineConnection::connected() {
     state_ = State::Open;
     late_.cancel();
     heardAt_ = net_.now();
@@ -151,28 +152,29 @@
     user_.opened();
 }
 
-void Wire::connectFailed(net::NoStream why) {
-    lose(why == net::NoStream::Refused            ? Gone::Refused
-         : why == net::NoStream::OutOfDescriptors ? Gone::NoSocket
-                                                  : Gone::NoConnect);
+void LineConnection::connectFailed(net::NoStream why) {
+    lose(why == net::NoStream::Refused            ? DisconnectReason::Refused
+         : why == net::NoStream::OutOfDescriptors ? DisconnectReason::NoSocket
+                                                  : DisconnectReason::NoConnect);
 }
 
-void Wire::writable() {
+void LineConnection::writable() {
     const bool waited = !out_.empty();
     flush();
     if (waited && canSend()) user_.drained();
 }
 
-void Wire::readable() {
+void LineConnection::readable() {
     if (state_ != State::Open) return;
     // Guards against a peer that asks on and on and never reads what it is told.
-    if (out_.size() > limits_.unsent) return lose(Gone::Slow);
+    if (out_.size() > limits_.unsent) return lose(DisconnectReason::Slow);
     std::array<char, 8192> buffer;
     for (std::size_t left = kPortion; left > 0;) {
         const net::Moved got = stream_->read(buffer);
         if (got.then == net::Moved::Then::Again) return;
-        if (got.then == net::Moved::Then::Ended) return lose(in_.empty() ? Gone::Closed : Gone::Garbled);
-        if (got.then == net::Moved::Then::Broken) return lose(Gone::Broken);
+        if (got.then == net::Moved::Then::Ended)
+            return lose(in_.empty() ? DisconnectReason::Closed : DisconnectReason::Garbled);
+        if (got.then == net::Moved::Then::Broken) return lose(DisconnectReason::Broken);
         heardAt_ = net_.now();
         if (!takeLines(std::string_view(buffer.data(), got.bytes))) return;
         left -= std::min(left, got.bytes);
@@ -181,11 +183,11 @@
 }
 
 // False once the wire is closed.
-bool Wire::takeLines(std::string_view bytes) {
+bool LineConnection::takeLines(std::string_view bytes) {
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
         if (in_.size() + std::min(end, bytes.size()) > limits_.line) {
-            lose(Gone::Garbled);
+            lose(DisconnectReason::Garbled);
             return false;
         }
         if (end == std::string_view::npos) {
@@ -213,26 +215,26 @@
 
 // Its rest may lie unread: a process that had no turn for a while comes to its timers before it reads. So it
 // is read, a turn of the loop passes, and only then is it too late.
-void Wire::stillUnfinished() {
-    if (++unfinishedLooks_ > 1) return lose(Gone::Garbled);
+void LineConnection::stillUnfinished() {
+    if (++unfinishedLooks_ > 1) return lose(DisconnectReason::Garbled);
     unfinished_.after(kLookAgain);
     readable();
 }
 
-void Wire::lose(Gone how) {
+void LineConnection::lose(DisconnectReason how) {
     if (state_ == State::Closed) return;
     // One that has gone, or does not read, is owed nothing more; one that has only finished writing may still
     // read what is unsent here.
-    const bool reads = how == Gone::Garbled || (how == Gone::Closed && !out_.empty());
+    const bool reads = how == DisconnectReason::Garbled || (how == DisconnectReason::Closed && !out_.empty());
     shut(reads ? How::Lingering : How::AtOnce);
     user_.gone(how);
 }
 
-void Wire::close(bool hard) {
+void LineConnection::close(bool hard) {
     shut(hard ? How::Reset : How::Lingering);
 }
 
-void Wire::shut(How how) {
+void LineConnection::shut(How how) {
     if (state_ == State::Closed) return;
     // A connect that failed is told from within the stream: that one dies with this wire. Its descriptor is
     // free at once, as the next connect may come before that.
--- a/src/node/line_connection.hpp
+++ b/src/node/line_connection.hpp
@@ -11,7 +11,7 @@
 
 namespace valekeel::node {
 
-enum class Gone {
+enum class DisconnectReason {
     Refused,    // nobody listens
     NoConnect,  // no connection in time, or no route
     NoSocket,   // this front had no descriptor left
@@ -20,31 +20,31 @@
     Garbled,    // a line that is too long, or was never finished
     Slow,       // it doesn't read what it is sent
 };
-const char* nameOf(Gone);
+const char* nameOf(DisconnectReason);
 
-class WireUser {
+class LineConnectionHandler {
   public:
-    virtual ~WireUser() = default;
+    virtual ~LineConnectionHandler() = default;
     virtual void opened() {}
     virtual void drained() {}  // the kernel has taken all that was unsent
     // May close the wire, but not delete it before it has returned.
     virtual void line(std::string_view) = 0;
-    virtual void gone(Gone) = 0;  // once, and not after close()
+    virtual void gone(DisconnectReason) = 0;  // once, and not after close()
 };
 
 // Lingering close: guards against an end that destroys what was said just before it. A close throws away what
 // is unsent here, and one with unread bytes resets the connection, with all that is still on its way. So what
 // is unsent goes out, the writing half is closed, and what still comes is read and discarded until the other
 // side has closed as well, for so long and so many bytes at most.
-class Lingering {
+class LingeringCloser {
   public:
     struct Limits {
         std::size_t most;  // connections
         Micros time;
         std::size_t discarded;
     };
-    Lingering(net::Net&, const Limits&);
-    ~Lingering();
+    LingeringCloser(net::Net&, const Limits&);
+    ~LingeringCloser();
     Micros time() const { return limits_.time; }
     void take(std::unique_ptr<net::Stream>, std::string unsent);
     void freeOldest();  // its descriptor is needed
@@ -59,16 +59,18 @@
     net::Timer bury_;
 };
 
-class Wire final : private net::StreamUser {
+class LineConnection final : private net::StreamUser {
   public:
     struct Limits {
         std::size_t line, unsent;
         Micros unfinished;  // how long a line may stay unfinished
     };
     // Accepted. What was said on it lately outlives its close in `lingering`.
-    Wire(net::Net&, std::unique_ptr<net::Stream>, const Limits&, WireUser&, Lingering& lingering);
-    Wire(net::Net&, const net::Endpoint&, Micros connectWithin, const Limits&, WireUser&);  // connects
-    ~Wire() override;
+    LineConnection(net::Net&, std::unique_ptr<net::Stream>, const Limits&, LineConnectionHandler&,
+                   LingeringCloser& lingering);
+    LineConnection(net::Net&, const net::Endpoint&, Micros connectWithin, const Limits&,
+                   LineConnectionHandler&);  // connects
+    ~LineConnection() override;
 
     // Gives the place in the stream at which it begins; what is said after close() is lost.
     std::uint64_t say(std::string_view line);
@@ -85,13 +87,13 @@
 
   private:
     enum class State { Connecting, Open, Closed };
-    Wire(net::Net&, State, const Limits&, WireUser&);
+    LineConnection(net::Net&, State, const Limits&, LineConnectionHandler&);
     void connected() override;
     void connectFailed(net::NoStream) override;
     void readable() override;
     void writable() override;
     void flush();
-    void lose(Gone);
+    void lose(DisconnectReason);
     void stillUnfinished();
     enum class How { Reset, AtOnce, Lingering };
     void shut(How);
@@ -99,7 +101,7 @@
 
     net::Net& net_;
     Limits limits_;
-    WireUser& user_;
+    LineConnectionHandler& user_;
     State state_;
     std::string in_, out_;
     std::uint64_t said_ = 0, taken_ = 0;
@@ -107,7 +109,7 @@
     net::Timer late_, more_, unfinished_;
     int unfinishedLooks_ = 0;
     std::unique_ptr<net::Stream> stream_, failed_;
-    Lingering* lingering_ = nullptr;
+    LingeringCloser* lingering_ = nullptr;
 };
 
 }  // namespace valekeel::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -138,7 +138,7 @@
     return seed;
 }
 
-struct Node::Parts final : core::CoreObserver, ChangeLogUser {
+struct Node::Parts final : core::CoreObserver, ChangeLogHandler {
     Parts(net::Net& net, const std::string& file, const Json& all, logging::Log& log)
         : net(net),
           file(file),
@@ -195,7 +195,8 @@
                 held && started == it->second.started ? it->second.entry.launched : onOurClock(started);
             entries.push_back(entry);
             named.insert(entry.id);
-            if (entry.standing != ServerState::Off && !servers.knows(entry.id)) servers.at(entry.id, line.at);
+            if (entry.standing != ServerState::Off && !servers.knows(entry.id))
+                servers.setAddress(entry.id, line.at);
             if (held && started > it->second.started) anew.emplace_back(entry.id, entry.launched);
             if (entry.standing == ServerState::Off)
                 listed.erase(entry.id);
@@ -214,13 +215,13 @@
         // Only now: what the servers' side takes back is placed again at once, by what the module has just
         // heard.
         for (const discovery::BoxLine& line : event.boxes)
-            if (line.sfu.standing != ServerState::Off) servers.at(line.sfu.id, line.at);
-        for (const auto& [id, launched] : anew) servers.startedAnew(id, launched);
+            if (line.sfu.standing != ServerState::Off) servers.setAddress(line.sfu.id, line.at);
+        for (const auto& [id, launched] : anew) servers.onRestarted(id, launched);
         for (const SfuEntry& entry : entries) {
             if (entry.standing == ServerState::Off) off.push_back(entry.id);
-            if (entry.standing == ServerState::Draining) servers.drains(entry.id);
+            if (entry.standing == ServerState::Draining) servers.onDraining(entry.id);
         }
-        for (const SfuId id : off) servers.off(id);
+        for (const SfuId id : off) servers.remove(id);
     }
     void changed(const ChangeEvent& event) override {
         nlohmann::ordered_json told{{"number", event.number}, {"whole", event.whole}};
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -63,9 +63,9 @@
     return load;
 }
 
-class Servers::Link final : public WireUser {
+class Servers::Link final : public LineConnectionHandler {
   public:
-    Link(Servers& all, Server& server, const net::Endpoint& to, const Wire::Limits& limits)
+    Link(Servers& all, Server& server, const net::Endpoint& to, const LineConnection::Limits& limits)
         : all(all),
           server(&server),
           begunAt(all.net_.now()),
@@ -78,11 +78,11 @@
         if (!message) {
             all.odd_("a media server's line can't be read", bytes.substr(0, 200));
             wire.close(true);
-            return gone(Gone::Garbled);
+            return gone(DisconnectReason::Garbled);
         }
         all.heard(*this, *message);
     }
-    void gone(Gone how) override {
+    void gone(DisconnectReason how) override {
         if (server) all.linkGone(*this, how);
     }
 
@@ -93,7 +93,7 @@
     bool doubted = false;       // silent while it should speak: takes no more joins
     Micros begunAt, openedAt = 0;
     bool isConnecting() const { return !wire.isOpen() && !wire.isClosed(); }
-    Wire wire;
+    LineConnection wire;
 };
 
 struct Servers::Server {
@@ -141,11 +141,11 @@
     openedAt = all.net_.now();
     server->livesAt(openedAt);
     server->payPause = 0;
-    all.pay(*server);  // before anything new: an end may be of the same id
+    all.sendQueuedEnds(*server);  // before anything new: an end may be of the same id
     all.sendWaiting(*this);
 }
 
-Servers::Servers(net::Net& net, const ServerLimits& limits, ServersUser& user)
+Servers::Servers(net::Net& net, const ServerLimits& limits, ServersHandler& user)
     : net_(net),
       limits_(limits),
       user_(user),
@@ -182,7 +182,7 @@
 
 // ================= from the list =================
 
-void Servers::at(SfuId id, const net::Endpoint& to) {
+void Servers::setAddress(SfuId id, const net::Endpoint& to) {
     auto& server = servers_[id];
     if (!server) {
         server = std::make_unique<Server>();
@@ -194,30 +194,30 @@
     closeLinks(*server, std::nullopt);
 }
 
-void Servers::off(SfuId id) {
+void Servers::remove(SfuId id) {
     const auto it = servers_.find(id);
     if (it == servers_.end()) return;
     const std::unique_ptr<Server> server = std::move(it->second);  // from here on nothing is sent there
     servers_.erase(it);
     server->owed.clear();
-    takeBackAll(*server, "its media server is off");
+    withdrawAllUnsent(*server, "its media server is off");
     closeLinks(*server, std::nullopt);
-    allOver(*server, net_.now() + 1);
+    endAllStanding(*server, net_.now() + 1);
 }
 
-void Servers::drains(SfuId id) {
-    if (Server* server = find(id)) takeBackAll(*server, "its media server drains");
+void Servers::onDraining(SfuId id) {
+    if (Server* server = find(id)) withdrawAllUnsent(*server, "its media server drains");
 }
 
-void Servers::startedAnew(SfuId id, Micros launched) {
+void Servers::onRestarted(SfuId id, Micros launched) {
     Server* server = find(id);
     if (!server) return;
     // The new process knows nothing of what was owed to the old one, nor does it listen on its connections: a
     // machine that vanished closed none. What waits was allowed while the server counted as warm.
     std::erase_if(server->owed, [&](const Server::Owed& one) { return one.since < launched; });
-    takeBackAll(*server, "its media server has started anew");
+    withdrawAllUnsent(*server, "its media server has started anew");
     closeLinks(*server, launched);
-    allOver(*server, launched);
+    endAllStanding(*server, launched);
 }
 
 // Those that have been up since before that time; where none is given, all, also those still connecting.
@@ -234,7 +234,7 @@
     if (openLinks_ >= limits_.links) return nullptr;
     ++openLinks_;
     server.links.push_back(std::make_unique<Link>(
-        *this, server, server.at, Wire::Limits{kLongestLine, limits_.unsent, limits_.unfinished}));
+        *this, server, server.at, LineConnection::Limits{kLongestLine, limits_.unsent, limits_.unfinished}));
     return server.links.back().get();
 }
 
@@ -253,21 +253,21 @@
     return best ? best : open(server);
 }
 
-void Servers::say(Server& server, const std::string& line) {
+void Servers::sendLine(Server& server, const std::string& line) {
     if (Link* link = linkFor(server, false, false)) link->wire.say(line);
 }
 
 void Servers::closeLink(Link& link) {
     link.wire.close();
-    linkGone(link, Gone::Closed);
+    linkGone(link, DisconnectReason::Closed);
 }
 
-void Servers::linkGone(Link& link, Gone how) {
+void Servers::linkGone(Link& link, DisconnectReason how) {
     Server& server = *link.server;
-    if (how == Gone::Refused) ++counts_.refused;
-    if (how == Gone::NoConnect) ++counts_.noConnect;
-    if (how == Gone::Broken) ++counts_.broken;
-    if (how == Gone::Garbled) ++counts_.garbled;
+    if (how == DisconnectReason::Refused) ++counts_.refused;
+    if (how == DisconnectReason::NoConnect) ++counts_.noConnect;
+    if (how == DisconnectReason::Broken) ++counts_.broken;
+    if (how == DisconnectReason::Garbled) ++counts_.garbled;
     const auto it = std::find_if(server.links.begin(), server.links.end(),
                                  [&](const auto& one) { return one.get() == &link; });
     std::unique_ptr<Link> gone = std::move(*it);
@@ -282,12 +282,12 @@
             one.saidOn = nullptr;
             again = true;
         }
-    bury(std::move(gone));
-    if (again) pay(server);
-    if (how == Gone::Refused || how == Gone::NoConnect) {
+    deleteLater(std::move(gone));
+    if (again) sendQueuedEnds(server);
+    if (how == DisconnectReason::Refused || how == DisconnectReason::NoConnect) {
         const Micros now = net_.now();
-        server.refusals = how == Gone::Refused ? server.refusals + 1 : 0;
-        if (how == Gone::Refused) server.lookAt = now + limits_.lookAgain;
+        server.refusals = how == DisconnectReason::Refused ? server.refusals + 1 : 0;
+        if (how == DisconnectReason::Refused) server.lookAt = now + limits_.lookAgain;
         // Refused twice: nobody listens, and a dying process cuts what it plays.
         const bool lost =
             server.refusals >= 2 || (server.lookedSince > 0 && now - server.lookedSince >= limits_.goneAfter);
@@ -296,10 +296,10 @@
             // It may be no more than cut off, and go on playing to nobody.
             for (const SubId id : std::set<SubId>(server.standing))
                 if (const auto held = held_.find(id); held != held_.end())
-                    owe(server, held->second.tag, nullptr);
-            allOver(server, net_.now() + 1);
+                    queueEnd(server, held->second.tag, nullptr);
+            endAllStanding(server, net_.now() + 1);
         }
-    } else if (how != Gone::NoSocket) {
+    } else if (how != DisconnectReason::NoSocket) {
         server.lookAt = net_.now();  // its end may mean more than its own
     }
     for (const SubId id : out) {
@@ -309,14 +309,14 @@
         outcome.why = nameOf(how);
         // What the kernel here never took can't have been read there.
         outcome.neverRan = !held->second.sent || taken <= held->second.from;
-        outcome.end = how == Gone::NoSocket ? JoinResult::NeverSent
-                      : outcome.neverRan    ? JoinResult::NoConnection
-                                            : JoinResult::Reset;
+        outcome.end = how == DisconnectReason::NoSocket ? JoinResult::NeverSent
+                      : outcome.neverRan                ? JoinResult::NoConnection
+                                                        : JoinResult::Reset;
         ended(id, outcome);
     }
 }
 
-void Servers::bury(std::unique_ptr<Link> link) {
+void Servers::deleteLater(std::unique_ptr<Link> link) {
     dead_.push_back(std::move(link));
     buryTimer_.soon();
 }
@@ -329,7 +329,7 @@
 }
 
 void Servers::join(SubId id, int joinNo, SfuId at, int rung, Micros timeOut, bool paid) {
-    const SetupWords* words = user_.wordsOf(id);
+    const SetupRequest* words = user_.wordsOf(id);
     Server* server = find(at);
     Link* link = words && server ? linkFor(*server, paid, true) : nullptr;
     if (!link || timeOut <= 0)
@@ -349,7 +349,7 @@
         if (it == held_.end() || it->second.stands) return;
         const Held& late = it->second;
         if (!late.sent && late.link->isConnecting())
-            return takeBack(id, JoinResult::NoConnection, "no connection in time");
+            return withdrawUnsent(id, JoinResult::NoConnection, "no connection in time");
         // Nothing at all since it was asked for: the connection may be a dead one.
         if (late.link->wire.heardAt() <= late.askedAt) late.link->doubted = true;
         giveUp(id, JoinResult::TimedOut, "timed out");
@@ -371,7 +371,7 @@
         const SubId id = link.waiting.front();
         link.waiting.pop_front();
         const auto it = held_.find(id);
-        const SetupWords* words = user_.wordsOf(id);
+        const SetupRequest* words = user_.wordsOf(id);
         if (it == held_.end() || !words || net_.now() >= it->second.until) continue;  // its timer ends it
         Held& held = it->second;
         // An end that is owed to an earlier try of the same id must not end this one.
@@ -397,27 +397,27 @@
 }
 
 // Of what waits on its link: it never left.
-void Servers::takeBack(SubId id, JoinResult end, const char* why) {
+void Servers::withdrawUnsent(SubId id, JoinResult end, const char* why) {
     const Held& held = held_.at(id);
     std::erase(held.link->waiting, id);
     ++counts_.withdrawn;
     ended(id, {end, true, net_.now() - held.askedAt, {}, why});
 }
 
-void Servers::takeBackAll(Server& server, const char* why) {
+void Servers::withdrawAllUnsent(Server& server, const char* why) {
     std::vector<SubId> all;
     for (const auto& link : server.links) all.insert(all.end(), link->waiting.begin(), link->waiting.end());
     for (const SubId id : all) {
         const auto it = held_.find(id);  // the end of one may have set off another's
         if (it != held_.end() && !it->second.stands && !it->second.sent && it->second.at == server.id)
-            takeBack(id, JoinResult::NoConnection, why);
+            withdrawUnsent(id, JoinResult::NoConnection, why);
     }
 }
 
 void Servers::withdraw(SubId id, int joinNo) {
     const auto it = held_.find(id);
     if (it != held_.end() && !it->second.stands && !it->second.sent && it->second.joinNo == joinNo)
-        takeBack(id, JoinResult::Cancelled, "its viewer has gone");
+        withdrawUnsent(id, JoinResult::Cancelled, "its viewer has gone");
 }
 
 void Servers::cancel(SubId id, int joinNo) {
@@ -430,11 +430,12 @@
 // is too late for that the connection has not come up in time, or its peer does not read.
 void Servers::giveUp(SubId id, JoinResult end, const char* why) {
     const Held& held = held_.at(id);
-    if (!held.sent) return takeBack(id, end == JoinResult::TimedOut ? JoinResult::NoConnection : end, why);
+    if (!held.sent)
+        return withdrawUnsent(id, end == JoinResult::TimedOut ? JoinResult::NoConnection : end, why);
     Link& link = *held.link;
     if (!link.server) return;  // its connection has just gone, and that ends it
     link.wire.say(endOf(held.tag));
-    owe(*link.server, held.tag, &link);
+    queueEnd(*link.server, held.tag, &link);
     endSaid_ = id;
     ended(id, {end, false, net_.now() - held.askedAt, {}, why});
     endSaid_ = {};
@@ -453,11 +454,11 @@
 
 // A set-up given up on, or the end of what stands.
 void Servers::release(SubId id, SfuId at) {
-    const SetupWords* words = user_.wordsOf(id);
+    const SetupRequest* words = user_.wordsOf(id);
     Server* server = find(at);
     const auto it = held_.find(id);
     const bool saidAlready = it != held_.end() ? it->second.cut : endSaid_ == id;
-    if (server && words && !saidAlready) owe(*server, words->tag, nullptr);
+    if (server && words && !saidAlready) queueEnd(*server, words->tag, nullptr);
     if (it != held_.end() && it->second.stands) forget(id);
 }
 
@@ -465,30 +466,30 @@
     const auto it = held_.find(id);
     if (it == held_.end() || !it->second.stands || it->second.cut) return;
     it->second.cut = true;
-    if (Server* server = find(it->second.at)) owe(*server, it->second.tag, nullptr);
+    if (Server* server = find(it->second.at)) queueEnd(*server, it->second.tag, nullptr);
 }
 
 // ================= ends that are owed =================
 
 // Whatever may stand there for nobody is to be ended there, also where no connection stands now or the one on
 // which that was said breaks: what is lost would hold its seat and its part of the link for good.
-void Servers::owe(Server& server, const std::string& tag, Link* saidOn) {
+void Servers::queueEnd(Server& server, const std::string& tag, Link* saidOn) {
     if (server.owed.size() >= limits_.owed) {
         ++counts_.endsDropped;
         server.owed.pop_front();
     }
     server.owed.push_back({tag, net_.now(), saidOn, net_.now()});
-    if (!saidOn) pay(server);
+    if (!saidOn) sendQueuedEnds(server);
 }
 
-void Servers::pay(Server& server) {
+void Servers::sendQueuedEnds(Server& server) {
     const auto unsaid = [](const Server::Owed& one) { return !one.saidOn; };
     if (std::none_of(server.owed.begin(), server.owed.end(), unsaid)) return;
     Link* pick = nullptr;
     for (const auto& link : server.links)
         if (link->wire.isOpen() && !link->doubted && (!pick || link->wire.heardAt() > pick->wire.heardAt()))
             pick = link.get();
-    if (!pick) return lookForPay(server);
+    if (!pick) return connectForQueuedEnds(server);
     for (Server::Owed& one : server.owed) {
         if (one.saidOn) continue;
         pick->wire.say(endOf(one.tag));
@@ -499,7 +500,7 @@
 }
 
 // Opens a connection for what is owed, and again after a pause that doubles while none comes up.
-void Servers::lookForPay(Server& server) {
+void Servers::connectForQueuedEnds(Server& server) {
     const Micros now = net_.now();
     const bool connecting = std::any_of(server.links.begin(), server.links.end(),
                                         [](const auto& link) { return link->isConnecting(); });
@@ -518,12 +519,12 @@
     rate.verb = "RATE";
     rate.tag = it->second.tag;
     rate.opts["rung"] = std::to_string(rung);
-    say(*server, lineOf(rate));
+    sendLine(*server, lineOf(rate));
 }
 
-void Servers::handedOver(SubId id, SfuId at) {
+void Servers::adopt(SubId id, SfuId at) {
     Server* server = find(at);
-    const SetupWords* words = user_.wordsOf(id);
+    const SetupRequest* words = user_.wordsOf(id);
     if (!server || !words) return;
     Held& held = held_[id];
     held.at = at;
@@ -597,7 +598,7 @@
     } else if (message.verb == "FINISH") {
         const Meaning meaning = meaningOf(message.cause.value_or(0));
         if (meaning.end == JoinResult::Error)
-            if (const SetupWords* words = user_.wordsOf(id))
+            if (const SetupRequest* words = user_.wordsOf(id))
                 odd_("a media server could not use a set-up",
                      words->tag + " " + words->room + " " + words->title + " " + words->description);
         ended(id, {meaning.end, meaning.neverRan, took, loadOf(message), meaning.why});
@@ -632,7 +633,7 @@
 }
 
 // What stood there before this time; all that is set up later belongs to a newer process.
-void Servers::allOver(Server& server, Micros before) {
+void Servers::endAllStanding(Server& server, Micros before) {
     const std::set<SubId> standing = server.standing;
     for (const SubId id : standing) {
         const auto it = held_.find(id);
@@ -681,7 +682,7 @@
             counts_.endsDropped += late && !arrived;
             return arrived || late;
         });
-        pay(*server);
+        sendQueuedEnds(*server);
         std::vector<Link*> idle;
         std::size_t good = 0;
         for (const auto& link : server->links) good += link->wire.isOpen() && !link->doubted;
--- a/src/node/servers.hpp
+++ b/src/node/servers.hpp
@@ -38,15 +38,15 @@
 };
 
 // What of a set-up goes on unchanged.
-struct SetupWords {
+struct SetupRequest {
     std::string tag, room, title, description;
 };
 
 // What media servers say of what plays.
-class ServersUser {
+class ServersHandler {
   public:
-    virtual ~ServersUser() = default;
-    virtual const SetupWords* wordsOf(SubId) = 0;
+    virtual ~ServersHandler() = default;
+    virtual const SetupRequest* wordsOf(SubId) = 0;
     virtual void answered(SubId, const std::string& description) = 0;  // just before the core hears of it
     virtual void over(SubId, JoinResult, int cause, const LoadReport&) = 0;  // it played
 };
@@ -60,7 +60,7 @@
 
 class Servers final : public core::JoinSender {
   public:
-    Servers(net::Net&, const ServerLimits&, ServersUser&);
+    Servers(net::Net&, const ServerLimits&, ServersHandler&);
     ~Servers() override;
     // What was odd, and what of a message shows it; for the log.
     void onOdd(std::function<void(const char* what, std::string_view detail)> told) {
@@ -70,13 +70,13 @@
 
     // From the list, each after the core has been told. One that is off, or whose process is new, has lost
     // what stood there. What waits to be sent to one that drains, or is new, is taken back.
-    void at(SfuId, const net::Endpoint&);  // a new one may be told before that
-    void off(SfuId);
-    void drains(SfuId);
-    void startedAnew(SfuId, Micros launched);
+    void setAddress(SfuId, const net::Endpoint&);  // a new one may be told before that
+    void remove(SfuId);
+    void onDraining(SfuId);
+    void onRestarted(SfuId, Micros launched);
     bool knows(SfuId at) const { return servers_.count(at) > 0; }
 
-    void handedOver(SubId, SfuId);  // it stands there already
+    void adopt(SubId, SfuId);       // it stands there already
     void setRung(SubId, int rung);  // of what stands
     void cut(SubId);                // ends it there; over() tells when that is done
     void forget(SubId);             // nobody asks for it any more
@@ -100,29 +100,29 @@
     Server* find(SfuId);
     Link* linkFor(Server&, bool sure, bool forJoin);
     Link* open(Server&);
-    void say(Server&, const std::string& line);
+    void sendLine(Server&, const std::string& line);
     void sendWaiting(Link&);
-    void takeBack(SubId, JoinResult, const char* why);
-    void takeBackAll(Server&, const char* why);
-    void owe(Server&, const std::string& tag, Link* saidOn);
-    void pay(Server&);
-    void lookForPay(Server&);
+    void withdrawUnsent(SubId, JoinResult, const char* why);
+    void withdrawAllUnsent(Server&, const char* why);
+    void queueEnd(Server&, const std::string& tag, Link* saidOn);
+    void sendQueuedEnds(Server&);
+    void connectForQueuedEnds(Server&);
     void heard(Link&, const Message&);
     void standingHeard(SubId, Held&, const Message&);
-    void linkGone(Link&, Gone);
+    void linkGone(Link&, DisconnectReason);
     void giveUp(SubId, JoinResult, const char* why);
     void ended(SubId, core::JoinOutcome);
     void closeLink(Link&);
     void closeLinks(Server&, std::optional<Micros> before);
     void endLater(SubId, int joinNo, core::JoinOutcome);
-    void allOver(Server&, Micros before);
+    void endAllStanding(Server&, Micros before);
     void look(Server&);
     void tidy();
-    void bury(std::unique_ptr<Link>);
+    void deleteLater(std::unique_ptr<Link>);
 
     net::Net& net_;
     ServerLimits limits_;
-    ServersUser& user_;
+    ServersHandler& user_;
     std::function<void(const char*, std::string_view)> odd_ = [](const char*, std::string_view) {};
     core::Core* core_ = nullptr;
     std::map<SfuId, std::unique_ptr<Server>> servers_;
--- a/src/node/viewers.cpp
+++ b/src/node/viewers.cpp
@@ -102,21 +102,21 @@
 
 }  // namespace
 
-class Viewers::Conn final : public WireUser {
+class Viewers::Conn final : public LineConnectionHandler {
   public:
     Conn(Viewers& all, std::uint64_t key, std::unique_ptr<net::Stream> stream)
         : all(all),
           key(key),
           since(all.net_.now()),
           wire(all.net_, std::move(stream),
-               Wire::Limits{kLongestLine, all.limits_.unsent, all.limits_.unfinished}, *this,
+               LineConnection::Limits{kLongestLine, all.limits_.unsent, all.limits_.unfinished}, *this,
                all.lingering_) {}
     // By which it may be closed for room, the least first.
     auto brought() const { return std::tuple(played, asked, proven, wire.heardAt()); }
     bool needed() const { return !open.empty() || standing > 0; }
     void line(std::string_view bytes) override { all.heard(*this, bytes); }
-    void gone(Gone how) override {
-        if (how == Gone::Garbled) ++all.counts_.unreadable;
+    void gone(DisconnectReason how) override {
+        if (how == DisconnectReason::Garbled) ++all.counts_.unreadable;
         all.connGone(*this);
     }
     Viewers& all;
@@ -129,11 +129,11 @@
     std::set<SubId> open;  // set-ups without an answer
     int useless = 0;
     std::size_t standing = 0;  // subscriptions that were set up on it
-    Wire wire;
+    LineConnection wire;
 };
 
 struct Viewers::Asking {
-    SetupWords words;
+    SetupRequest words;
     std::uint64_t conn = 0;
     bool plays = false, leaving = false, gone = false;
     std::string answer;  // the media server's description, until it has been passed on
@@ -310,7 +310,7 @@
     }
     if (!request) return useless(conn, m, why);
     conn.proven = conn.asked = true;
-    SetupWords words{m.tag, *m.text("class"), *m.text("key"), *m.description};
+    SetupRequest words{m.tag, *m.text("class"), *m.text("key"), *m.description};
     if (request->playsAt) {
         ++counts_.handedOver;
         const auto id = servers_->knows(*request->playsAt)
@@ -326,7 +326,7 @@
         asking.plays = conn.played = true;
         ++conn.standing;
         byTag_[m.tag] = *id;
-        servers_->handedOver(*id, *request->playsAt);
+        servers_->adopt(*id, *request->playsAt);
         return;
     }
     ++counts_.setups;
@@ -511,7 +511,7 @@
 
 // ================= from media servers =================
 
-const SetupWords* Viewers::wordsOf(SubId id) {
+const SetupRequest* Viewers::wordsOf(SubId id) {
     const auto it = asking_.find(id);
     return it == asking_.end() ? nullptr : &it->second.words;
 }
--- a/src/node/viewers.hpp
+++ b/src/node/viewers.hpp
@@ -47,7 +47,7 @@
     int cells = 1, rungs = 1;
 };
 
-class Viewers final : public core::SubscriptionHandler, public ServersUser, private net::ListenerUser {
+class Viewers final : public core::SubscriptionHandler, public ServersHandler, private net::ListenerUser {
   public:
     Viewers(net::Net&, const net::Endpoint&, const ViewerLimits&, Asked);
     ~Viewers() override;
@@ -89,7 +89,7 @@
     void onServerLost(SubId) override;
     void onFinished(SubId) override;
     // ---- ServersUser ----
-    const SetupWords* wordsOf(SubId) override;
+    const SetupRequest* wordsOf(SubId) override;
     void answered(SubId, const std::string& description) override;
     void over(SubId, JoinResult, int cause, const LoadReport&) override;
 
@@ -117,7 +117,7 @@
     core::Core* core_ = nullptr;
     Servers* servers_ = nullptr;
     std::unique_ptr<net::Listener> listener_;
-    Lingering lingering_;  // counted with the connections, and freed before any of them
+    LingeringCloser lingering_;  // counted with the connections, and freed before any of them
     std::map<std::uint64_t, std::unique_ptr<Conn>> conns_;
     std::uint64_t nextConn_ = 1;
     std::map<SubId, Asking> asking_;
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -110,7 +110,7 @@
     net::Timer beat_;
 };
 
-struct Heard final : node::ChangeLogUser {
+struct Heard final : node::ChangeLogHandler {
     void changed(const node::ChangeEvent& event) override {
         numbers.push_back(event.number);
         if (onChanged) onChanged(event);
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -178,11 +178,11 @@
 }
 
 // A face that ends one subscription as it hears of another's end, on the connection that has just gone.
-struct Follows final : core::SubscriptionHandler, node::ServersUser {
+struct Follows final : core::SubscriptionHandler, node::ServersHandler {
     core::Core* core = nullptr;
     SubId other{};
     std::vector<SubId> ended;
-    std::map<SubId, node::SetupWords> words;
+    std::map<SubId, node::SetupRequest> words;
     void onPlaying(SubId, SfuId, int) override {}
     void onThrottled(SubId, Micros) override {}
     void onTerminated(SubId id, core::TerminationReason) override {
@@ -191,7 +191,7 @@
     }
     void onRungChanged(SubId, int) override {}
     void onServerLost(SubId) override {}
-    const node::SetupWords* wordsOf(SubId id) override { return &words.at(id); }
+    const node::SetupRequest* wordsOf(SubId id) override { return &words.at(id); }
     void answered(SubId, const std::string&) override {}
     void over(SubId, JoinResult, int, const LoadReport&) override {}
 };
@@ -236,9 +236,9 @@
 
 // ================= limits =================
 
-struct Words : node::ServersUser {
-    node::SetupWords words{"", "talk", "t", "offer"};
-    const node::SetupWords* wordsOf(SubId id) override {
+struct Words : node::ServersHandler {
+    node::SetupRequest words{"", "talk", "t", "offer"};
+    const node::SetupRequest* wordsOf(SubId id) override {
         words.tag = idOf(static_cast<int>(id.v));
         return &words;
     }
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -305,16 +305,16 @@
 
 // Guards against connects that fail together and are tried again at once: each held two descriptors then.
 TEST(NodeViewers, AConnectGivenUpFreesItsDescriptorAtOnce) {
-    struct Nobody final : node::WireUser {
+    struct Nobody final : node::LineConnectionHandler {
         void line(std::string_view) override {}
-        void gone(node::Gone) override {}
+        void gone(node::DisconnectReason) override {}
     } nobody;
     net::VirtualWorld world{5};
     net::VirtualNode& here = world.node("here", Virtual::place(0).ip);
-    std::vector<std::unique_ptr<node::Wire>> wires;
+    std::vector<std::unique_ptr<node::LineConnection>> wires;
     for (int i = 0; i < 10; ++i) {
-        wires.push_back(std::make_unique<node::Wire>(here, Virtual::place(1), kSecond,
-                                                     node::Wire::Limits{100, 100, kSecond}, nobody));
+        wires.push_back(std::make_unique<node::LineConnection>(
+            here, Virtual::place(1), kSecond, node::LineConnection::Limits{100, 100, kSecond}, nobody));
         wires.back()->close();
     }
     EXPECT_EQ(here.mostStreams(), 1u);
