--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -20,11 +20,12 @@
 
 namespace valekeel::admission {
 
-class Gate {
+class AdmissionController {
   public:
     // Requests that may wait at once by `bound`; `connections`: open at once from one network.
-    Gate(const BoundTerms& bound, std::size_t connectionsEach, int prefix4, int prefix6,
-         const ReturnTerms& returns = {}, const WayTerms& ways = {})
+    AdmissionController(const ConcurrencyLimitSettings& bound, std::size_t connectionsEach, int prefix4,
+                        int prefix6, const RetryLimiterSettings& returns = {},
+                        const PathCapacitySettings& ways = {})
         : bound_(bound),
           connectionsEach_(connectionsEach),
           prefix4_(prefix4),
@@ -33,41 +34,41 @@
           ways_(ways) {}
 
     // Networks of members, told in the settings; other addresses are grouped by the prefix lengths above.
-    void name(const Prefix& network, const std::string& name);
+    void addNamedNetwork(const Prefix& network, const std::string& name);
     // Addresses of one name, or of one prefix, share one share.
     std::uint32_t networkOf(const net::IpAddress&);
     const std::string& nameOf(std::uint32_t network) const { return networks_[network].name; }
 
-    bool connect(std::uint32_t network);  // false: turned away
-    void disconnect(std::uint32_t network);
+    bool openConnection(std::uint32_t network);  // false: turned away
+    void closeConnection(std::uint32_t network);
 
-    enum class Let {
-        In,
+    enum class Decision {
+        Admitted,
         Full,
-        OverShare,
-        Narrow,   // the network's own way is short: one more would only take from those who watch
-        Crowded,  // nearly all asks come to nothing, and enough of them have been put to the module
+        OverFairShare,
+        PathSaturated,   // the network's own way is short: one more would only take from those who watch
+        TooManyRetries,  // nearly all asks come to nothing, and enough of them have been put to the module
     };
-    Let ask(Micros now, std::uint32_t network);
-    static const char* why(Let);
+    Decision admit(Micros now, std::uint32_t network);
+    static const char* reasonText(Decision);
     // When whoever is turned away now should come again, from now; not before `least`.
-    Micros retryAfter(Micros now, Micros least) { return returns_.tell(now, least); }
-    void placed(Micros now) { returns_.placed(now); }
-    void throttled(Micros now) { returns_.throttled(now); }
-    bool lowestOnly(std::uint32_t network) const { return ways_.lowestOnly(network); }
+    Micros retryAfter(Micros now, Micros least) { return returns_.retryAfter(now, least); }
+    void onPlaced(Micros now) { returns_.onPlaced(now); }
+    void onThrottled(Micros now) { returns_.onThrottled(now); }
+    bool isLimitedToLowestRung(std::uint32_t network) const { return ways_.isLimitedToLowestRung(network); }
     // A segment reached a viewer of that network whole: see Ways.
-    void delivered(Micros now, std::uint32_t network, double share, bool lowest) {
-        ways_.delivered(now, network, share, lowest);
+    void onDelivered(Micros now, std::uint32_t network, double share, bool lowest) {
+        ways_.onDelivered(now, network, share, lowest);
     }
     // What ask() would say to a request from there, now; nothing is kept of it.
-    bool wouldLet(const net::IpAddress&) const;
-    void answered(std::uint32_t network);
+    bool wouldAdmit(const net::IpAddress&) const;
+    void onAnswered(std::uint32_t network);
     // How long a placement took, or a set-up that came to nothing: what the bound is found from.
-    void took(Micros now, Micros time) { bound_.answered(now, time, held_); }
+    void onAnswerTime(Micros now, Micros time) { bound_.onAnswered(now, time, held_); }
 
-    std::size_t held() const { return held_; }
-    std::size_t bound() const { return bound_.now(); }
-    double fill() const { return static_cast<double>(held_) / static_cast<double>(bound()); }
+    std::size_t pendingCount() const { return held_; }
+    std::size_t limit() const { return bound_.now(); }
+    double fillRatio() const { return static_cast<double>(held_) / static_cast<double>(limit()); }
     std::size_t holding() const { return holding_; }  // networks that hold something
     std::size_t networks() const { return networks_.size(); }
 
@@ -81,12 +82,12 @@
     Prefix prefixOf(const net::IpAddress&) const;  // the group of an address that nobody told of
     std::optional<std::uint32_t> known(const net::IpAddress&) const;
     void forgetIfIdle(std::uint32_t);
-    Let letFor(std::size_t waitingOfIt) const;
-    Bound bound_;
+    Decision letFor(std::size_t waitingOfIt) const;
+    ConcurrencyLimit bound_;
     std::size_t connectionsEach_;
     int prefix4_, prefix6_;
-    Returns returns_;
-    Ways ways_;
+    RetryLimiter returns_;
+    PathCapacity ways_;
     PrefixTrie told_;
     std::map<std::string, std::uint32_t> names_;
     std::map<Prefix, std::uint32_t> untold_;
--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -4,19 +4,20 @@
 
 namespace valekeel::admission {
 
-Bound::Bound(const BoundTerms& terms) : terms_(terms), bound_(terms.most) {
+ConcurrencyLimit::ConcurrencyLimit(const ConcurrencyLimitSettings& terms)
+    : terms_(terms), bound_(terms.most) {
     terms_.least = std::min(terms_.least, terms_.most);
     seen_.reserve(kSeen);
 }
 
-void Bound::answered(Micros now, Micros took, std::size_t held) {
+void ConcurrencyLimit::onAnswered(Micros now, Micros took, std::size_t held) {
     if (terms_.target <= 0) return;
     if (seen_.empty() && now - lookedAt_ >= terms_.every) lookedAt_ = now;  // the first after a silence
     if (seen_.size() < kSeen) seen_.push_back(took);
     if (now - lookedAt_ >= terms_.every) look(now, held);
 }
 
-void Bound::look(Micros now, std::size_t held) {
+void ConcurrencyLimit::look(Micros now, std::size_t held) {
     lookedAt_ = now;
     const auto middle = seen_.begin() + static_cast<std::ptrdiff_t>(seen_.size() / 2);
     std::nth_element(seen_.begin(), middle, seen_.end());
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -14,23 +14,23 @@
 
 namespace valekeel::admission {
 
-struct BoundTerms {
+struct ConcurrencyLimitSettings {
     std::size_t least = 64, most = 1'000;  // each decision looks at all that wait: more cost more each
     Micros target = 300'000;               // 0: the bound stays at `most`
     Micros every = 200'000;                // between looks
 };
 
-class Bound {
+class ConcurrencyLimit {
   public:
-    explicit Bound(const BoundTerms& terms);
+    explicit ConcurrencyLimit(const ConcurrencyLimitSettings& terms);
     // One was answered by a placement, or its set-up came to nothing. `held`: those that wait now.
-    void answered(Micros now, Micros took, std::size_t held);
+    void onAnswered(Micros now, Micros took, std::size_t held);
     std::size_t now() const { return bound_; }
 
   private:
     void look(Micros now, std::size_t held);
     static constexpr std::size_t kSeen = 512;  // of a look: enough for a median
-    BoundTerms terms_;
+    ConcurrencyLimitSettings terms_;
     std::size_t bound_;
     std::vector<Micros> seen_;
     Micros lookedAt_ = 0, quiet_ = 0;
--- a/src/admission/path_capacity.cpp
+++ b/src/admission/path_capacity.cpp
@@ -4,7 +4,7 @@
 
 namespace valekeel::admission {
 
-void Ways::look(Micros now, Way& way) {
+void PathCapacity::look(Micros now, Way& way) {
     if (now - way.begun < terms_.window) return;
     const Seen seen = way.seen;
     way.seen = {};
@@ -40,7 +40,7 @@
     }
 }
 
-void Ways::delivered(Micros now, std::uint32_t network, double share, bool lowest) {
+void PathCapacity::onDelivered(Micros now, std::uint32_t network, double share, bool lowest) {
     if (!terms_.on) return;
     if (now - allBegun_ >= terms_.window) {
         allBefore_ = all_;
@@ -61,7 +61,7 @@
     std::erase_if(ways_, [&](const auto& w) { return now - w.second.heardAt > 30 * terms_.window; });
 }
 
-bool Ways::mayWatch(Micros now, std::uint32_t network) {
+bool PathCapacity::mayAdmit(Micros now, std::uint32_t network) {
     if (!terms_.on) return true;
     const auto it = ways_.find(network);
     if (it == ways_.end()) return true;
@@ -77,12 +77,12 @@
     return true;
 }
 
-bool Ways::lowestOnly(std::uint32_t network) const {
+bool PathCapacity::isLimitedToLowestRung(std::uint32_t network) const {
     const auto it = ways_.find(network);
     return it != ways_.end() && (it->second.narrow || it->second.opening);
 }
 
-bool Ways::narrow(std::uint32_t network) const {
+bool PathCapacity::narrow(std::uint32_t network) const {
     const auto it = ways_.find(network);
     return it != ways_.end() && it->second.narrow;
 }
--- a/src/admission/path_capacity.hpp
+++ b/src/admission/path_capacity.hpp
@@ -15,7 +15,7 @@
 
 namespace valekeel::admission {
 
-struct WayTerms {
+struct PathCapacitySettings {
     double enough = 0.95;       // of what the rung asks for
     Micros window = 2'000'000;  // over which shares are averaged
     std::size_t least = 4;      // segments in a window that say something
@@ -23,17 +23,17 @@
     bool on = true;
 };
 
-class Ways {
+class PathCapacity {
   public:
-    explicit Ways(const WayTerms& terms) : terms_(terms) {}
+    explicit PathCapacity(const PathCapacitySettings& terms) : terms_(terms) {}
     // A segment came whole: its share of what its rung asks for, 1 at most; `lowest`: no lower rung is
     // allowed.
-    void delivered(Micros now, std::uint32_t network, double share, bool lowest);
+    void onDelivered(Micros now, std::uint32_t network, double share, bool lowest);
     // Whether one more from there may watch. What it says true to is counted as let in.
-    bool mayWatch(Micros now, std::uint32_t network);
+    bool mayAdmit(Micros now, std::uint32_t network);
     bool narrow(std::uint32_t network) const;
     // While it is narrow, and while it opens again: the lowest rung is all that one more may ask for.
-    bool lowestOnly(std::uint32_t network) const;
+    bool isLimitedToLowestRung(std::uint32_t network) const;
 
   private:
     struct Seen {
@@ -48,7 +48,7 @@
         double perSecond = 0, tokens = 0;
     };
     void look(Micros now, Way&);
-    WayTerms terms_;
+    PathCapacitySettings terms_;
     std::map<std::uint32_t, Way> ways_;
     Seen all_, allBefore_;  // of all networks together, this window and the last
     Micros allBegun_ = 0, tidied_ = 0;
--- a/src/admission/retry_limiter.cpp
+++ b/src/admission/retry_limiter.cpp
@@ -4,7 +4,7 @@
 
 namespace valekeel::admission {
 
-void Returns::look(Micros now) {
+void RetryLimiter::look(Micros now) {
     if (now - lookedAt_ < terms_.window) return;
     const double span = seconds(now - lookedAt_);
     const double rate = static_cast<double>(placedNow_) / span;
@@ -19,16 +19,16 @@
     lookedAt_ = now;
 }
 
-void Returns::placed(Micros now) {
+void RetryLimiter::onPlaced(Micros now) {
     look(now);
     ++placedNow_;
 }
-void Returns::throttled(Micros now) {
+void RetryLimiter::onThrottled(Micros now) {
     look(now);
     ++throttledNow_;
 }
 
-bool Returns::worthAsking(Micros now) {
+bool RetryLimiter::mayAttempt(Micros now) {
     look(now);
     const double rate = std::max(terms_.least, terms_.asksForEach * placedRate_);
     tokens_ = std::min(rate, tokens_ + rate * seconds(now - filledAt_));  // a second's worth at most
@@ -39,7 +39,7 @@
     return true;
 }
 
-Micros Returns::tell(Micros now, Micros least) {
+Micros RetryLimiter::retryAfter(Micros now, Micros least) {
     look(now);
     if (terms_.most <= 0) return least;
     const double rate = std::max(1.0, placedRate_ * terms_.over);
--- a/src/admission/retry_limiter.hpp
+++ b/src/admission/retry_limiter.hpp
@@ -14,7 +14,7 @@
 
 namespace valekeel::admission {
 
-struct ReturnTerms {
+struct RetryLimiterSettings {
     Micros most = 30'000'000;  // nobody is told to wait longer; 0: everybody is told what the module says
     double over = 1.5;         // so many are told to come for each place that comes free
     double asksForEach = 4;  // asks put to the module for each that it places, while it throttles nearly all
@@ -22,21 +22,21 @@
     Micros window = 2'000'000;  // over which rates are found
 };
 
-class Returns {
+class RetryLimiter {
   public:
-    explicit Returns(const ReturnTerms& terms) : terms_(terms) {}
-    void placed(Micros now);
-    void throttled(Micros now);  // by the module
+    explicit RetryLimiter(const RetryLimiterSettings& terms) : terms_(terms) {}
+    void onPlaced(Micros now);
+    void onThrottled(Micros now);  // by the module
     // Whether one more ask is worth a decision.
-    bool worthAsking(Micros now);
+    bool mayAttempt(Micros now);
     // When one that is turned away now should come again, from now: not before `least`.
-    Micros tell(Micros now, Micros least);
+    Micros retryAfter(Micros now, Micros least);
     double placedPerSecond() const { return placedRate_; }
     bool crowded() const { return crowded_; }
 
   private:
     void look(Micros now);
-    ReturnTerms terms_;
+    RetryLimiterSettings terms_;
     Micros lookedAt_ = 0;
     std::uint64_t placedNow_ = 0, throttledNow_ = 0;
     double placedRate_ = 0, tokens_ = 0;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -107,21 +107,21 @@
     make.rungKb = ladder.kb;
     for (const RoomType& r : rooms.types) make.rateFactors[r.name] = r.rateFactor;
     fakes::BoxFleet fleet(net, make, machines.fleet.racks, machines.fleet.uplinkKb, 7, ledger);
-    discovery::BoxList told;
+    discovery::ServerList told;
     told.version = 1;
     for (int id = 0; id < count; ++id) {
         auto at = *net::endpointOf("127.0.0.1:0");
         if (firstPort > 0) at.port = static_cast<std::uint16_t>(firstPort + id);
         const double link = linkKb > 0 ? linkKb : std::max(1.0, machines.fleet.linkKbPerSize);
         fakes::Box& box = fleet.add(id, id % machines.fleet.cells, link, machines.fleet.places.front(), at);
-        discovery::BoxLine line;
+        discovery::ServerListEntry line;
         line.sfu.id = SfuId{static_cast<std::uint32_t>(id)};
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
         line.at = box.at();
         told.boxes.push_back(line);
         std::cerr << "valekeel: box " << id << " on " << net::text(box.at()) << "\n";
     }
-    discovery::keepList(listFile, told, machines.kinds);
+    discovery::saveServerList(listFile, told, machines.kinds);
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
     net::Timer end(net, [&] { net.stop(); });
     if (length > 0) end.after(length);
--- a/src/discovery/list_follower.cpp
+++ b/src/discovery/list_follower.cpp
@@ -10,10 +10,10 @@
 namespace valekeel::discovery {
 namespace {
 
-class FileFollower final : public Follower {
+class FileFollower final : public ListFollower {
   public:
-    FileFollower(net::Net& net, std::string path, Names names, const ListLimits& limits,
-                 const FollowTimes& times, ListUser& user)
+    FileFollower(net::Net& net, std::string path, ListNames names, const ServerListLimits& limits,
+                 const FollowTimings& times, ServerListHandler& user)
         : path_(std::move(path)),
           names_(std::move(names)),
           limits_(limits),
@@ -31,7 +31,7 @@
         std::ifstream in(path_, std::ios::binary);
         if (!in) {
             // Told once for each time that it goes: the module asks again by itself.
-            if (!std::exchange(missing_, true)) user_.listUnreachable(path_ + ": cannot be read");
+            if (!std::exchange(missing_, true)) user_.onListUnreachable(path_ + ": cannot be read");
             return;
         }
         missing_ = false;
@@ -40,34 +40,34 @@
         if (text.str() == last_) return;
         last_ = text.str();
         try {
-            const BoxList list = parseList(path_, last_, names_, limits_);
+            const ServerList list = parseServerList(path_, last_, names_, limits_);
             if (list.version > 0 && list.version <= version_ && version_ > 0) {
-                user_.listOdd(path_ + ": version " + std::to_string(list.version) + " is not newer than " +
-                              std::to_string(version_) + "; passed over");
+                user_.onListAnomaly(path_ + ": version " + std::to_string(list.version) +
+                                    " is not newer than " + std::to_string(version_) + "; passed over");
                 return;
             }
             version_ = list.version;
-            user_.listIs(list.boxes, false);
+            user_.onList(list.boxes, false);
         } catch (const settings::Wrong& wrong) {
-            user_.listOdd(wrong.brief);  // half written, or mistaken: the one held still applies
+            user_.onListAnomaly(wrong.brief);  // half written, or mistaken: the one held still applies
         }
     }
 
     std::string path_;
-    Names names_;
-    ListLimits limits_;
-    FollowTimes times_;
-    ListUser& user_;
+    ListNames names_;
+    ServerListLimits limits_;
+    FollowTimings times_;
+    ServerListHandler& user_;
     net::Timer look_;
     std::string last_;
     std::int64_t version_ = 0;
     bool missing_ = false;
 };
 
-class StreamFollower final : public Follower, http::FetchUser {
+class StreamFollower final : public ListFollower, http::FetchUser {
   public:
-    StreamFollower(net::Net& net, const net::Endpoint& at, std::string target, Names names,
-                   const ListLimits& limits, const FollowTimes& times, ListUser& user)
+    StreamFollower(net::Net& net, const net::Endpoint& at, std::string target, ListNames names,
+                   const ServerListLimits& limits, const FollowTimings& times, ServerListHandler& user)
         : net_(net),
           at_(at),
           target_(std::move(target)),
@@ -75,7 +75,7 @@
           limits_(limits),
           times_(times),
           user_(user),
-          reader_(limits.bytes, [this](const Event& e) { heard(e); }),
+          reader_(limits.bytes, [this](const SseEvent& e) { heard(e); }),
           silent_(net, [this] { lost("the list's stream is silent"); }),
           again_(net, [this] { open(); }),
           bury_(net, [this] { dead_.reset(); }) {}
@@ -121,44 +121,45 @@
                                                  : "the list's stream broke");
     }
 
-    void heard(const Event& event) {
+    void heard(const SseEvent& event) {
         std::int64_t version = 0;
         const auto [end, bad] = std::from_chars(event.id.data(), event.id.data() + event.id.size(), version);
         if (bad != std::errc{} || end != event.id.data() + event.id.size()) {
-            user_.listOdd("an event of the list without a number as its id; passed over");
+            user_.onListAnomaly("an event of the list without a number as its id; passed over");
             return;
         }
         const bool whole = event.type == "list";
         if (!whole && event.type != "change") return;  // a kind of event from a later day
         if (version <= version_ && !(whole && wantWhole_)) {
-            user_.listOdd("version " + std::to_string(version) +
-                          " of the list came again or late; passed over");
+            user_.onListAnomaly("version " + std::to_string(version) +
+                                " of the list came again or late; passed over");
             return;
         }
         if (!whole && version != version_ + 1) {
-            user_.listOdd("between versions " + std::to_string(version_) + " and " + std::to_string(version) +
-                          " of the list something is missing; the whole is asked for");
+            user_.onListAnomaly("between versions " + std::to_string(version_) + " and " +
+                                std::to_string(version) +
+                                " of the list something is missing; the whole is asked for");
             gap_ = true;
             return;
         }
         try {
-            const BoxList list = parseList("list", event.data, names_, limits_);
+            const ServerList list = parseServerList("list", event.data, names_, limits_);
             version_ = version;
             if (whole) {
                 wantWhole_ = false;
-                user_.listIs(list.boxes, false);
+                user_.onList(list.boxes, false);
             } else {
-                user_.listChangedBy(list.boxes);
+                user_.onListChange(list.boxes);
             }
         } catch (const settings::Wrong& wrong) {
-            user_.listOdd(wrong.brief);
+            user_.onListAnomaly(wrong.brief);
             if (!whole) gap_ = true;  // what it should have changed is not known
         }
     }
 
     void lost(const std::string& why) {
         close();
-        user_.listUnreachable(why);
+        user_.onListUnreachable(why);
     }
     void close() {
         silent_.cancel();
@@ -170,11 +171,11 @@
     net::Net& net_;
     net::Endpoint at_;
     std::string target_;
-    Names names_;
-    ListLimits limits_;
-    FollowTimes times_;
-    ListUser& user_;
-    EventReader reader_;
+    ListNames names_;
+    ServerListLimits limits_;
+    FollowTimings times_;
+    ServerListHandler& user_;
+    SseReader reader_;
     std::unique_ptr<http::Connection> conn_, dead_;
     net::Timer silent_, again_, bury_;
     std::int64_t version_ = 0;
@@ -184,19 +185,20 @@
 
 }  // namespace
 
-std::unique_ptr<Follower> followFile(net::Net& net, const std::string& path, const Names& names,
-                                     const ListLimits& limits, const FollowTimes& times, ListUser& user) {
+std::unique_ptr<ListFollower> followFile(net::Net& net, const std::string& path, const ListNames& names,
+                                         const ServerListLimits& limits, const FollowTimings& times,
+                                         ServerListHandler& user) {
     return std::make_unique<FileFollower>(net, path, names, limits, times, user);
 }
 
-std::unique_ptr<Follower> followStream(net::Net& net, const net::Endpoint& at, const std::string& target,
-                                       const Names& names, const ListLimits& limits, const FollowTimes& times,
-                                       ListUser& user) {
+std::unique_ptr<ListFollower> followStream(net::Net& net, const net::Endpoint& at, const std::string& target,
+                                           const ListNames& names, const ServerListLimits& limits,
+                                           const FollowTimings& times, ServerListHandler& user) {
     return std::make_unique<StreamFollower>(net, at, target, names, limits, times, user);
 }
 
-void keepList(const std::string& path, const BoxList& list, const Names& names) {
-    settings::keepText(path, writeList(list, names));
+void saveServerList(const std::string& path, const ServerList& list, const ListNames& names) {
+    settings::keepText(path, formatServerList(list, names));
 }
 
 }  // namespace valekeel::discovery
--- a/src/discovery/list_follower.hpp
+++ b/src/discovery/list_follower.hpp
@@ -16,36 +16,37 @@
 
 namespace valekeel::discovery {
 
-class ListUser {
+class ServerListHandler {
   public:
-    virtual ~ListUser() = default;
-    virtual void listIs(const std::vector<BoxLine>&, bool stale) = 0;
-    virtual void listChangedBy(const std::vector<BoxLine>&) = 0;
-    virtual void listUnreachable(const std::string& why) = 0;
-    virtual void listOdd(const std::string& why) = 0;  // something was wrong with it, and passed over
+    virtual ~ServerListHandler() = default;
+    virtual void onList(const std::vector<ServerListEntry>&, bool stale) = 0;
+    virtual void onListChange(const std::vector<ServerListEntry>&) = 0;
+    virtual void onListUnreachable(const std::string& why) = 0;
+    virtual void onListAnomaly(const std::string& why) = 0;  // something was wrong with it, and passed over
 };
 
-class Follower {
+class ListFollower {
   public:
-    virtual ~Follower() = default;
+    virtual ~ListFollower() = default;
     virtual void follow() = 0;  // begin, or begin again after a failure
 };
 
-struct FollowTimes {
+struct FollowTimings {
     Micros lookEvery = 200'000;  // at the file
     Micros connectWithin = 1'000'000;
     Micros silentFor = 15'000'000;  // a stream that says nothing, not even a comment, is given up on
 };
 
 // `keptAt`: where the last list is kept; empty for nowhere.
-std::unique_ptr<Follower> followFile(net::Net&, const std::string& path, const Names&, const ListLimits&,
-                                     const FollowTimes&, ListUser&);
+std::unique_ptr<ListFollower> followFile(net::Net&, const std::string& path, const ListNames&,
+                                         const ServerListLimits&, const FollowTimings&, ServerListHandler&);
 // `target`: path of the stream. Events: "list" (the whole) and "change" (some lines), each with its version
 // as id. A version that is not newer is passed over; a gap makes the stream be asked for the whole.
-std::unique_ptr<Follower> followStream(net::Net&, const net::Endpoint&, const std::string& target,
-                                       const Names&, const ListLimits&, const FollowTimes&, ListUser&);
+std::unique_ptr<ListFollower> followStream(net::Net&, const net::Endpoint&, const std::string& target,
+                                           const ListNames&, const ServerListLimits&, const FollowTimings&,
+                                           ServerListHandler&);
 
 // Written beside, synced, then renamed: a reader finds the old one or the new one, whole.
-void keepList(const std::string& path, const BoxList&, const Names&);
+void saveServerList(const std::string& path, const ServerList&, const ListNames&);
 
 }  // namespace valekeel::discovery
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -36,13 +36,13 @@
 
 }  // namespace
 
-BoxList parseList(const std::string& file, const std::string& text, const Names& names,
-                  const ListLimits& limits) {
+ServerList parseServerList(const std::string& file, const std::string& text, const ListNames& names,
+                           const ServerListLimits& limits) {
     const settings::Document document = settings::Document::fromText(file, text);
     if (text.size() > limits.bytes)
         document.wrong({}, "the list is longer than " + std::to_string(limits.bytes) + " bytes");
     settings::Cursor top(document);
-    BoxList out;
+    ServerList out;
     if (auto version = top.one("version")) {
         const auto number = version->numbers("the version", 0, 9e15);
         out.version = static_cast<std::int64_t>(number.front());
@@ -56,7 +56,7 @@
     for (settings::Cursor& box : top.each("box")) {
         if (out.boxes.size() >= limits.boxes)
             box.wrong("the list names more than " + std::to_string(limits.boxes) + " boxes");
-        BoxLine line;
+        ServerListEntry line;
         const auto id = box.numbers("a box's number", 0, 4294967295.0);
         if (id.size() != 1 || id[0] != static_cast<double>(static_cast<std::uint32_t>(id[0])))
             box.wrong("'box' is followed by one whole number");
@@ -87,7 +87,7 @@
     return out;
 }
 
-std::string writeList(const BoxList& list, const Names& names) {
+std::string formatServerList(const ServerList& list, const ListNames& names) {
     std::vector<settings::Node> nodes;
     const auto number = [](std::int64_t v) {
         return settings::Value{
@@ -98,7 +98,7 @@
     version.name = "version";
     version.arguments.push_back(number(list.version));
     nodes.push_back(version);
-    for (const BoxLine& line : list.boxes) {
+    for (const ServerListEntry& line : list.boxes) {
         settings::Node box;
         box.name = "box";
         box.arguments.push_back(number(line.sfu.id.v));
--- a/src/discovery/server_list.hpp
+++ b/src/discovery/server_list.hpp
@@ -14,31 +14,32 @@
 
 namespace valekeel::discovery {
 
-struct BoxLine {
+struct ServerListEntry {
     SfuEntry sfu;      // `launched` on the wall clock
     net::Endpoint at;  // of no use where it is off
 };
 
-struct BoxList {
+struct ServerList {
     std::int64_t version = 0;
-    std::vector<BoxLine> boxes;
+    std::vector<ServerListEntry> boxes;
 };
 
 // The names that the settings give: lines of the list use them, in the order in which the settings have them.
-struct Names {
-    Names(std::vector<std::string> kinds, std::vector<std::string> zones = {})
+struct ListNames {
+    ListNames(std::vector<std::string> kinds, std::vector<std::string> zones = {})
         : kinds(std::move(kinds)), zones(std::move(zones)) {}
-    Names(std::initializer_list<std::string> kinds) : kinds(kinds) {}
+    ListNames(std::initializer_list<std::string> kinds) : kinds(kinds) {}
     std::vector<std::string> kinds, zones;  // of machines; of the site, none where it has one only
 };
 
-struct ListLimits {
+struct ServerListLimits {
     std::size_t boxes = 4'096;
     std::size_t bytes = 1'000'000;
 };
 
 // Throws settings::Wrong.
-BoxList parseList(const std::string& file, const std::string& text, const Names&, const ListLimits&);
-std::string writeList(const BoxList&, const Names&);
+ServerList parseServerList(const std::string& file, const std::string& text, const ListNames&,
+                           const ServerListLimits&);
+std::string formatServerList(const ServerList&, const ListNames&);
 
 }  // namespace valekeel::discovery
--- a/src/discovery/sse_reader.cpp
+++ b/src/discovery/sse_reader.cpp
@@ -4,7 +4,7 @@
 
 namespace valekeel::discovery {
 
-void EventReader::reset() {
+void SseReader::reset() {
     line_.clear();
     data_.clear();
     type_.clear();
@@ -12,7 +12,7 @@
     first_ = true;
 }
 
-void EventReader::feed(std::string_view bytes) {
+void SseReader::feed(std::string_view bytes) {
     for (const char c : bytes) {
         if (sawCr_ && c == '\n') {  // the second half of CRLF
             sawCr_ = false;
@@ -36,13 +36,13 @@
     }
 }
 
-void EventReader::line(std::string_view text) {
+void SseReader::line(std::string_view text) {
     if (text.empty()) {
         if (dropping_)
             ++tooLong_;
         else if (any_) {
             if (!data_.empty() && data_.back() == '\n') data_.pop_back();
-            Event event;
+            SseEvent event;
             if (!type_.empty()) event.type = type_;
             event.data = data_;
             event.id = lastId_;
--- a/src/discovery/sse_reader.hpp
+++ b/src/discovery/sse_reader.hpp
@@ -7,14 +7,14 @@
 
 namespace valekeel::discovery {
 
-struct Event {
+struct SseEvent {
     std::string type = "message", data, id;
 };
 
-class EventReader {
+class SseReader {
   public:
     // `most`: bytes of one event; a longer one is dropped whole and counted.
-    EventReader(std::size_t most, std::function<void(const Event&)> heard)
+    SseReader(std::size_t most, std::function<void(const SseEvent&)> heard)
         : most_(most), heard_(std::move(heard)) {}
     void feed(std::string_view bytes);
     // The stream ended: what was begun is dropped, as the standard says.
@@ -26,7 +26,7 @@
   private:
     void line(std::string_view);
     std::size_t most_;
-    std::function<void(const Event&)> heard_;
+    std::function<void(const SseEvent&)> heard_;
     std::string line_, data_, type_, lastId_;
     bool sawCr_ = false, first_ = true, dropping_ = false, any_ = false;
     long long retryMs_ = -1;
--- a/src/evidence/evidence_file.cpp
+++ b/src/evidence/evidence_file.cpp
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-Kept parseKept(const std::string& file, const std::string& text, std::size_t most) {
+EvidenceFile parseEvidenceFile(const std::string& file, const std::string& text, std::size_t most) {
     const settings::Document document = settings::Document::fromText(file, text);
     settings::Cursor top(document);
-    Kept out;
+    EvidenceFile out;
     settings::Cursor head = top.need("learnt");
     const auto version = head.numbers("the version", 0, 1e9);
     if (version.size() != 1 || version[0] != 1) head.wrong("version 1 is expected");
@@ -29,7 +29,7 @@
         if (id.size() != 1 || id[0] != static_cast<double>(static_cast<std::uint32_t>(id[0])) ||
             !seen.insert(static_cast<std::uint32_t>(id[0])).second)
             box.wrong("'box' is followed by one whole number of its own");
-        BoxLearnt one;
+        EvidenceEntry one;
         one.what.id = SfuId{static_cast<std::uint32_t>(id[0])};
         one.launched = box.whole("launched-us", 0, 4'000'000'000'000'000, 0);
         one.what.evidence = box.number("evidence", -100, 100, 0);
@@ -42,11 +42,11 @@
     return out;
 }
 
-std::string writeKept(const Kept& kept) {
+std::string formatEvidenceFile(const EvidenceFile& kept) {
     char line[200];
     std::snprintf(line, sizeof line, "learnt 1 saved-us=%lld\n", static_cast<long long>(kept.savedAt));
     std::string out = line;
-    for (const BoxLearnt& b : kept.boxes) {
+    for (const EvidenceEntry& b : kept.boxes) {
         std::snprintf(line, sizeof line, "box %u launched-us=%lld evidence=%.3f age=\"%lldus\"", b.what.id.v,
                       static_cast<long long>(b.launched), b.what.evidence,
                       static_cast<long long>(std::min(b.what.age, kDay)));
@@ -60,8 +60,8 @@
     return out;
 }
 
-void keep(const std::string& path, const Kept& kept) {
-    settings::keepText(path, writeKept(kept));
+void saveEvidenceFile(const std::string& path, const EvidenceFile& kept) {
+    settings::keepText(path, formatEvidenceFile(kept));
 }
 
 }  // namespace valekeel::evidence
--- a/src/evidence/evidence_file.hpp
+++ b/src/evidence/evidence_file.hpp
@@ -14,21 +14,21 @@
 
 namespace valekeel::evidence {
 
-struct BoxLearnt {
+struct EvidenceEntry {
     ServerEvidence what;
     Micros launched = 0;  // of the box's process, on the wall clock as the list has it
 };
 
-struct Kept {
+struct EvidenceFile {
     Micros savedAt = 0;  // on the wall clock
-    std::vector<BoxLearnt> boxes;
+    std::vector<EvidenceEntry> boxes;
 };
 
 // Throws settings::Wrong: another version, a figure that is no number or out of its range, more than `most`
 // boxes.
-Kept parseKept(const std::string& file, const std::string& text, std::size_t most);
-std::string writeKept(const Kept&);
+EvidenceFile parseEvidenceFile(const std::string& file, const std::string& text, std::size_t most);
+std::string formatEvidenceFile(const EvidenceFile&);
 // Written beside, then renamed: a reader finds the old one or the new one, whole. Throws std::runtime_error.
-void keep(const std::string& path, const Kept&);
+void saveEvidenceFile(const std::string& path, const EvidenceFile&);
 
 }  // namespace valekeel::evidence
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -35,18 +35,18 @@
     http::WireLimits wire;
     hints::HintLimits hints;
     frontends::HttpTerms terms;
-    upstream::BoxLimits boxes;
+    upstream::UpstreamLimits boxes;
     core::CoreLimits core;
     Micros deliveryWindow = kSecond;
-    discovery::ListLimits listLimits;
-    discovery::FollowTimes listTimes;
+    discovery::ServerListLimits listLimits;
+    discovery::FollowTimings listTimes;
     std::string listFile, listPath, listKept;
     std::string learntFile;
     Micros learntEvery = 2 * kSecond, learntFor = 60 * kSecond;
     std::optional<net::Endpoint> listAt;
-    admission::BoundTerms gateBound;
-    admission::ReturnTerms gateReturns;
-    admission::WayTerms gateWays;
+    admission::ConcurrencyLimitSettings gateBound;
+    admission::RetryLimiterSettings gateReturns;
+    admission::PathCapacitySettings gateWays;
     std::size_t gateConnections = 2'000;
     int prefix4 = 24, prefix6 = 56;
     std::vector<std::pair<admission::Prefix, std::string>> networks;
@@ -103,7 +103,7 @@
             top.wrong("a client timeout of a room type is expected to be over twice viewers answer-margin=");
     {
         Cursor node = top.here("boxes");
-        upstream::BoxLimits& b = t.boxes;
+        upstream::UpstreamLimits& b = t.boxes;
         b.connections = static_cast<std::size_t>(node.whole("connections", 1, 100'000, 256));
         b.waiting = static_cast<std::size_t>(node.whole("waiting", 0, 1'000'000, 1'024));
         b.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, b.connectWithin);
@@ -165,12 +165,12 @@
     t.gateBound.most = static_cast<std::size_t>(node.whole("waiting", 1, 1'000'000, 1'000));
     t.gateBound.least = static_cast<std::size_t>(node.whole("waiting-least", 1, 1'000'000, 64));
     t.gateBound.target = node.time("target-wait", 0, kHour, t.gateBound.target);
-    admission::ReturnTerms& r = t.gateReturns;
+    admission::RetryLimiterSettings& r = t.gateReturns;
     r.most = node.time("come-back-most", 0, kHour, r.most);
     r.over = node.number("returns-for-each", 0.1, 100, r.over);
     r.asksForEach = node.number("asks-for-each", 1, 1e6, r.asksForEach);
     r.least = node.number("asks-least", 1, 1e6, r.least);
-    admission::WayTerms& w = t.gateWays;
+    admission::PathCapacitySettings& w = t.gateWays;
     w.on = node.flag("narrow-ways", true);
     w.enough = node.number("way-enough", 0.1, 1, w.enough);
     w.window = node.time("way-window", 100'000, kHour, w.window);
@@ -235,20 +235,20 @@
 
 }  // namespace
 
-struct Front::Parts final : core::CoreObserver, discovery::ListUser {
+struct Front::Parts final : core::CoreObserver, discovery::ServerListHandler {
     net::Net& net;
     Told told;
     logging::Log log;
     Micros wallOffset;  // of the wall clock over the front's own, as at the start
-    upstream::Boxes boxes;
-    upstream::Joins joins;
-    admission::Gate gate;
+    upstream::UpstreamClient boxes;
+    upstream::JoinClient joins;
+    admission::AdmissionController gate;
     std::unique_ptr<core::Core> core;
     std::unique_ptr<frontends::HttpFace> face;
     std::unique_ptr<frontends::SipFace> sip;
-    std::unique_ptr<discovery::Follower> follower;
-    discovery::BoxList held;
-    evidence::Kept earlier;  // what an earlier life had learnt, until the list has come
+    std::unique_ptr<discovery::ListFollower> follower;
+    discovery::ServerList held;
+    evidence::EvidenceFile earlier;  // what an earlier life had learnt, until the list has come
     net::Timer stopping, flushing, keeping;
     std::function<void()> stopped;
     Micros stopBy = 0;
@@ -275,7 +275,7 @@
               keepLearnt();
               keeping.after(told.learntEvery);
           }) {
-        for (const auto& [prefix, member] : told.networks) gate.name(prefix, member);
+        for (const auto& [prefix, member] : told.networks) gate.addNamedNetwork(prefix, member);
         follower = told.listAt ? discovery::followStream(net, *told.listAt, told.listPath, names(),
                                                          told.listLimits, told.listTimes, *this)
                                : discovery::followFile(net, told.listFile, names(), told.listLimits,
@@ -308,7 +308,7 @@
         log.line(level, net.now(), net.wallNow(), what, std::move(fields));
     }
 
-    discovery::Names names() const { return {told.machines.kinds, told.machines.zones}; }
+    discovery::ListNames names() const { return {told.machines.kinds, told.machines.zones}; }
 
     // ---- core::Watcher ----
     nlohmann::ordered_json of(SubId id) const {
@@ -350,10 +350,10 @@
     }
     void onAnswer(SubId id, std::string_view how, Micros took) override {
         if (how == "throttled")
-            gate.throttled(net.now());
+            gate.onThrottled(net.now());
         else
-            gate.took(net.now(), took);
-        if (how == "plays") gate.placed(net.now());
+            gate.onAnswerTime(net.now(), took);
+        if (how == "plays") gate.onPlaced(net.now());
         auto fields = of(id);
         fields["how"] = how;
         fields["took_us"] = took;
@@ -365,9 +365,9 @@
     }
 
     // ---- list::ListUser ----
-    std::vector<SfuEntry> taken(const std::vector<discovery::BoxLine>& lines) {
+    std::vector<SfuEntry> taken(const std::vector<discovery::ServerListEntry>& lines) {
         std::vector<SfuEntry> out;
-        for (const discovery::BoxLine& one : lines) {
+        for (const discovery::ServerListEntry& one : lines) {
             SfuEntry sfu = one.sfu;
             // The list speaks of the wall clock. A start that seems to lie ahead is one of just now.
             if (sfu.launched > 0)
@@ -380,19 +380,19 @@
                 continue;
             }
             if (one.at.port != 0) {
-                boxes.at(sfu.id, one.at);
-                joins.endEarlierLives(sfu.id);
+                boxes.setAddress(sfu.id, one.at);
+                joins.releaseEarlierSessions(sfu.id);
             }
             out.push_back(sfu);
         }
         return out;
     }
-    void merge(const std::vector<discovery::BoxLine>& lines, bool whole) {
+    void merge(const std::vector<discovery::ServerListEntry>& lines, bool whole) {
         if (whole) held.boxes.clear();
-        for (const discovery::BoxLine& one : lines) {
+        for (const discovery::ServerListEntry& one : lines) {
             const auto same =
                 std::find_if(held.boxes.begin(), held.boxes.end(),
-                             [&](const discovery::BoxLine& b) { return b.sfu.id == one.sfu.id; });
+                             [&](const discovery::ServerListEntry& b) { return b.sfu.id == one.sfu.id; });
             if (same == held.boxes.end())
                 held.boxes.push_back(one);
             else if (one.sfu.standing == ServerState::Off)
@@ -402,28 +402,28 @@
         }
         if (told.listKept.empty()) return;
         try {
-            discovery::keepList(told.listKept, held, names());
+            discovery::saveServerList(told.listKept, held, names());
         } catch (const std::exception& e) {
             line(logging::Level::Warning, "list-not-kept", {{"why", e.what()}});
         }
     }
-    void listIs(const std::vector<discovery::BoxLine>& lines, bool stale) override {
+    void onList(const std::vector<discovery::ServerListEntry>& lines, bool stale) override {
         line(logging::Level::Info, "list", {{"boxes", lines.size()}, {"stale", stale}});
         core->onServerList(taken(lines), stale);
         if (stale) return;
         merge(lines, true);
         recall();
     }
-    void listChangedBy(const std::vector<discovery::BoxLine>& lines) override {
+    void onListChange(const std::vector<discovery::ServerListEntry>& lines) override {
         line(logging::Level::Info, "list-changed", {{"boxes", lines.size()}});
         core->onServerListChange(taken(lines));
         merge(lines, false);
     }
-    void listUnreachable(const std::string& why) override {
+    void onListUnreachable(const std::string& why) override {
         line(logging::Level::Warning, "list-unreachable", {{"why", why}});
         core->onServerListFailure();
     }
-    void listOdd(const std::string& why) override {
+    void onListAnomaly(const std::string& why) override {
         line(logging::Level::Warning, "list-odd", {{"why", why}});
     }
 
@@ -432,11 +432,11 @@
         if (told.learntFile.empty()) return;
         try {
             if (!std::filesystem::exists(told.learntFile)) throw std::runtime_error("there is none");
-            evidence::Kept kept = evidence::parseKept(told.learntFile, settings::textOfFile(told.learntFile),
-                                                      told.listLimits.boxes);
+            evidence::EvidenceFile kept = evidence::parseEvidenceFile(
+                told.learntFile, settings::textOfFile(told.learntFile), told.listLimits.boxes);
             const Micros since = net.wallNow() - kept.savedAt;
             if (since < 0 || since > told.learntFor) throw std::runtime_error("it is of another time");
-            for (evidence::BoxLearnt& b : kept.boxes) b.what.age += since;
+            for (evidence::EvidenceEntry& b : kept.boxes) b.what.age += since;
             earlier = std::move(kept);
         } catch (const std::exception& e) {
             line(logging::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
@@ -444,7 +444,7 @@
     }
     std::map<SfuId, Micros> launchedOf() const {  // of all boxes listed, on the wall clock
         std::map<SfuId, Micros> out;
-        for (const discovery::BoxLine& box : held.boxes) out.emplace(box.sfu.id, box.sfu.launched);
+        for (const discovery::ServerListEntry& box : held.boxes) out.emplace(box.sfu.id, box.sfu.launched);
         return out;
     }
     // Only of boxes that the list has now, and whose process is still the same.
@@ -452,7 +452,7 @@
         if (earlier.boxes.empty()) return;
         const auto launched = launchedOf();
         std::vector<ServerEvidence> same;
-        for (const evidence::BoxLearnt& b : earlier.boxes)
+        for (const evidence::EvidenceEntry& b : earlier.boxes)
             if (const auto now = launched.find(b.what.id); now != launched.end() && now->second == b.launched)
                 same.push_back(b.what);
         line(logging::Level::Info, "learnt-taken",
@@ -462,13 +462,13 @@
     }
     void keepLearnt() {
         if (!earlier.boxes.empty()) return;  // no list has come yet: what was kept is all that is known
-        evidence::Kept kept{net.wallNow(), {}};
+        evidence::EvidenceFile kept{net.wallNow(), {}};
         const auto launched = launchedOf();
         for (const ServerEvidence& what : core->serverEvidence())
             if (const auto now = launched.find(what.id); now != launched.end())
                 kept.boxes.push_back({what, now->second});
         try {
-            evidence::keep(told.learntFile, kept);
+            evidence::saveEvidenceFile(told.learntFile, kept);
         } catch (const std::exception& e) {
             line(logging::Level::Warning, "learnt-not-kept", {{"why", e.what()}});
         }
@@ -477,9 +477,9 @@
     void readKept() {
         if (told.listKept.empty() || !std::filesystem::exists(told.listKept)) return;
         try {
-            held = discovery::parseList(told.listKept, settings::textOfFile(told.listKept), names(),
-                                        told.listLimits);
-            listIs(held.boxes, true);
+            held = discovery::parseServerList(told.listKept, settings::textOfFile(told.listKept), names(),
+                                              told.listLimits);
+            onList(held.boxes, true);
         } catch (const std::exception& e) {
             line(logging::Level::Warning, "kept-list-odd", {{"why", e.what()}});
         }
--- a/src/frontends/frontend_context.hpp
+++ b/src/frontends/frontend_context.hpp
@@ -20,10 +20,10 @@
     const settings::Talks& talks_;
     const settings::RoomTypes& rooms_;
     const Ladder& ladder_;
-    admission::Gate& gate_;
+    admission::AdmissionController& gate_;
     core::Core& core_;
-    upstream::Boxes& boxes_;
-    upstream::Joins& joins_;
+    upstream::UpstreamClient& boxes_;
+    upstream::JoinClient& joins_;
     logging::Log& log_;
 };
 
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -56,7 +56,7 @@
 };
 
 // One fetch from a box for a viewer: the playlist first, where it isn't known, then what was asked for.
-class HttpFace::Relay final : public upstream::RequestUser, public http::ExchangeUser {
+class HttpFace::Relay final : public upstream::UpstreamRequestHandler, public http::ExchangeUser {
   public:
     enum class What { Window, Init, Segment };
     Relay(HttpFace& face, std::uint64_t key, Viewer& viewer, http::Exchange& exchange, What what,
@@ -83,7 +83,7 @@
         if (!viewer) return end(410, "the subscription is over");
         const auto known = face_.cache_.find({title_, rung_});
         if (known == face_.cache_.end()) {
-            const auto* answer = face_.joins_.answerOf(sub_);
+            const auto* answer = face_.joins_.responseOf(sub_);
             if (!answer) return end(410, "the subscription is over");
             playlist_ = true;
             path_ =
@@ -149,7 +149,7 @@
             face_.boxes_.send(at_, "GET", path + sub, fields, again_, face_.terms_.segmentWithin, *this);
     }
 
-    void head(const http::ResponseHead& head) override {
+    void onHead(const http::ResponseHead& head) override {
         status_ = head.status;
         const LoadReport load = upstream::loadOf(head.fields);
         toHead_ = face_.net_.now() - sentAt_;
@@ -176,7 +176,7 @@
         face_.core_.onLoadReport(sub_, at_, load.linkUse, load.uplinkUse);
     }
 
-    void piece(std::string_view bytes) override {
+    void onBody(std::string_view bytes) override {
         if (playlist_) {
             if (body_.size() <= 1'000'000) body_ += bytes;
             return;
@@ -193,10 +193,10 @@
         }
     }
 
-    void whole() override {
+    void onComplete() override {
         if (playlist_) {
             playlist_ = false;
-            if (status_ == 410) return lost(upstream::WireEnd::BrokenAnswer);
+            if (status_ == 410) return lost(upstream::RequestResult::BrokenAnswer);
             if (status_ != 200) return end(502, "the box has no playlist");
             auto read = hls::readMedia(body_);
             std::string().swap(body_);
@@ -213,7 +213,7 @@
             finished_ = std::move(request_);
             return start();
         }
-        if (status_ == 410) return lost(upstream::WireEnd::BrokenAnswer);
+        if (status_ == 410) return lost(upstream::RequestResult::BrokenAnswer);
         if (!begun_) return end(502, "the box answered " + std::to_string(status_));
         if (got_ < length_) return cutShort();
         const Micros now = face_.net_.now();
@@ -237,15 +237,15 @@
         }
     }
 
-    void failed(upstream::WireEnd how) override {
+    void onFailed(upstream::RequestResult how) override {
         // A kept connection that the box had just closed: what is fetched may be fetched again, on a fresh
         // one.
-        if (how == upstream::WireEnd::BrokenOutKept && !again_ && !begun_ && exchange_) {
+        if (how == upstream::RequestResult::BrokenOutKept && !again_ && !begun_ && exchange_) {
             again_ = true;
             finished_ = std::move(request_);
             return start();
         }
-        if (how == upstream::WireEnd::NoRoomToSend || how == upstream::WireEnd::NoDescriptor)
+        if (how == upstream::RequestResult::NoRoomToSend || how == upstream::RequestResult::NoDescriptor)
             return end(503, "too much is being fetched from the box");
         if (const Viewer* viewer = face_.byToken(token_)) tellWay(*viewer, face_.net_.now());
         lost(how);
@@ -259,7 +259,7 @@
             return;
         const double share = static_cast<double>(playTime_) / static_cast<double>(took) *
                              static_cast<double>(got_) / static_cast<double>(length_);
-        face_.gate_.delivered(now, viewer.network, share, rung_ <= face_.rooms_.types[viewer.room.v].floor);
+        face_.gate_.onDelivered(now, viewer.network, share, rung_ <= face_.rooms_.types[viewer.room.v].floor);
     }
 
     // The viewer's side.
@@ -278,12 +278,13 @@
         over();
     }
 
-    void lost(upstream::WireEnd how) {
+    void lost(upstream::RequestResult how) {
         const SubId sub = sub_;
         HttpFace& face = face_;
-        end(how == upstream::WireEnd::TimedOutOut ? 504 : 502, upstream::meaningOf(how).name);
-        face.core_.onPlaybackEnded(
-            sub, how == upstream::WireEnd::BrokenAnswer ? JoinResult::Reset : upstream::meaningOf(how).end);
+        end(how == upstream::RequestResult::TimedOutOut ? 504 : 502, upstream::meaningOf(how).name);
+        face.core_.onPlaybackEnded(sub, how == upstream::RequestResult::BrokenAnswer
+                                            ? JoinResult::Reset
+                                            : upstream::meaningOf(how).end);
     }
     void cutShort() {
         if (http::Exchange* exchange = std::exchange(exchange_, nullptr)) {
@@ -319,7 +320,7 @@
     std::uint64_t no_;
     int rung_;
     http::Exchange* exchange_;
-    std::unique_ptr<upstream::Request> request_, finished_;
+    std::unique_ptr<upstream::UpstreamRequest> request_, finished_;
     std::string path_, body_;
     bool playlist_ = false, begun_ = false, held_ = false, heldEver_ = false, again_ = false;
     int status_ = 0, wanted_ = 200;
@@ -363,12 +364,12 @@
 // ================= requests =================
 
 bool HttpFace::admits(const net::Endpoint& peer) {
-    if (gate_.connect(gate_.networkOf(peer.ip))) return true;
+    if (gate_.openConnection(gate_.networkOf(peer.ip))) return true;
     ++turnedAway_;
     return false;
 }
 void HttpFace::closed(const net::Endpoint& peer) {
-    gate_.disconnect(gate_.networkOf(peer.ip));
+    gate_.closeConnection(gate_.networkOf(peer.ip));
 }
 void HttpFace::malformed(const net::Endpoint& peer, int status, const std::string& why) {
     ++badRequests_;
@@ -482,9 +483,10 @@
     }
     if (stopping_) return refuse(exchange, 503, "this front is stopping", terms_.retryWhenFull);
     const std::uint32_t network = gate_.networkOf(exchange.peer().ip);
-    if (const auto let = gate_.ask(net_.now(), network); let != admission::Gate::Let::In) {
+    if (const auto let = gate_.admit(net_.now(), network);
+        let != admission::AdmissionController::Decision::Admitted) {
         ++turnedAway_;
-        return refuse(exchange, 503, admission::Gate::why(let),
+        return refuse(exchange, 503, admission::AdmissionController::reasonText(let),
                       gate_.retryAfter(net_.now(), terms_.retryWhenFull));
     }
 
@@ -495,7 +497,7 @@
     if (hint.tb && *hint.tb > 0) kbits = std::min(kbits, static_cast<double>(*hint.tb));
     if (hint.rtp && *hint.rtp > 0) kbits = std::min(kbits, static_cast<double>(*hint.rtp));
     if (hint.mtp && *hint.mtp > 0) kbits = std::min(kbits, 1.5 * static_cast<double>(*hint.mtp));
-    if (gate_.lowestOnly(network)) kbits = 0;
+    if (gate_.isLimitedToLowestRung(network)) kbits = 0;
     SubscriptionRequest wish = wishFor(*room, title, talk->second, ladder_, type, kbits);
     for (const auto& [key, value] : hint.custom) {
         if (key != "org.valekeel-watch") continue;
@@ -505,7 +507,7 @@
 
     const auto id = core_.subscribe(*this, wish, rooms_.clientTimeouts[room->v]);
     if (!id) {
-        gate_.answered(network);
+        gate_.onAnswered(network);
         ++turnedAway_;
         return refuse(exchange, 503, "this front holds all that it can", terms_.retryWhenFull);
     }
@@ -535,7 +537,7 @@
     viewer.waiters.push_back(std::make_unique<Waiter>(*this, viewer.token, exchange));
     subs_[*id] = &viewer;
     if (!sidKey.empty()) sids_[sidKey] = &viewer;
-    joins_.scribe(*id, *this);
+    joins_.setRequestSource(*id, *this);
     nlohmann::ordered_json fields{{"trace", viewer.trace.trace},
                                   {"sub", id->v},
                                   {"title", title},
@@ -627,7 +629,7 @@
         std::llround(ladder_.kb[static_cast<std::size_t>(viewer.rung)] * type.rateFactor * 8));
     if (viewer.delivered) entry.etp = *viewer.delivered;
     if (toHead) entry.rd = *toHead / 1000;
-    entry.du = gate_.held() * 2 > gate_.bound();
+    entry.du = gate_.pendingCount() * 2 > gate_.limit();
     fields.add("CMSD-Dynamic", hints::appended(standingDynamic, entry));
     fields.add("traceparent", logging::write(viewer.trace));
     return fields;
@@ -636,7 +638,7 @@
 // ================= answers =================
 
 void HttpFace::answerWaiters(Viewer& viewer, const std::function<void(http::Exchange&)>& how) {
-    if (std::exchange(viewer.inGate, false)) gate_.answered(viewer.network);
+    if (std::exchange(viewer.inGate, false)) gate_.onAnswered(viewer.network);
     std::vector<std::unique_ptr<Waiter>> waiters;
     waiters.swap(viewer.waiters);
     for (auto& waiter : waiters) {
@@ -662,7 +664,7 @@
 }
 
 void HttpFace::answerPlaying(Viewer& viewer, http::Exchange& exchange) {
-    const upstream::JoinAnswer* answer = joins_.answerOf(viewer.sub);
+    const upstream::JoinResponse* answer = joins_.responseOf(viewer.sub);
     if (!answer) return refuse(exchange, 410, "the subscription is over");
     // One variant: which rung plays is the front's to say, and the window's maps carry each change.
     hls::Variant best;
@@ -709,7 +711,7 @@
                {"sub", id.v},
                {"segments", viewer.segments},
                {"bytes", viewer.bytes}});
-    if (std::exchange(viewer.inGate, false)) gate_.answered(viewer.network);
+    if (std::exchange(viewer.inGate, false)) gate_.onAnswered(viewer.network);
     viewer.silence->cancel();
     subs_.erase(id);
     if (!viewer.sidKey.empty()) {
@@ -724,8 +726,8 @@
     joins_.forget(id);
 }
 
-upstream::JoinWords HttpFace::wordsFor(SubId id, int) {
-    upstream::JoinWords words;
+upstream::JoinRequest HttpFace::joinRequestFor(SubId id, int) {
+    upstream::JoinRequest words;
     const Viewer* viewer = bySub(id);
     if (!viewer) return words;
     words.title = viewer->title;
--- a/src/frontends/http/http_frontend.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -36,7 +36,7 @@
 
 class HttpFace final : public core::SubscriptionHandler,
                        public http::Handler,
-                       public upstream::JoinScribe,
+                       public upstream::JoinRequestSource,
                        Surroundings {
   public:
     HttpFace(const Surroundings&, const net::Endpoint&, const http::WireLimits&, const HttpTerms&,
@@ -76,7 +76,7 @@
     void onRungChanged(SubId, int rung) override;
     void onServerLost(SubId) override;
 
-    upstream::JoinWords wordsFor(SubId, int joinNo) override;
+    upstream::JoinRequest joinRequestFor(SubId, int joinNo) override;
 
     void countDropped(const hints::CmcdReader&);
     hints::Cmcd hintsOf(const http::RequestHead&);
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -160,29 +160,29 @@
 };
 
 // Asks the box whether it still holds what plays.
-class SipFace::Hold final : public upstream::RequestUser {
+class SipFace::Hold final : public upstream::UpstreamRequestHandler {
   public:
     Hold(SipFace& face, SubId sub) : face_(face), sub_(sub) {}
-    std::unique_ptr<upstream::Request> request;
+    std::unique_ptr<upstream::UpstreamRequest> request;
 
   private:
-    void head(const http::ResponseHead& h) override {
+    void onHead(const http::ResponseHead& h) override {
         status_ = h.status;
         load_ = upstream::loadOf(h.fields);
     }
-    void piece(std::string_view) override {}
-    void whole() override {
+    void onBody(std::string_view) override {}
+    void onComplete() override {
         Call* call = face_.bySub(sub_);
         if (!call) return;
         if (status_ == 410) return face_.core_.onPlaybackEnded(sub_, JoinResult::Reset);
         face_.core_.onLoadReport(sub_, call->at, load_.linkUse, load_.uplinkUse);
         call->holdTimer->after(face_.terms_.holdEvery);
     }
-    void failed(upstream::WireEnd how) override {
+    void onFailed(upstream::RequestResult how) override {
         Call* call = face_.bySub(sub_);
         if (!call) return;
-        if (how == upstream::WireEnd::NoRoomToSend || how == upstream::WireEnd::NoDescriptor ||
-            how == upstream::WireEnd::BrokenOutKept) {  // says nothing of the box
+        if (how == upstream::RequestResult::NoRoomToSend || how == upstream::RequestResult::NoDescriptor ||
+            how == upstream::RequestResult::BrokenOutKept) {  // says nothing of the box
             call->holdTimer->after(face_.terms_.holdEvery / 4);
             return;
         }
@@ -228,7 +228,7 @@
 }
 
 void SipFace::look() {
-    const double fill = gate_.fill();
+    const double fill = gate_.fillRatio();
     while (!mergedUntil_.empty() && mergedUntil_.front().first <= net_.now()) {
         std::string key = std::move(mergedUntil_.front().second);
         mergedUntil_.pop_front();
@@ -389,8 +389,9 @@
 bool SipFace::turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::Way& way) {
     if (refused_.knows(name)) return true;
     const double draw = static_cast<double>(name >> 11) / 9007199254740992.0;
-    const bool away = stopping_ || (terms_.shed && (overload_.shed(draw, listens, emergency, gate_.fill()) ||
-                                                    (!emergency && !gate_.wouldLet(way.peer.ip))));
+    const bool away =
+        stopping_ || (terms_.shed && (overload_.shed(draw, listens, emergency, gate_.fillRatio()) ||
+                                      (!emergency && !gate_.wouldAdmit(way.peer.ip))));
     if (away) refused_.remember(name);
     return away;
 }
@@ -451,19 +452,19 @@
     if (calls_.size() >= terms_.calls)
         return reply(key, m, 503, {{"Retry-After", wholeSecondsUp(terms_.retryWhenFull)}});
     const std::uint32_t network = gate_.networkOf(way.peer.ip);
-    if (gate_.ask(net_.now(), network) != admission::Gate::Let::In)
+    if (gate_.admit(net_.now(), network) != admission::AdmissionController::Decision::Admitted)
         return reply(key, m, 503,
                      {{"Retry-After", wholeSecondsUp(gate_.retryAfter(net_.now(), terms_.retryWhenFull))}});
 
     const RoomType& type = rooms_.types[room->v];
     double kbits = offer.mostBits ? static_cast<double>(*offer.mostBits) / 1'000 : 1e18;
-    if (gate_.lowestOnly(network)) kbits = 0;
+    if (gate_.isLimitedToLowestRung(network)) kbits = 0;
     const SubscriptionRequest wish = wishFor(*room, m.user, talk->second, ladder_, type, kbits);
     Micros timeout = rooms_.clientTimeouts[room->v];
     if (m.expires && *m.expires > 0) timeout = std::min(timeout, static_cast<Micros>(*m.expires) * kSecond);
     const auto id = core_.subscribe(*this, wish, timeout);
     if (!id) {
-        gate_.answered(network);
+        gate_.onAnswered(network);
         return reply(key, m, 503, {{"Retry-After", wholeSecondsUp(terms_.retryWhenFull)}});
     }
     auto made = std::make_unique<Call>();
@@ -509,7 +510,7 @@
     merged_[mergeKey] = key;
     mergedUntil_.emplace_back(net_.now() + 65 * terms_.times.t1, mergeKey);
     calls_[*id] = std::move(made);
-    joins_.scribe(*id, *this);
+    joins_.setRequestSource(*id, *this);
     log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "asked",
               {{"trace", call.trace.trace},
                {"sub", id->v},
@@ -572,7 +573,7 @@
 // ================= what the core says =================
 
 std::string SipFace::answerBody(const Call& call) const {
-    const net::Endpoint* at = boxes_.whereIs(call.at);
+    const net::Endpoint* at = boxes_.addressOf(call.at);
     const RoomType& type = rooms_.types[call.room.v];
     const double kb = ladder_.kb[static_cast<std::size_t>(call.rung)] * type.rateFactor;
     return sip::writeAnswer(call.offer, at ? *at : datagrams_->at(),
@@ -591,7 +592,7 @@
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
-    if (std::exchange(call->inGate, false)) gate_.answered(call->network);
+    if (std::exchange(call->inGate, false)) gate_.onAnswered(call->network);
     call->playing = true;
     call->at = at;
     call->rung = rung;
@@ -684,7 +685,7 @@
     const SubId id = call.sub;
     log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
               {{"trace", call.trace.trace}, {"sub", id.v}, {"face", "sip"}});
-    if (std::exchange(call.inGate, false)) gate_.answered(call.network);
+    if (std::exchange(call.inGate, false)) gate_.onAnswered(call.network);
     transactions_.acknowledged(call.key);  // whatever became of its 200, it is sent no more
     byKey_.erase(call.key);
     byDialog_.erase(call.dialog);
@@ -714,8 +715,8 @@
                                      terms_.holdWithin, *call.hold);
 }
 
-upstream::JoinWords SipFace::wordsFor(SubId id, int) {
-    upstream::JoinWords words;
+upstream::JoinRequest SipFace::joinRequestFor(SubId id, int) {
+    upstream::JoinRequest words;
     const Call* call = bySub(id);
     if (!call) return words;
     words.title = call->title;
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -43,7 +43,7 @@
 };
 
 class SipFace final : public core::SubscriptionHandler,
-                      public upstream::JoinScribe,
+                      public upstream::JoinRequestSource,
                       sip::TransactionUser,
                       net::DatagramUser,
                       net::ListenerUser,
@@ -88,7 +88,7 @@
     void onTerminated(SubId, core::TerminationReason) override;
     void onRungChanged(SubId, int rung) override;
     void onServerLost(SubId) override;
-    upstream::JoinWords wordsFor(SubId, int joinNo) override;
+    upstream::JoinRequest joinRequestFor(SubId, int joinNo) override;
 
     void sendOn(const sip::Way&, const std::string& bytes) override;
     void neverAcknowledged(const std::string& key) override;
--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::vector<ChangeEvent> knownEvents(const setup::Json& known, const discovery::Names& names) {
+std::vector<ChangeEvent> knownEvents(const setup::Json& known, const discovery::ListNames& names) {
     std::vector<ChangeEvent> out;
     std::size_t at = 0;
     for (const setup::Json& result : setup::array(known, "results", "known")) {
@@ -44,7 +44,7 @@
         const setup::Json& fleet = setup::objectAt(result, "fleet", where);
         event.whole = setup::flag(fleet, "reset", where) || out.empty();
         for (const setup::Json& one : setup::array(fleet, "instances", where)) {
-            discovery::BoxLine line;
+            discovery::ServerListEntry line;
             line.sfu.id = SfuId{idOf(setup::text(one, "instanceId", where), where)};
             line.sfu.standing = standingOf(setup::text(one, "lifecycle", where), where);
             if (const auto to = net::endpointOf(setup::textOr(one, "hostPort", "", where)))
@@ -84,7 +84,7 @@
         event.whole = kind == 1;
         for (std::size_t record = kHead; record < length; record += kRecord) {
             const char* r = at + record;
-            discovery::BoxLine line;
+            discovery::ServerListEntry line;
             const auto state = bigEndian(r + 10, 1), zone = bigEndian(r + 11, 1),
                        kindOf = bigEndian(r + 12, 1);
             if (state > 2 || zone >= std::max<std::size_t>(1, zones_) || kindOf >= kinds_) return false;
--- a/src/node/changelog.hpp
+++ b/src/node/changelog.hpp
@@ -15,12 +15,12 @@
 
 struct ChangeEvent {
     std::uint64_t number = 0;
-    bool whole = false;                     // the whole list, else changes
-    std::vector<discovery::BoxLine> boxes;  // `launched` in Unix microseconds
+    bool whole = false;                             // the whole list, else changes
+    std::vector<discovery::ServerListEntry> boxes;  // `launched` in Unix microseconds
 };
 
 // What `known` of the configuration holds. Throws setup::Bad.
-std::vector<ChangeEvent> knownEvents(const setup::Json& known, const discovery::Names&);
+std::vector<ChangeEvent> knownEvents(const setup::Json& known, const discovery::ListNames&);
 
 class FrameReader {
   public:
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -184,7 +184,7 @@
         std::vector<SfuEntry> entries;
         std::vector<std::pair<SfuId, Micros>> anew;
         std::set<SfuId> named;
-        for (const discovery::BoxLine& line : event.boxes) {
+        for (const discovery::ServerListEntry& line : event.boxes) {
             SfuEntry entry = line.sfu;
             const Micros started = line.sfu.launched;
             const auto it = listed.find(entry.id);
@@ -214,7 +214,7 @@
         }
         // Only now: what the servers' side takes back is placed again at once, by what the module has just
         // heard.
-        for (const discovery::BoxLine& line : event.boxes)
+        for (const discovery::ServerListEntry& line : event.boxes)
             if (line.sfu.standing != ServerState::Off) servers.setAddress(line.sfu.id, line.at);
         for (const auto& [id, launched] : anew) servers.onRestarted(id, launched);
         for (const SfuEntry& entry : entries) {
@@ -225,7 +225,7 @@
     }
     void changed(const ChangeEvent& event) override {
         nlohmann::ordered_json told{{"number", event.number}, {"whole", event.whole}};
-        for (const discovery::BoxLine& line : event.boxes)
+        for (const discovery::ServerListEntry& line : event.boxes)
             told["boxes"].push_back({line.sfu.id.v, static_cast<int>(line.sfu.standing)});
         say(logging::Level::Info, "list", std::move(told));
         take(event, false);
@@ -354,7 +354,7 @@
     Json settings;
     std::string where;
     setup::Names names;
-    discovery::Names listNames;
+    discovery::ListNames listNames;
     Micros killed;  // no sooner, after SIGTERM
     net::Endpoint changelogAt;
     std::vector<ChangeEvent> known;
--- a/src/upstream/connection_reuse.cpp
+++ b/src/upstream/connection_reuse.cpp
@@ -5,7 +5,7 @@
 namespace valekeel::upstream {
 
 // The one used last is taken first: the others grow old and are closed, so a quiet front holds few.
-Reuse::Choice Reuse::choose(Micros now, Need need) const {
+ConnectionReusePolicy::Choice ConnectionReusePolicy::choose(Micros now, Need need) const {
     if (!idle_.empty()) {
         const auto& [since, conn] = *idle_.rbegin();
         const Micros rest = now - since;
@@ -16,19 +16,19 @@
     return {Choice::What::Wait, {}};
 }
 
-void Reuse::taken(ConnId conn) {
+void ConnectionReusePolicy::taken(ConnId conn) {
     const auto it = std::find_if(idle_.begin(), idle_.end(), [&](const auto& e) { return e.second == conn; });
     if (it == idle_.end()) return;
     idle_.erase(it);
     ++busy_;
 }
 
-void Reuse::idle(Micros now, ConnId conn) {
+void ConnectionReusePolicy::idle(Micros now, ConnId conn) {
     --busy_;
     idle_.emplace(now, conn);
 }
 
-void Reuse::closed(ConnId conn, bool wasBusy) {
+void ConnectionReusePolicy::closed(ConnId conn, bool wasBusy) {
     if (wasBusy) {
         --busy_;
         return;
@@ -36,7 +36,7 @@
     std::erase_if(idle_, [&](const auto& e) { return e.second == conn; });
 }
 
-std::optional<ConnId> Reuse::stale(Micros now) const {
+std::optional<ConnId> ConnectionReusePolicy::stale(Micros now) const {
     if (idle_.empty() || now - idle_.begin()->first < keepIdle_) return std::nullopt;
     return idle_.begin()->second;
 }
--- a/src/upstream/connection_reuse.hpp
+++ b/src/upstream/connection_reuse.hpp
@@ -13,11 +13,11 @@
 
 using ConnId = Id<struct ConnTag, std::uint64_t>;
 
-class Reuse {
+class ConnectionReusePolicy {
   public:
     // At most so many connections to this box; idle ones are kept for `keepIdle`; `sureFor`: how lately one
     // must have been used for a request that must not be in doubt.
-    Reuse(std::size_t most, Micros keepIdle, Micros sureFor)
+    ConnectionReusePolicy(std::size_t most, Micros keepIdle, Micros sureFor)
         : most_(most), keepIdle_(keepIdle), sureFor_(sureFor) {}
 
     enum class Need { Any, Sure };
--- a/src/upstream/join_client.cpp
+++ b/src/upstream/join_client.cpp
@@ -2,49 +2,49 @@
 
 namespace valekeel::upstream {
 
-class Joins::Out final : public RequestUser {
+class JoinClient::Out final : public UpstreamRequestHandler {
   public:
-    Out(Joins& all, SubId id, int joinNo, std::string path)
+    Out(JoinClient& all, SubId id, int joinNo, std::string path)
         : all_(all), id_(id), joinNo_(joinNo), path_(std::move(path)), began_(all.net_.now()) {}
-    std::unique_ptr<Request> request;
+    std::unique_ptr<UpstreamRequest> request;
     int joinNo() const { return joinNo_; }
 
   private:
-    void head(const http::ResponseHead& head) override {
+    void onHead(const http::ResponseHead& head) override {
         head_ = head;
         toHead_ = all_.net_.now() - began_;
     }
-    void piece(std::string_view bytes) override {
+    void onBody(std::string_view bytes) override {
         if (body_.size() <= all_.limits_.bytes) body_ += bytes;
     }
-    void whole() override {
+    void onComplete() override {
         const LoadReport load = loadOf(head_.fields);
-        WireEnd end = WireEnd::ErrorStatus;
+        RequestResult end = RequestResult::ErrorStatus;
         if (head_.status == 200) {
             auto read = hls::readMultivariant(body_, all_.limits_);
-            end = read.got && read.got->variants.size() >= all_.rungs_ ? WireEnd::Answered200
-                                                                       : WireEnd::BadAnswer;
-            if (end == WireEnd::Answered200)
+            end = read.got && read.got->variants.size() >= all_.rungs_ ? RequestResult::Answered200
+                                                                       : RequestResult::BadAnswer;
+            if (end == RequestResult::Answered200)
                 all_.answers_[id_] =
-                    JoinAnswer{std::move(*read.got), path_, head_.fields.joined("CMSD-Static").value_or(""),
-                               head_.fields.joined("CMSD-Dynamic").value_or(""), toHead_};
+                    JoinResponse{std::move(*read.got), path_, head_.fields.joined("CMSD-Static").value_or(""),
+                                 head_.fields.joined("CMSD-Dynamic").value_or(""), toHead_};
         } else if (head_.status == 503) {
-            end = WireEnd::TurnedAway;
+            end = RequestResult::TurnedAway;
             for (const auto& entry :
                  hints::parseCmsdDynamic(head_.fields.joined("CMSD-Dynamic").value_or(""))) {
                 const hints::Bare* unseen = entry.custom.find("org.valekeel-unseen");
-                if (unseen && *unseen == hints::Bare(true)) end = WireEnd::TurnedAwayUnseen;
+                if (unseen && *unseen == hints::Bare(true)) end = RequestResult::TurnedAwayUnseen;
             }
         }
         all_.ended(id_, joinNo_, end, load, all_.net_.now() - began_);
     }
-    void failed(WireEnd end) override {
+    void onFailed(RequestResult end) override {
         // What failed after a head was read ran, whatever way it broke.
-        if (head_.status != 0 && end == WireEnd::TimedOutOut) end = WireEnd::BrokenAnswer;
+        if (head_.status != 0 && end == RequestResult::TimedOutOut) end = RequestResult::BrokenAnswer;
         all_.ended(id_, joinNo_, end, LoadReport{}, all_.net_.now() - began_);
     }
 
-    Joins& all_;
+    JoinClient& all_;
     SubId id_;
     int joinNo_;
     std::string path_, body_;
@@ -52,8 +52,8 @@
     Micros began_, toHead_ = 0;
 };
 
-Joins::Joins(net::Net& net, Boxes& boxes, std::string name, std::size_t rungs,
-             const hls::PlaylistLimits& limits, std::function<void()> follow)
+JoinClient::JoinClient(net::Net& net, UpstreamClient& boxes, std::string name, std::size_t rungs,
+                       const hls::PlaylistLimits& limits, std::function<void()> follow)
     : net_(net),
       boxes_(boxes),
       name_(std::move(name)),
@@ -61,28 +61,28 @@
       limits_(limits),
       follow_(std::move(follow)),
       bury_(net, [this] { dead_.clear(); }) {}
-Joins::~Joins() = default;
+JoinClient::~JoinClient() = default;
 
-std::string Joins::keyOf(SubId id) const {
+std::string JoinClient::keyOf(SubId id) const {
     return name_ + "." + std::to_string(id.v);
 }
-const JoinAnswer* Joins::answerOf(SubId id) const {
+const JoinResponse* JoinClient::responseOf(SubId id) const {
     const auto it = answers_.find(id);
     return it == answers_.end() ? nullptr : &it->second;
 }
-void Joins::forget(SubId id) {
+void JoinClient::forget(SubId id) {
     scribes_.erase(id);
     answers_.erase(id);
 }
 
-void Joins::endEarlierLives(SfuId at) {
-    if (told_.insert(at).second) boxes_.tell(at, "DELETE", "/earlier/" + name_, {});
+void JoinClient::releaseEarlierSessions(SfuId at) {
+    if (told_.insert(at).second) boxes_.notify(at, "DELETE", "/earlier/" + name_, {});
 }
 
-void Joins::join(SubId id, int joinNo, SfuId at, int rung, Micros timeOut, bool paid) {
+void JoinClient::join(SubId id, int joinNo, SfuId at, int rung, Micros timeOut, bool paid) {
     const auto scribe = scribes_.find(id);
-    JoinWords words;
-    if (scribe != scribes_.end()) words = scribe->second->wordsFor(id, joinNo);
+    JoinRequest words;
+    if (scribe != scribes_.end()) words = scribe->second->joinRequestFor(id, joinNo);
     const std::string target = "/talk/" + http::percentEncoded(words.title) + "/main.m3u8?sub=" + keyOf(id) +
                                "&room=" + http::percentEncoded(words.room) + "&rung=" + std::to_string(rung) +
                                "&join=" + std::to_string(joinNo) +
@@ -92,31 +92,31 @@
     out_[id] = std::move(out);
 }
 
-void Joins::cancel(SubId id, int joinNo) {
+void JoinClient::cancel(SubId id, int joinNo) {
     const auto it = out_.find(id);
     if (it == out_.end() || it->second->joinNo() != joinNo) return;
-    const WireEnd end = it->second->request->cancel();
+    const RequestResult end = it->second->request->cancel();
     ended(id, joinNo, end, LoadReport{}, 0);
 }
 
-void Joins::withdraw(SubId id, int joinNo) {
+void JoinClient::withdraw(SubId id, int joinNo) {
     const auto it = out_.find(id);
     if (it != out_.end() && !it->second->request->wroteAny()) cancel(id, joinNo);
 }
 
-void Joins::ended(SubId id, int joinNo, WireEnd end, LoadReport load, Micros took) {
+void JoinClient::ended(SubId id, int joinNo, RequestResult end, LoadReport load, Micros took) {
     const auto it = out_.find(id);
     if (it == out_.end()) return;
     dead_.push_back(std::move(it->second));
     out_.erase(it);
     bury_.soon();
-    const Meaning& meaning = meaningOf(end);
+    const ResultMeaning& meaning = meaningOf(end);
     core_->onJoinOutcome(id, joinNo,
                          core::JoinOutcome{meaning.end, meaning.neverRan, took, load, meaning.name});
 }
 
-void Joins::release(SubId id, SfuId at) {
-    boxes_.tell(at, "DELETE", "/sub/" + keyOf(id), {});
+void JoinClient::release(SubId id, SfuId at) {
+    boxes_.notify(at, "DELETE", "/sub/" + keyOf(id), {});
 }
 
 }  // namespace valekeel::upstream
--- a/src/upstream/request_result.cpp
+++ b/src/upstream/request_result.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using E = JoinResult;
-constexpr std::array<Meaning, static_cast<std::size_t>(WireEnd::Count_)> kTable{{
+constexpr std::array<ResultMeaning, static_cast<std::size_t>(RequestResult::Count_)> kTable{{
     {E::Played, false, "played", "the box says that it plays"},
     {E::NoConnection, true, "refused-connect", "the kernel there turned the connect away: nothing was sent"},
     {E::NoConnection, true, "no-connection", "no connection stood, so no byte was sent"},
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-const Meaning& meaningOf(WireEnd end) {
+const ResultMeaning& meaningOf(RequestResult end) {
     return kTable[static_cast<std::size_t>(end)];
 }
 
--- a/src/upstream/request_result.hpp
+++ b/src/upstream/request_result.hpp
@@ -8,7 +8,7 @@
 
 namespace valekeel::upstream {
 
-enum class WireEnd {
+enum class RequestResult {
     Answered200,       // the playlist came, whole
     ConnectRefused,    // nobody listens
     ConnectFailed,     // no route, or no connection in time
@@ -28,12 +28,12 @@
     Count_
 };
 
-struct Meaning {
+struct ResultMeaning {
     JoinResult end;
     bool neverRan;  // proof
     std::string_view name, why;
 };
 
-const Meaning& meaningOf(WireEnd);
+const ResultMeaning& meaningOf(RequestResult);
 
 }  // namespace valekeel::upstream
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -4,24 +4,25 @@
 
 namespace valekeel::upstream {
 
-struct Boxes::Kept {
+struct UpstreamClient::Kept {
     std::unique_ptr<http::Connection> conn;
     bool busy = false;
 };
 
-struct Boxes::Box {
+struct UpstreamClient::Box {
     net::Endpoint at;
-    Reuse reuse;
+    ConnectionReusePolicy reuse;
     std::map<ConnId, Kept> conns;
     std::deque<Exchange*> waiting;
-    Box(const net::Endpoint& at, const BoxLimits& l) : at(at), reuse(l.connections, l.keepIdle, l.sureFor) {}
+    Box(const net::Endpoint& at, const UpstreamLimits& l)
+        : at(at), reuse(l.connections, l.keepIdle, l.sureFor) {}
 };
 
 // One request on its way: it waits for a connection, or holds one.
-class Boxes::Exchange final : public Request, private http::FetchUser {
+class UpstreamClient::Exchange final : public UpstreamRequest, private http::FetchUser {
   public:
-    Exchange(Boxes& all, Box& box, std::string bytes, bool headOnly, bool sure, Micros within,
-             RequestUser& user)
+    Exchange(UpstreamClient& all, Box& box, std::string bytes, bool headOnly, bool sure, Micros within,
+             UpstreamRequestHandler& user)
         : all_(all),
           box_(&box),
           alive_(all.alive_),
@@ -45,10 +46,10 @@
         if (conn_) conn_->resume();
     }
     bool wroteAny() const override { return conn_ && conn_->wroteAny(); }
-    WireEnd cancel() override {
+    RequestResult cancel() override {
         const bool out = wroteAny();
         letGo(false);
-        return out ? WireEnd::CancelledOut : WireEnd::CancelledUnsent;
+        return out ? RequestResult::CancelledOut : RequestResult::CancelledUnsent;
     }
     bool sure() const { return sure_; }
     void useConn(ConnId id, http::Connection& conn, bool kept) {
@@ -62,7 +63,7 @@
     void start() {
         if (box_->waiting.size() >= all_.limits_.waiting) {
             finish();
-            user_.failed(WireEnd::NoRoomToSend);
+            user_.onFailed(RequestResult::NoRoomToSend);
             return;
         }
         waits_ = true;
@@ -71,41 +72,43 @@
     }
 
   private:
-    void answered(const http::ResponseHead& head) override { user_.head(head); }
-    void piece(std::string_view bytes) override { user_.piece(bytes); }
+    void answered(const http::ResponseHead& head) override { user_.onHead(head); }
+    void onBody(std::string_view bytes) override { user_.onBody(bytes); }
     void fetched(bool kept) override {
         finish();
         giveBack(kept);
-        user_.whole();
+        user_.onComplete();
     }
     void failed(http::Failed how) override {
         const bool kept = kept_;
         finish();
         giveBack(false);
-        user_.failed(meaningFor(how, kept));
+        user_.onFailed(meaningFor(how, kept));
     }
-    static WireEnd meaningFor(http::Failed how, bool kept) {
+    static RequestResult meaningFor(http::Failed how, bool kept) {
         switch (how) {
             case http::Failed::Refused:
-                return WireEnd::ConnectRefused;
+                return RequestResult::ConnectRefused;
             case http::Failed::NoConnection:
-                return WireEnd::ConnectFailed;
+                return RequestResult::ConnectFailed;
             case http::Failed::NeverWritten:
-                return WireEnd::NeverWritten;
+                return RequestResult::NeverWritten;
             case http::Failed::BrokenOut:
-                return kept ? WireEnd::BrokenOutKept : WireEnd::BrokenOutFresh;
+                return kept ? RequestResult::BrokenOutKept : RequestResult::BrokenOutFresh;
             case http::Failed::BrokenAnswer:
-                return WireEnd::BrokenAnswer;
+                return RequestResult::BrokenAnswer;
             case http::Failed::BadAnswer:
-                return WireEnd::BadAnswer;
+                return RequestResult::BadAnswer;
         }
-        return WireEnd::BadAnswer;
+        return RequestResult::BadAnswer;
     }
 
     void tooLate() {
         const bool waited = !conn_, out = wroteAny();
         letGo(false);
-        user_.failed(waited ? WireEnd::NoRoomToSend : out ? WireEnd::TimedOutOut : WireEnd::ConnectFailed);
+        user_.onFailed(waited ? RequestResult::NoRoomToSend
+                       : out  ? RequestResult::TimedOutOut
+                              : RequestResult::ConnectFailed);
     }
     void finish() {
         done_ = true;
@@ -137,29 +140,29 @@
         if (!box_->waiting.empty()) all_.serveWaiting(*box_);
     }
 
-    Boxes& all_;
+    UpstreamClient& all_;
     Box* box_;
     std::shared_ptr<bool> alive_;
     std::string bytes_;
     bool headOnly_, sure_;
-    RequestUser& user_;
+    UpstreamRequestHandler& user_;
     net::Timer late_, start_;
     ConnId id_;
     http::Connection* conn_ = nullptr;
     bool kept_ = false, waits_ = false, done_ = false;
 };
 
-struct Boxes::Told final : RequestUser {
-    Boxes& all;
+struct UpstreamClient::Told final : UpstreamRequestHandler {
+    UpstreamClient& all;
     std::uint64_t key;
     SfuId box;
     std::string method, target;
     http::Fields fields;
     int tries = 0;
-    std::unique_ptr<Request> request;
+    std::unique_ptr<UpstreamRequest> request;
     net::Timer again, over;
-    Told(Boxes& all, std::uint64_t key, SfuId box, std::string_view method, const std::string& target,
-         const http::Fields& fields)
+    Told(UpstreamClient& all, std::uint64_t key, SfuId box, std::string_view method,
+         const std::string& target, const http::Fields& fields)
         : all(all),
           key(key),
           box(box),
@@ -172,33 +175,33 @@
         ++tries;
         request = all.send(box, method, target, fields, false, 2 * kSecond, *this);
     }
-    void head(const http::ResponseHead&) override {}
-    void piece(std::string_view) override {}
-    void whole() override { over.after(0); }
-    void failed(WireEnd) override {
+    void onHead(const http::ResponseHead&) override {}
+    void onBody(std::string_view) override {}
+    void onComplete() override { over.after(0); }
+    void onFailed(RequestResult) override {
         if (tries >= all.limits_.releaseTries) return over.after(0);
         again.after(Micros{50'000} << std::min(2 * tries, 8));  // 200 ms, 800 ms, and so on
     }
 };
 
-Boxes::Boxes(net::Net& net, const http::WireLimits& wire, const BoxLimits& limits)
+UpstreamClient::UpstreamClient(net::Net& net, const http::WireLimits& wire, const UpstreamLimits& limits)
     : net_(net), wire_(wire), limits_(limits), bury_(net, [this] { dead_.clear(); }), tidy_(net, [this] {
           tidy();
       }) {
     tidy_.after(kSecond);
 }
 
-Boxes::~Boxes() {
+UpstreamClient::~UpstreamClient() {
     told_.clear();
     *alive_ = false;
 }
 
-Boxes::Box* Boxes::find(SfuId id) {
+UpstreamClient::Box* UpstreamClient::find(SfuId id) {
     const auto it = boxes_.find(id);
     return it == boxes_.end() ? nullptr : it->second.get();
 }
 
-void Boxes::at(SfuId id, const net::Endpoint& where) {
+void UpstreamClient::setAddress(SfuId id, const net::Endpoint& where) {
     Box* box = find(id);
     if (!box) {
         boxes_[id] = std::make_unique<Box>(where, limits_);
@@ -216,14 +219,15 @@
     }
 }
 
-const net::Endpoint* Boxes::whereIs(SfuId id) const {
+const net::Endpoint* UpstreamClient::addressOf(SfuId id) const {
     const auto it = boxes_.find(id);
     return it == boxes_.end() ? nullptr : &it->second->at;
 }
 
-std::unique_ptr<Request> Boxes::send(SfuId id, std::string_view method, const std::string& target,
-                                     const http::Fields& fields, bool sure, Micros within,
-                                     RequestUser& user) {
+std::unique_ptr<UpstreamRequest> UpstreamClient::send(SfuId id, std::string_view method,
+                                                      const std::string& target, const http::Fields& fields,
+                                                      bool sure, Micros within,
+                                                      UpstreamRequestHandler& user) {
     Box* box = find(id);
     if (!box) {  // never listed: a place that nobody answers at
         at(id, net::Endpoint{boost::asio::ip::make_address("127.0.0.1"), 1});
@@ -233,18 +237,20 @@
                                       method == "HEAD", sure, std::max<Micros>(within, 0), user);
 }
 
-void Boxes::tell(SfuId id, std::string_view method, const std::string& target, const http::Fields& fields) {
+void UpstreamClient::notify(SfuId id, std::string_view method, const std::string& target,
+                            const http::Fields& fields) {
     if (told_.size() >= limits_.releases) return;
     const std::uint64_t key = nextTold_++;
     auto& told = told_[key] = std::make_unique<Told>(*this, key, id, method, target, fields);
     told->go();
 }
 
-void Boxes::serveWaiting(Box& box) {
+void UpstreamClient::serveWaiting(Box& box) {
     while (!box.waiting.empty()) {
         Exchange* next = box.waiting.front();
-        const auto choice = box.reuse.choose(net_.now(), next->sure() ? Reuse::Need::Sure : Reuse::Need::Any);
-        using What = Reuse::Choice::What;
+        const auto choice = box.reuse.choose(
+            net_.now(), next->sure() ? ConnectionReusePolicy::Need::Sure : ConnectionReusePolicy::Need::Any);
+        using What = ConnectionReusePolicy::Choice::What;
         if (choice.what == What::Wait) return;
         if (choice.what == What::Use) {
             const auto it = box.conns.find(choice.conn);
@@ -273,7 +279,7 @@
     }
 }
 
-void Boxes::tidy() {
+void UpstreamClient::tidy() {
     for (auto& [id, box] : boxes_) {
         while (const auto old = box->reuse.stale(net_.now())) {
             box->reuse.closed(*old, false);
@@ -291,7 +297,7 @@
     tidy_.after(kSecond);
 }
 
-std::size_t Boxes::connections() const {
+std::size_t UpstreamClient::connections() const {
     std::size_t sum = 0;
     for (const auto& [id, box] : boxes_) sum += box->conns.size();
     return sum;
--- a/src/upstream/upstream_client.hpp
+++ b/src/upstream/upstream_client.hpp
@@ -16,7 +16,7 @@
 
 namespace valekeel::upstream {
 
-struct BoxLimits {
+struct UpstreamLimits {
     std::size_t connections = 256;  // to one box
     std::size_t waiting = 1'024;    // requests that wait for one of them
     std::size_t releases = 20'000;  // that boxes are still to be told of
@@ -27,42 +27,43 @@
 };
 
 // One request to a box, until it is done. Deleting it calls it off.
-class Request {
+class UpstreamRequest {
   public:
-    virtual ~Request() = default;
+    virtual ~UpstreamRequest() = default;
     virtual void pause() = 0;
     virtual void resume() = 0;
     virtual bool wroteAny() const = 0;
     // Called off, with what that proves.
-    virtual WireEnd cancel() = 0;
+    virtual RequestResult cancel() = 0;
 };
 
-class RequestUser {
+class UpstreamRequestHandler {
   public:
-    virtual ~RequestUser() = default;
-    virtual void head(const http::ResponseHead&) = 0;
-    virtual void piece(std::string_view) = 0;
+    virtual ~UpstreamRequestHandler() = default;
+    virtual void onHead(const http::ResponseHead&) = 0;
+    virtual void onBody(std::string_view) = 0;
     // The last call; the request may be deleted within it.
-    virtual void whole() = 0;
-    virtual void failed(WireEnd) = 0;
+    virtual void onComplete() = 0;
+    virtual void onFailed(RequestResult) = 0;
 };
 
-class Boxes {
+class UpstreamClient {
   public:
-    Boxes(net::Net&, const http::WireLimits&, const BoxLimits&);
-    ~Boxes();
+    UpstreamClient(net::Net&, const http::WireLimits&, const UpstreamLimits&);
+    ~UpstreamClient();
 
     // Where a box listens; a new place closes what stands to the old one as it falls idle.
-    void at(SfuId, const net::Endpoint&);
-    const net::Endpoint* whereIs(SfuId) const;
+    void setAddress(SfuId, const net::Endpoint&);
+    const net::Endpoint* addressOf(SfuId) const;
 
     // GET or DELETE of a path. `sure`: it must not be left in doubt by a kept connection. Nothing is called
     // before this returns.
-    std::unique_ptr<Request> send(SfuId, std::string_view method, const std::string& target,
-                                  const http::Fields&, bool sure, Micros within, RequestUser&);
+    std::unique_ptr<UpstreamRequest> send(SfuId, std::string_view method, const std::string& target,
+                                          const http::Fields&, bool sure, Micros within,
+                                          UpstreamRequestHandler&);
     // Tells a box that what it holds there is over; tried again where nothing comes back, as often as
     // allowed. What it then doesn't hear it drops by itself.
-    void tell(SfuId, std::string_view method, const std::string& target, const http::Fields&);
+    void notify(SfuId, std::string_view method, const std::string& target, const http::Fields&);
 
     std::size_t connections() const;
 
@@ -77,7 +78,7 @@
 
     net::Net& net_;
     http::WireLimits wire_;
-    BoxLimits limits_;
+    UpstreamLimits limits_;
     std::map<SfuId, std::unique_ptr<Box>> boxes_;
     std::uint64_t nextConn_ = 1;
     std::map<std::uint64_t, std::unique_ptr<Told>> told_;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace admission;
 
-BoundTerms fixed(std::size_t most) {
+ConcurrencyLimitSettings fixed(std::size_t most) {
     return {1, most, 0, 200'000};
 }
 
@@ -72,10 +72,10 @@
 // A server with one queue, `perSecond` of it served, asked for `offered` a second: the bound is all that
 // stands between the two. Tells the longest wait of the last half, and how much was served.
 struct Queue {
-    Bound bound;
+    ConcurrencyLimit bound;
     double waiting = 0, served = 0;
     Micros now = 0, slowest = 0;
-    explicit Queue(const BoundTerms& t) : bound(t) {}
+    explicit Queue(const ConcurrencyLimitSettings& t) : bound(t) {}
     void run(Micros time, double perSecond, double offered, Micros own) {
         const Micros end = now + time;
         slowest = 0;
@@ -87,13 +87,13 @@
             waiting -= out;
             served += out;
             for (int i = 0; i < static_cast<int>(out); ++i)
-                bound.answered(now, took, static_cast<std::size_t>(waiting));
+                bound.onAnswered(now, took, static_cast<std::size_t>(waiting));
             if (now > end - time / 2) slowest = std::max(slowest, took);
         }
     }
 };
 
-TEST(Bound, HoldsTheWaitAtItsTargetUnderAFloodAndServesAllTheSame) {
+TEST(ConcurrencyLimit, HoldsTheWaitAtItsTargetUnderAFloodAndServesAllTheSame) {
     Queue q({64, 5'000, 300'000, 200'000});
     q.run(10 * kSecond, 1'000, 10'000, 20'000);
     EXPECT_LT(q.slowest, 600'000) << "unbounded it would be five seconds";
@@ -103,7 +103,7 @@
     EXPECT_GT(q.bound.now(), 1'500u) << "it rises again when the flood is over";
 }
 
-TEST(Bound, WhatIsSlowWithoutACrowdTurnsNobodyAway) {
+TEST(ConcurrencyLimit, WhatIsSlowWithoutACrowdTurnsNobodyAway) {
     Queue q({64, 5'000, 300'000, 200'000});
     q.run(20 * kSecond, 1'000, 100, 900'000);
     EXPECT_EQ(q.bound.now(), 5'000u);
@@ -113,30 +113,30 @@
     EXPECT_LT(q.slowest, 2'500'000);
 }
 
-TEST(Bound, NeverLeavesItsLimits) {
+TEST(ConcurrencyLimit, NeverLeavesItsLimits) {
     std::mt19937_64 chance(3);
-    Bound b({10, 100, 100'000, 50'000});
+    ConcurrencyLimit b({10, 100, 100'000, 50'000});
     Micros now = 0;
     for (int i = 0; i < 20'000; ++i) {
         const auto t = static_cast<Micros>(chance() % (i % 3 ? 1'000'000 : 50'000));
         now += t % 100'000;
-        b.answered(now, t, chance() % 120);
+        b.onAnswered(now, t, chance() % 120);
         ASSERT_TRUE(b.now() >= 10u && b.now() <= 100u);
     }
 }
 
-TEST(Returns, SpreadsThoseWhoAreTurnedAwayByWhatIsPlaced) {
-    Returns r({30 * kSecond, 1.5, 4, 20, 2 * kSecond});
+TEST(RetryLimiter, SpreadsThoseWhoAreTurnedAwayByWhatIsPlaced) {
+    RetryLimiter r({30 * kSecond, 1.5, 4, 20, 2 * kSecond});
     Micros now = 10 * kSecond;
     for (int i = 0; i < 100; ++i) {  // ten placed a second
-        r.placed(now);
+        r.onPlaced(now);
         now += 100'000;
     }
     EXPECT_NEAR(r.placedPerSecond(), 10, 1);
     std::map<Micros, int> perSecond;
     Micros last = 0;
     for (int i = 0; i < 300; ++i) {
-        const Micros wait = r.tell(now, kSecond);
+        const Micros wait = r.retryAfter(now, kSecond);
         EXPECT_GE(wait, kSecond);
         EXPECT_LE(wait, 30 * kSecond);
         EXPECT_GT(wait, last);
@@ -145,24 +145,24 @@
     }
     for (const auto& [second, many] : perSecond) EXPECT_LE(many, 17) << "no more than can be placed, by half";
     // A row that is longer than the longest wait begins anew.
-    for (int i = 0; i < 1'000; ++i) EXPECT_LE(r.tell(now, kSecond), 30 * kSecond);
-    Returns off({0, 1.5, 4, 20, 2 * kSecond});
-    EXPECT_EQ(off.tell(now, 7), 7);
+    for (int i = 0; i < 1'000; ++i) EXPECT_LE(r.retryAfter(now, kSecond), 30 * kSecond);
+    RetryLimiter off({0, 1.5, 4, 20, 2 * kSecond});
+    EXPECT_EQ(off.retryAfter(now, 7), 7);
 }
 
-TEST(Returns, AsksAreWorthADecisionUntilNearlyAllComeToNothing) {
-    Returns r({30 * kSecond, 1.5, 4, 20, 2 * kSecond});
+TEST(RetryLimiter, AsksAreWorthADecisionUntilNearlyAllComeToNothing) {
+    RetryLimiter r({30 * kSecond, 1.5, 4, 20, 2 * kSecond});
     Micros now = 10 * kSecond;
     const auto second = [&](int asks, int places) {
         int let = 0;
         for (int i = 0; i < asks; ++i) {
             now += kSecond / asks;
-            if (!r.worthAsking(now)) continue;
+            if (!r.mayAttempt(now)) continue;
             ++let;
             if (let <= places)
-                r.placed(now);
+                r.onPlaced(now);
             else
-                r.throttled(now);
+                r.onThrottled(now);
         }
         return let;
     };
@@ -178,65 +178,66 @@
     EXPECT_EQ(second(100, 100), 100);
 }
 
-TEST(Ways, ANarrowOneIsClosedToMoreAndOpensByAFewAtATime) {
-    Ways w({0.95, 2 * kSecond, 4, 1, true});
+TEST(PathCapacity, ANarrowOneIsClosedToMoreAndOpensByAFewAtATime) {
+    PathCapacity w({0.95, 2 * kSecond, 4, 1, true});
     Micros now = kSecond;
     const auto watch = [&](Micros time, double far, double others, bool lowest) {
         for (const Micros end = now + time; now < end; now += 100'000) {
-            w.delivered(now, 1, far, lowest);
-            w.delivered(now, 2, others, lowest);
+            w.onDelivered(now, 1, far, lowest);
+            w.onDelivered(now, 2, others, lowest);
         }
     };
     watch(6 * kSecond, 1, 1, true);
-    EXPECT_TRUE(w.mayWatch(now, 1));
+    EXPECT_TRUE(w.mayAdmit(now, 1));
     watch(6 * kSecond, 0.7, 1, false);
-    EXPECT_TRUE(w.mayWatch(now, 1)) << "a lower rung is still to come";
+    EXPECT_TRUE(w.mayAdmit(now, 1)) << "a lower rung is still to come";
     watch(6 * kSecond, 0.7, 1, true);
-    EXPECT_FALSE(w.mayWatch(now, 1));
-    EXPECT_TRUE(w.lowestOnly(1));
-    EXPECT_TRUE(w.mayWatch(now, 2)) << "who is not behind it loses nothing";
+    EXPECT_FALSE(w.mayAdmit(now, 1));
+    EXPECT_TRUE(w.isLimitedToLowestRung(1));
+    EXPECT_TRUE(w.mayAdmit(now, 2)) << "who is not behind it loses nothing";
     watch(4 * kSecond, 1, 1, true);
     int let = 0;
-    for (int i = 0; i < 20; ++i) let += w.mayWatch(now += 10'000, 1);
+    for (int i = 0; i < 20; ++i) let += w.mayAdmit(now += 10'000, 1);
     EXPECT_LE(let, 2) << "not all of them at once";
     for (int i = 0; i < 10; ++i) {
         watch(2 * kSecond, 1, 1, true);
-        w.mayWatch(now, 1);
+        w.mayAdmit(now, 1);
     }
-    EXPECT_FALSE(w.lowestOnly(1));
+    EXPECT_FALSE(w.isLimitedToLowestRung(1));
     // All are short together: that is no network's own way.
     watch(8 * kSecond, 0.6, 0.6, true);
-    EXPECT_TRUE(w.mayWatch(now, 1));
-    EXPECT_TRUE(w.mayWatch(now, 2));
+    EXPECT_TRUE(w.mayAdmit(now, 1));
+    EXPECT_TRUE(w.mayAdmit(now, 2));
     // Nobody left to tell: it is tried again.
     watch(6 * kSecond, 0.1, 1, false);
-    EXPECT_FALSE(w.mayWatch(now, 1));
-    w.mayWatch(now += 2 * kSecond, 1);
-    w.mayWatch(now += 9 * kSecond, 1);
+    EXPECT_FALSE(w.mayAdmit(now, 1));
+    w.mayAdmit(now += 2 * kSecond, 1);
+    w.mayAdmit(now += 9 * kSecond, 1);
     EXPECT_FALSE(w.narrow(1));
 }
 
-TEST(Gate, ItsBoundHoldsAndAFloodLeavesRoomForOthers) {
-    Gate gate(fixed(100), 1'000, 24, 56);
-    gate.name(*prefixOf("10.0.0.0/8"), "flood");
+TEST(AdmissionController, ItsBoundHoldsAndAFloodLeavesRoomForOthers) {
+    AdmissionController gate(fixed(100), 1'000, 24, 56);
+    gate.addNamedNetwork(*prefixOf("10.0.0.0/8"), "flood");
     const auto flood = gate.networkOf(ip("10.1.2.3"));
     int in = 0;
-    while (gate.ask(0, flood) == Gate::Let::In) ++in;
+    while (gate.admit(0, flood) == AdmissionController::Decision::Admitted) ++in;
     EXPECT_GE(in, 50) << "one alone may have half of it at least";
     EXPECT_LE(in, 90);
     for (int other = 0; other < 10; ++other)
-        EXPECT_EQ(gate.ask(0, gate.networkOf(ip("192.0." + std::to_string(other) + ".1"))), Gate::Let::In)
+        EXPECT_EQ(gate.admit(0, gate.networkOf(ip("192.0." + std::to_string(other) + ".1"))),
+                  AdmissionController::Decision::Admitted)
             << other;
     EXPECT_EQ(gate.networkOf(ip("10.200.0.1")), flood) << "one member's addresses share one share";
     EXPECT_EQ(gate.networkOf(ip("::ffff:10.9.9.9")), flood) << "however they are written";
 }
 
-TEST(Gate, AgreesWithItsStatedPromisesOnAnyOrderOfEvents) {
+TEST(AdmissionController, AgreesWithItsStatedPromisesOnAnyOrderOfEvents) {
     for (unsigned seed = 1; seed <= 40; ++seed) {
         std::mt19937 chance(seed);
         const auto pick = [&](int lo, int hi) { return std::uniform_int_distribution<int>(lo, hi)(chance); };
         const int bound = pick(1, 120);
-        Gate gate(fixed(static_cast<std::size_t>(bound)), 5, 24, 56);
+        AdmissionController gate(fixed(static_cast<std::size_t>(bound)), 5, 24, 56);
         std::map<std::uint32_t, int> held, open;
         int all = 0;
         for (int step = 0; step < 2'000; ++step) {
@@ -245,14 +246,14 @@
             switch (pick(0, 3)) {
                 case 0:
                 case 1: {
-                    const auto let = gate.ask(0, network);
+                    const auto let = gate.admit(0, network);
                     if (all < bound / 2) {
-                        ASSERT_EQ(let, Gate::Let::In);
+                        ASSERT_EQ(let, AdmissionController::Decision::Admitted);
                     }
                     if (all >= bound) {
-                        ASSERT_EQ(let, Gate::Let::Full);
+                        ASSERT_EQ(let, AdmissionController::Decision::Full);
                     }
-                    if (let == Gate::Let::In) {
+                    if (let == AdmissionController::Decision::Admitted) {
                         ++held[network];
                         ++all;
                     }
@@ -260,42 +261,42 @@
                 }
                 case 2:
                     if (held[network] > 0) {
-                        gate.answered(network);
+                        gate.onAnswered(network);
                         --held[network];
                         --all;
                     }
                     break;
                 default:
                     if (open[network] < 5) {
-                        ASSERT_TRUE(gate.connect(network));
+                        ASSERT_TRUE(gate.openConnection(network));
                         ++open[network];
                     } else {
-                        ASSERT_FALSE(gate.connect(network));
-                        gate.disconnect(network);
+                        ASSERT_FALSE(gate.openConnection(network));
+                        gate.closeConnection(network);
                         --open[network];
                     }
             }
-            ASSERT_EQ(gate.held(), static_cast<std::size_t>(all));
+            ASSERT_EQ(gate.pendingCount(), static_cast<std::size_t>(all));
             ASSERT_LE(all, bound);
         }
     }
 }
 
-TEST(Gate, ForgetsWhatNobodyUses) {
-    Gate gate(fixed(10), 10, 24, 56);
-    EXPECT_TRUE(gate.wouldLet(net::endpointOf("10.1.1.1:1")->ip));
+TEST(AdmissionController, ForgetsWhatNobodyUses) {
+    AdmissionController gate(fixed(10), 10, 24, 56);
+    EXPECT_TRUE(gate.wouldAdmit(net::endpointOf("10.1.1.1:1")->ip));
     EXPECT_EQ(gate.networks(), 0u) << "asking what it would say keeps nothing";
     for (int i = 0; i < 20'000; ++i) {
         const auto n =
             gate.networkOf(ip("10." + std::to_string(i / 250 % 250) + "." + std::to_string(i % 250) + ".1"));
-        ASSERT_TRUE(gate.connect(n));
-        gate.disconnect(n);
+        ASSERT_TRUE(gate.openConnection(n));
+        gate.closeConnection(n);
     }
     EXPECT_LE(gate.networks(), 2u);
 }
 
 // Connections to a box against a plain model: never over the bound, a sure request never on an old one.
-TEST(Reuse, KeepsItsPromisesOnAnyOrderOfEvents) {
+TEST(ConnectionReusePolicy, KeepsItsPromisesOnAnyOrderOfEvents) {
     using namespace upstream;
     for (unsigned seed = 1; seed <= 40; ++seed) {
         std::mt19937 chance(seed);
@@ -304,7 +305,7 @@
         };
         const auto most = static_cast<std::size_t>(pick(1, 8));
         const Micros keep = pick(1'000, 50'000), sure = pick(0, 5'000);
-        Reuse reuse(most, keep, sure);
+        ConnectionReusePolicy reuse(most, keep, sure);
         std::map<ConnId, Micros> idle;
         std::vector<ConnId> busy;
         std::uint64_t next = 1;
@@ -313,8 +314,9 @@
             now += pick(0, 2'000);
             if (pick(0, 1)) {
                 const bool needSure = pick(0, 1);
-                const auto c = reuse.choose(now, needSure ? Reuse::Need::Sure : Reuse::Need::Any);
-                using What = Reuse::Choice::What;
+                const auto c = reuse.choose(
+                    now, needSure ? ConnectionReusePolicy::Need::Sure : ConnectionReusePolicy::Need::Any);
+                using What = ConnectionReusePolicy::Choice::What;
                 if (c.what == What::Use) {
                     ASSERT_TRUE(idle.count(c.conn));
                     ASSERT_LT(now - idle[c.conn], keep);
@@ -361,15 +363,15 @@
 
 // The module takes these three for proof that nothing ran, and no others. The table must never say otherwise.
 TEST(Outcome, ProofInTheTableIsProofToTheModule) {
-    for (int i = 0; i < static_cast<int>(upstream::WireEnd::Count_); ++i) {
-        const upstream::Meaning& m = upstream::meaningOf(static_cast<upstream::WireEnd>(i));
+    for (int i = 0; i < static_cast<int>(upstream::RequestResult::Count_); ++i) {
+        const upstream::ResultMeaning& m = upstream::meaningOf(static_cast<upstream::RequestResult>(i));
         const bool module =
             m.end == JoinResult::Full || m.end == JoinResult::NoConnection || m.end == JoinResult::NeverSent;
         EXPECT_EQ(m.neverRan, module) << m.name;
         EXPECT_FALSE(m.why.empty());
     }
-    EXPECT_FALSE(upstream::meaningOf(upstream::WireEnd::BrokenOutKept).neverRan);
-    EXPECT_FALSE(upstream::meaningOf(upstream::WireEnd::TurnedAway).neverRan);
+    EXPECT_FALSE(upstream::meaningOf(upstream::RequestResult::BrokenOutKept).neverRan);
+    EXPECT_FALSE(upstream::meaningOf(upstream::RequestResult::TurnedAway).neverRan);
 }
 
 }  // namespace
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -17,14 +17,14 @@
 const std::vector<std::string> kKinds{"small", "large"};
 
 TEST(List, ALineNamesOneOfTheSettingsZones) {
-    const Names names({"small"}, {"east", "west"});
-    const BoxList read =
-        parseList("t", "box 1 at=\"127.0.0.1:1\" zone=\"west\"\nbox 2 at=\"127.0.0.1:2\"", names, {});
+    const ListNames names({"small"}, {"east", "west"});
+    const ServerList read =
+        parseServerList("t", "box 1 at=\"127.0.0.1:1\" zone=\"west\"\nbox 2 at=\"127.0.0.1:2\"", names, {});
     EXPECT_EQ(read.boxes[0].sfu.zone.v, 1u);
     EXPECT_EQ(read.boxes[1].sfu.zone.v, 0u);
-    EXPECT_EQ(parseList("t", writeList(read, names), names, {}).boxes[0].sfu.zone.v, 1u);
+    EXPECT_EQ(parseServerList("t", formatServerList(read, names), names, {}).boxes[0].sfu.zone.v, 1u);
     try {
-        parseList("t", "box 1 at=\"127.0.0.1:1\" zone=\"wets\"", names, {});
+        parseServerList("t", "box 1 at=\"127.0.0.1:1\" zone=\"wets\"", names, {});
         ADD_FAILURE();
     } catch (const settings::Wrong& e) {
         EXPECT_NE(
@@ -35,16 +35,17 @@
 }
 
 TEST(List, ReadsAndWritesItsOwnForm) {
-    const BoxList read = parseList("t",
-                                   "version 3\nbox 1 at=\"127.0.0.1:9\" kind=\"large\" cell=2 size=1.5 "
-                                   "launched=\"2026-12-01T09:00:00.25Z\"\n"
-                                   "box 2 standing=\"off\"\n",
-                                   kKinds, {});
+    const ServerList read =
+        parseServerList("t",
+                        "version 3\nbox 1 at=\"127.0.0.1:9\" kind=\"large\" cell=2 size=1.5 "
+                        "launched=\"2026-12-01T09:00:00.25Z\"\n"
+                        "box 2 standing=\"off\"\n",
+                        kKinds, {});
     ASSERT_EQ(read.boxes.size(), 2u);
     EXPECT_EQ(read.boxes[0].sfu.launched, 1796115600250000);
     EXPECT_EQ(read.boxes[0].sfu.kind.v, 1u);
     EXPECT_EQ(read.boxes[1].sfu.standing, ServerState::Off);
-    const BoxList back = parseList("t", writeList(read, kKinds), kKinds, {});
+    const ServerList back = parseServerList("t", formatServerList(read, kKinds), kKinds, {});
     EXPECT_EQ(back.version, 3);
     EXPECT_EQ(back.boxes[0].sfu.launched, read.boxes[0].sfu.launched);
     EXPECT_EQ(back.boxes[0].at, read.boxes[0].at);
@@ -56,14 +57,15 @@
          {"box", "box 1", "box 1 at=\"x\"", "box 1.5 at=\"127.0.0.1:1\"", "box -1 at=\"127.0.0.1:1\"",
           "box 1 at=\"127.0.0.1:1\"\nbox 1 at=\"127.0.0.1:2\"", "box 1 at=\"127.0.0.1:1\" kind=\"lage\"",
           "box 1 at=\"127.0.0.1:1\" launched=\"yesterday\"", "bix 1", "box 1 at=\"127.0.0.1:1\" x=1"})
-        EXPECT_THROW(parseList("t", bad, kKinds, {}), settings::Wrong) << bad;
-    EXPECT_THROW(parseList("t", "box 1 at=\"127.0.0.1:1\"\nbox 2 at=\"127.0.0.1:1\"", kKinds, {1, 1'000}),
-                 settings::Wrong);
+        EXPECT_THROW(parseServerList("t", bad, kKinds, {}), settings::Wrong) << bad;
+    EXPECT_THROW(
+        parseServerList("t", "box 1 at=\"127.0.0.1:1\"\nbox 2 at=\"127.0.0.1:1\"", kKinds, {1, 1'000}),
+        settings::Wrong);
 }
 
 TEST(Events, FollowTheStandard) {
-    std::vector<Event> heard;
-    EventReader reader(1'000, [&](const Event& e) { heard.push_back(e); });
+    std::vector<SseEvent> heard;
+    SseReader reader(1'000, [&](const SseEvent& e) { heard.push_back(e); });
     reader.feed("\xef\xbb\xbf:comment\r\nevent: list\r\nid: 7\r\ndata: a\r\ndata:b\r\n\r\n");
     reader.feed("data: second\n");
     EXPECT_EQ(heard.size(), 1u) << "told before its blank line";
@@ -91,23 +93,23 @@
     const std::string text = "event: list\r\nid: 1\r\ndata: x\r\n\r\nid: 2\rdata: y\r\r";
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
         std::vector<std::string> heard;
-        EventReader reader(100, [&](const Event& e) { heard.push_back(e.type + e.id + e.data); });
+        SseReader reader(100, [&](const SseEvent& e) { heard.push_back(e.type + e.id + e.data); });
         reader.feed(std::string_view(text).substr(0, cut));
         reader.feed(std::string_view(text).substr(cut));
         EXPECT_EQ(heard, (std::vector<std::string>{"list1x", "message2y"})) << cut;
     }
 }
 
-struct Hears : ListUser {
+struct Hears : ServerListHandler {
     std::vector<std::string> heard;
-    void listIs(const std::vector<BoxLine>& b, bool stale) override {
+    void onList(const std::vector<ServerListEntry>& b, bool stale) override {
         heard.push_back("list " + std::to_string(b.size()) + (stale ? " stale" : ""));
     }
-    void listChangedBy(const std::vector<BoxLine>& b) override {
+    void onListChange(const std::vector<ServerListEntry>& b) override {
         heard.push_back("change " + std::to_string(b.size()));
     }
-    void listUnreachable(const std::string&) override { heard.push_back("unreachable"); }
-    void listOdd(const std::string&) override { heard.push_back("odd"); }
+    void onListUnreachable(const std::string&) override { heard.push_back("unreachable"); }
+    void onListAnomaly(const std::string&) override { heard.push_back("odd"); }
     bool has(const std::string& what) const {
         return std::find(heard.begin(), heard.end(), what) != heard.end();
     }
@@ -118,11 +120,11 @@
     fakes::Ledger ledger;
     fakes::ListServer server{net, any(), ledger};
     Hears hears;
-    std::unique_ptr<Follower> follower;
+    std::unique_ptr<ListFollower> follower;
     StreamRig() {
         put(1);
         put(2);
-        FollowTimes times;
+        FollowTimings times;
         times.silentFor = 3 * kSecond;
         follower = followStream(net, server.at(), "/boxes?front=a", {"small"}, {}, times, hears);
         follower->follow();
@@ -185,7 +187,7 @@
 TEST(Stream, FollowersThatDieBetweenTwoBeatsAreNoTrouble) {
     StreamRig rig;
     std::vector<std::unique_ptr<Hears>> others;
-    std::vector<std::unique_ptr<Follower>> followers;
+    std::vector<std::unique_ptr<ListFollower>> followers;
     for (int i = 0; i < 8; ++i) {
         others.push_back(std::make_unique<Hears>());
         followers.push_back(
@@ -207,7 +209,7 @@
     } mute;
     http::Server server(loop.net, Loop::any(), {}, mute);
     Hears hears;
-    FollowTimes times;
+    FollowTimings times;
     times.silentFor = 150'000;
     auto follower = followStream(loop.net, server.at(), "/", kKinds, {}, times, hears);
     follower->follow();
@@ -221,26 +223,26 @@
     const std::string path = (folder / "boxes.kdl").string();
     std::filesystem::remove(path);
     Hears hears;
-    FollowTimes times;
+    FollowTimings times;
     times.lookEvery = 5'000;
     auto follower = followFile(loop.net, path, kKinds, {}, times, hears);
     follower->follow();
     ASSERT_TRUE(loop.until([&] { return hears.last() == "unreachable"; }));
-    BoxList list;
+    ServerList list;
     list.version = 1;
     list.boxes.push_back({{SfuId{1}, ServerState::On, 0, Cell{0}, MachineKindId{0}, 1}, Loop::any()});
     list.boxes[0].at.port = 5;
-    keepList(path, list, kKinds);
+    saveServerList(path, list, kKinds);
     ASSERT_TRUE(loop.until([&] { return hears.last() == "list 1"; }));
     std::ofstream(path) << "box 1 at=";
     ASSERT_TRUE(loop.until([&] { return hears.last() == "odd"; }));
     list.version = 1;
     list.boxes[0].sfu.size = 2;
-    keepList(path, list, kKinds);
+    saveServerList(path, list, kKinds);
     ASSERT_TRUE(loop.until([&] { return hears.heard.size() >= 4 && hears.last() == "odd"; }))
         << "an old version";
     list.version = 2;
-    keepList(path, list, kKinds);
+    saveServerList(path, list, kKinds);
     ASSERT_TRUE(loop.until([&] { return hears.last() == "list 1"; }));
     std::filesystem::remove_all(folder);
 }
--- a/tests/evidence_test.cpp
+++ b/tests/evidence_test.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 TEST(ServerEvidence, ComesBackAsItWasKept) {
-    Kept kept{77, {}};
+    EvidenceFile kept{77, {}};
     kept.boxes.push_back({ServerEvidence{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
     kept.boxes.push_back({ServerEvidence{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
-    const Kept back = parseKept("f", writeKept(kept), 10);
+    const EvidenceFile back = parseEvidenceFile("f", formatEvidenceFile(kept), 10);
     EXPECT_EQ(back.savedAt, 77);
     ASSERT_EQ(back.boxes.size(), 2u);
     EXPECT_EQ(back.boxes[0].what.id, SfuId{3});
@@ -29,8 +29,8 @@
           "learnt 1 saved-us=1\nbox 3 link-use=-1", "learnt 1 saved-us=1\nbox 3 link-use=#nan",
           "learnt 1 saved-us=1\nbox 3 evidence=1e9", "learnt 1 saved-us=1\nbox 3\nbox 3",
           "learnt 1 saved-us=1\nbox 3 evid"})
-        EXPECT_THROW(parseKept("f", bad, 10), settings::Wrong) << bad;
-    EXPECT_THROW(parseKept("f", "learnt 1 saved-us=1\nbox 1\nbox 2", 1), settings::Wrong);
+        EXPECT_THROW(parseEvidenceFile("f", bad, 10), settings::Wrong) << bad;
+    EXPECT_THROW(parseEvidenceFile("f", "learnt 1 saved-us=1\nbox 1\nbox 2", 1), settings::Wrong);
 }
 
 }  // namespace
