--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -21,7 +21,7 @@
 
 enum class Listens { No, Yes };  // to oc, RFC 7339
 
-class Flood final : net::DatagramUser {
+class Flood final : net::DatagramHandler {
   public:
     Flood(net::EpollNet& net, const net::Endpoint& front, double rate, Micros lasts, Listens listens,
           std::uint64_t seed)
@@ -32,8 +32,8 @@
           listens_(listens),
           chance_(seed),
           pace_(net, [this] { pace(); }) {
-        socket_ = net.bind(*net::endpointOf("127.0.0.1:0"), *this);
-        me_ = net::text(socket_->at());
+        socket_ = net.bind(*net::parseEndpoint("127.0.0.1:0"), *this);
+        me_ = net::toString(socket_->at());
         begun_ = net.now();
         pace();
     }
@@ -52,13 +52,13 @@
     std::string text(const Call& c, const char* method, int cseq, const std::string& branch,
                      const std::string& toTag, const std::string& more, const std::string& body) {
         const std::string n = std::to_string(c.number);
-        return std::string(method) + " sip:t@" + net::text(front_) +
+        return std::string(method) + " sip:t@" + net::toString(front_) +
                ";room=open SIP/2.0\r\nVia: SIP/2.0/UDP " + me_ + ";branch=z9hG4bK" + branch + n +
                (listens_ == Listens::Yes ? ";oc;oc-algo=\"loss\"" : "") +
                "\r\nMax-Forwards: 70\r\nFrom: <sip:f@" + me_ + ">;tag=f" + n + "\r\nTo: <sip:t@" +
-               net::text(front_) + ">" + (toTag.empty() ? "" : ";tag=" + toTag) + "\r\nCall-ID: " + n + "-" +
-               me_.substr(me_.rfind(':') + 1) + "@flood\r\nCSeq: " + std::to_string(cseq) + " " + method +
-               "\r\nContact: <sip:f@" + me_ + ">\r\n" + more +
+               net::toString(front_) + ">" + (toTag.empty() ? "" : ";tag=" + toTag) + "\r\nCall-ID: " + n +
+               "-" + me_.substr(me_.rfind(':') + 1) + "@flood\r\nCSeq: " + std::to_string(cseq) + " " +
+               method + "\r\nContact: <sip:f@" + me_ + ">\r\n" + more +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
     void put(const std::string& bytes) {
@@ -121,7 +121,7 @@
         const auto from = at + what.size();
         return text.substr(from, text.find("\r\n", from) - from);
     }
-    void received(const net::Endpoint&, std::string_view bytes) override {
+    void onDatagram(const net::Endpoint&, std::string_view bytes) override {
         if (bytes.compare(0, 8, "SIP/2.0 ") != 0) return;
         const int status = std::atoi(std::string(bytes.substr(8, 3)).c_str());
         const std::uint64_t n =
@@ -177,7 +177,7 @@
 int floodProcess(char** argv) {  // --flood FRONT RATE SECONDS LISTENS FILE
     net::EpollNet net(9);
     const double span = std::atof(argv[4]);
-    Flood flood(net, *net::endpointOf(argv[2]), std::atof(argv[3]), static_cast<Micros>(span * 1e6),
+    Flood flood(net, *net::parseEndpoint(argv[2]), std::atof(argv[3]), static_cast<Micros>(span * 1e6),
                 argv[5][0] == 'y' ? Listens::Yes : Listens::No, 9);
     net::Timer end(net, [&] { net.stop(); });
     end.after(static_cast<Micros>((span + 6) * 1e6));
@@ -209,7 +209,7 @@
     std::vector<net::Process> floods;
     for (int i = 0; i < 2; ++i)
         floods.emplace_back(std::vector<std::string>{
-            self, "--flood", net::text(s.sip), std::to_string(rate / 2), std::to_string(kSpan),
+            self, "--flood", net::toString(s.sip), std::to_string(rate / 2), std::to_string(kSpan),
             listens == Listens::Yes ? "y" : "n", file + std::to_string(i)});
     double used = 0, busiest = 0;
     const Micros from = s.net.now();
@@ -271,14 +271,14 @@
         std::fflush(stdout);
     }
     Stage s(10, 1'000, "silent-after=\"60s\"", "sip listen=\"127.0.0.1:0\" transactions=200000\n");
-    struct Ear : net::DatagramUser {
+    struct Ear : net::DatagramHandler {
         std::uint64_t heard = 0;
-        void received(const net::Endpoint&, std::string_view) override { ++heard; }
+        void onDatagram(const net::Endpoint&, std::string_view) override { ++heard; }
     } ear;
-    const auto socket = s.net.bind(*net::endpointOf("127.0.0.1:0"), ear);
+    const auto socket = s.net.bind(*net::parseEndpoint("127.0.0.1:0"), ear);
     const auto invite = [&](const char* title, int n) {
-        const std::string me = net::text(socket->at()), id = std::to_string(n);
-        return "INVITE sip:" + std::string(title) + "@" + net::text(s.sip) +
+        const std::string me = net::toString(socket->at()), id = std::to_string(n);
+        return "INVITE sip:" + std::string(title) + "@" + net::toString(s.sip) +
                ";room=open SIP/2.0\r\nVia: SIP/2.0/UDP " + me + ";branch=z9hG4bK" + id +
                "\r\nMax-Forwards: 70\r\nFrom: <sip:f@" + me + ">;tag=f" + id +
                "\r\nTo: <sip:t@x>\r\nCall-ID: " + id + "\r\nCSeq: 1 INVITE\r\nContact: <sip:f@" + me +
@@ -316,13 +316,13 @@
     make.setUpsAtOnce = 10'000;
     make.forgetAfter = 600 * kSecond;
     fakes::BoxFleet fleet(net, make, 1, 0, 1, ledger);
-    fakes::ListServer list(net, *net::endpointOf("127.0.0.1:0"), ledger);
+    fakes::ListServer list(net, *net::parseEndpoint("127.0.0.1:0"), ledger);
     for (int i = 0; i < 4; ++i) {
-        auto& box = fleet.add(i, i, 1e6, 10'000, *net::endpointOf("127.0.0.1:0"));
+        auto& box = fleet.add(i, i, 1e6, 10'000, *net::parseEndpoint("127.0.0.1:0"));
         fakes::ListedBox listed;
         listed.id = i;
         listed.cell = i;
-        listed.at = net::text(box.at());
+        listed.at = net::toString(box.at());
         listed.kind = "k";
         list.put({listed});
     }
@@ -333,11 +333,11 @@
         "fleet cells=4 links-kb=4000000 link-kb-per-size=1000000 { kind \"k\" places=10000; }\n"
         "sip listen=\"127.0.0.1:0\" min-session=\"10s\" session=\"60s\" hold-every=\"5s\"\n"
         "talk \"t\" holders=4\nlog level=\"error\"\nlist stream=\"" +
-        net::text(list.at()) + "\" path=\"/boxes?front=a\"\n";
+        net::toString(list.at()) + "\" path=\"/boxes?front=a\"\n";
     front::Front front(net, settings::Document::fromText("site.kdl", site), 5, 1);
     const auto turnUntil = [&](const std::function<bool()>& holds, Micros most) {
         const Micros end = net.now() + most;
-        while (!holds() && net.now() < end) net.turn(20'000);
+        while (!holds() && net.now() < end) net.runOnce(20'000);
         return holds();
     };
     turnUntil([] { return false; }, kSecond);
--- a/bench/front.cpp
+++ b/bench/front.cpp
@@ -16,24 +16,24 @@
 
 // ---- the bare relay: bytes from one socket to the other, 64 kB at a time, and nothing else ----
 
-class Bare final : net::ListenerUser {
+class Bare final : net::ListenerHandler {
   public:
     Bare(net::EpollNet& net, const net::Endpoint& to) : net_(net), to_(to) {
-        listener_ = net.listen(*net::endpointOf("127.0.0.1:0"), *this);
+        listener_ = net.listen(*net::parseEndpoint("127.0.0.1:0"), *this);
     }
     net::Endpoint at() const { return listener_->at(); }
 
   private:
     struct Pair;
-    struct Side final : net::StreamUser {
+    struct Side final : net::StreamHandler {
         Pair& pair;
         bool first;
         std::unique_ptr<net::Stream> stream;
         std::string waiting;
         Side(Pair& p, bool f) : pair(p), first(f) {}
-        void connected() override { pair.move(); }
-        void readable() override { pair.move(); }
-        void writable() override { pair.move(); }
+        void onConnected() override { pair.move(); }
+        void onReadable() override { pair.move(); }
+        void onWritable() override { pair.move(); }
     };
     struct Pair {
         Side a{*this, true}, b{*this, false};
@@ -57,11 +57,11 @@
             }
         }
     };
-    void accepted(std::unique_ptr<net::Stream> s) override {
+    void onAccepted(std::unique_ptr<net::Stream> s) override {
         pairs_.push_back(std::make_unique<Pair>());
         Pair& p = *pairs_.back();
         p.a.stream = std::move(s);
-        p.a.stream->handTo(p.a);
+        p.a.stream->setHandler(p.a);
         p.b.stream = net_.connect(to_, p.b);
     }
     net::EpollNet& net_;
@@ -72,15 +72,15 @@
 
 int bare(const std::string& to, const std::string& portFile) {
     net::EpollNet net(1);
-    Bare relay(net, *net::endpointOf(to));
-    std::ofstream(portFile) << net::text(relay.at()) << "\n";
+    Bare relay(net, *net::parseEndpoint(to));
+    std::ofstream(portFile) << net::toString(relay.at()) << "\n";
     net.run();
     return 0;
 }
 
 // ---- a client that asks, over and over ----
 
-struct Client final : http::FetchUser {
+struct Client final : http::FetchHandler {
     net::EpollNet& net;
     net::Endpoint at;
     std::function<std::string(Client&)> next;  // empty: it is done
@@ -99,23 +99,23 @@
         }
         if (!conn || !conn->idle()) {
             dead = std::move(conn);
-            conn = std::make_unique<http::Connection>(net, at, http::WireLimits{}, 5 * kSecond);
+            conn = std::make_unique<http::Connection>(net, at, http::HttpLimits{}, 5 * kSecond);
         }
         body.clear();
         conn->fetch(http::requestBytes("GET", target, at, {}), false, *this);
     }
-    void answered(const http::ResponseHead& h) override { head = h; }
-    void piece(std::string_view b) override {
+    void onHead(const http::ResponseHead& h) override { head = h; }
+    void onBody(std::string_view b) override {
         bytes += b.size();
         if (keepBody) body += b;
     }
-    void fetched(bool) override {
+    void onFetched(bool) override {
         ++answers;
         if (head.status != 200 && bad++ < 1)
             std::fprintf(stderr, "answered %d: %s\n", head.status, body.c_str());
         again.after(0);
     }
-    void failed(http::Failed) override {
+    void onFailed(http::FetchError) override {
         ++bad;
         again.after(10'000);
     }
@@ -207,7 +207,7 @@
             return c.token + std::to_string(c.answers % 90) + ".m4s";
         });
         const std::string port = (s.folder / "bare").string();
-        net::Process relay({self, "--bare", net::text(s.fleet->box(0).at()), port});
+        net::Process relay({self, "--bare", net::toString(s.fleet->box(0).at()), port});
         const net::Endpoint through = s.waitFor(port);
         int number = 0;
         measure("a bare relay", through, relay, [&number](Client& c) -> std::string {
--- a/bench/front_fixture.hpp
+++ b/bench/front_fixture.hpp
@@ -36,13 +36,13 @@
         make.segments = 100;
         make.forgetAfter = 600 * kSecond;
         fleet = std::make_unique<fakes::BoxFleet>(net, make, 1, 0, 1, ledger);
-        list = std::make_unique<fakes::ListServer>(net, *net::endpointOf("127.0.0.1:0"), ledger);
+        list = std::make_unique<fakes::ListServer>(net, *net::parseEndpoint("127.0.0.1:0"), ledger);
         for (int i = 0; i < 8; ++i) {
-            auto& box = fleet->add(i, i, 1e9, places, *net::endpointOf("127.0.0.1:0"));
+            auto& box = fleet->add(i, i, 1e9, places, *net::parseEndpoint("127.0.0.1:0"));
             fakes::ListedBox listed;
             listed.id = i;
             listed.cell = i;
-            listed.at = net::text(box.at());
+            listed.at = net::toString(box.at());
             listed.kind = "k";
             list->put({listed});
         }
@@ -57,7 +57,7 @@
             << places
             << "; }\n"
                "list stream=\""
-            << net::text(list->at())
+            << net::toString(list->at())
             << "\" path=\"/boxes?front=bench\"\n"
                "log level=\"error\"\nadmission "
             << admission
@@ -74,7 +74,7 @@
         std::string text;
         std::getline(in, text);
         if (std::getline(in, text))
-            if (const auto e = net::endpointOf(text)) sip = *e;
+            if (const auto e = net::parseEndpoint(text)) sip = *e;
         turn(kSecond);
     }
     ~Stage() {
@@ -86,15 +86,15 @@
             std::ifstream in(port);
             std::string text;
             if (std::getline(in, text))
-                if (const auto e = net::endpointOf(text)) return *e;
-            net.turn(10'000);
+                if (const auto e = net::parseEndpoint(text)) return *e;
+            net.runOnce(10'000);
         }
         std::fprintf(stderr, "the front did not start\n");
         std::exit(3);
     }
     void turn(Micros time) {
         const Micros end = net.now() + time;
-        while (net.now() < end) net.turn(std::min<Micros>(20'000, end - net.now()));
+        while (net.now() < end) net.runOnce(std::min<Micros>(20'000, end - net.now()));
     }
 };
 
--- a/bench/structures.cpp
+++ b/bench/structures.cpp
@@ -21,18 +21,18 @@
 void wheel(benchmark::State& state) {
     const auto many = static_cast<std::size_t>(state.range(0));
     std::mt19937_64 chance(1);
-    std::vector<net::WheelNode> nodes(many);
-    net::Wheel w(0);
+    std::vector<net::TimerNode> nodes(many);
+    net::TimerWheel w(0);
     Micros now = 0;
     for (auto& n : nodes) w.add(n, now + static_cast<Micros>(chance() % kSpan));
     const Micros step = std::max<Micros>(1, kSpan / static_cast<Micros>(many) * (10 - kCancelledOfTen) / 10);
     std::size_t at = 0;
     for (auto _ : state) {
-        net::WheelNode& n = nodes[at];
+        net::TimerNode& n = nodes[at];
         at = (at + 7919) % many;
         w.add(n, now + kSpan);  // the one that waited there is cancelled by it, if it has not fired
         now += step;
-        while (net::WheelNode* due = w.due(now)) benchmark::DoNotOptimize(due);
+        while (net::TimerNode* due = w.due(now)) benchmark::DoNotOptimize(due);
     }
 }
 
--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -4,10 +4,10 @@
 #include "http/parse.hpp"
 
 namespace {
-struct Nobody : valekeel::http::ParseUser {
-    void headParsed() override {}
-    void bodyParsed(std::string_view) override {}
-    void endParsed() override {}
+struct Nobody : valekeel::http::ParserHandler {
+    void onHeadParsed() override {}
+    void onBodyParsed(std::string_view) override {}
+    void onEndParsed() override {}
 };
 }  // namespace
 
@@ -16,7 +16,7 @@
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     for (const auto kind : {Parser::Kind::Request, Parser::Kind::Response}) {
         Nobody nobody;
-        Parser parser(kind, WireLimits{}, nobody);
+        Parser parser(kind, HttpLimits{}, nobody);
         std::string waiting;
         std::size_t at = 0, step = 1;
         while (at < text.size() && !parser.done()) {
--- a/fuzz/sip.cpp
+++ b/fuzz/sip.cpp
@@ -13,11 +13,11 @@
     if (parsed.enough) response(*parsed.enough, parsed.status, "t", {});
     if (parsed.enough && parsed.enough->method == "ACK") std::abort();
     if (const auto offer = readOffer(text))
-        writeAnswer(*offer, *valekeel::net::endpointOf("127.0.0.1:9"), 1'000, 1, 1);
+        writeAnswer(*offer, *valekeel::net::parseEndpoint("127.0.0.1:9"), 1'000, 1, 1);
     // What is refused at a glance must be an answer that the whole reader takes, to the same request.
-    if (const auto g = glance(text)) {
+    if (const auto g = prefilter(text)) {
         const Parsed back = parse(
-            refusal(*g, "503 Service Unavailable", "t", "", 1, *valekeel::net::endpointOf("127.0.0.1:9")));
+            refusal(*g, "503 Service Unavailable", "t", "", 1, *valekeel::net::parseEndpoint("127.0.0.1:9")));
         if (parsed.got && (!back.got || back.got->callId != parsed.got->callId)) std::abort();
     }
     Framer framer(2'000);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -33,7 +33,7 @@
 
 int serve(const std::string& file, std::uint64_t seed, const std::string& portFile,
           const std::string& decisions, bool withParent) {
-    if (withParent) net::endWithParent();
+    if (withParent) net::killOnParentExit();
     const auto document = settings::Document::fromFile(file);
     net::raiseDescriptorLimit();
     const std::uint64_t used = seed ? seed : someSeed();
@@ -41,12 +41,12 @@
     const front::OtherDecide other =
         decisions.empty() ? front::OtherDecide{} : simulation::baseline(decisions);
     front::Front front(real, document, used, static_cast<std::uint64_t>(real.wallNow() / 1000), other);
-    std::fprintf(stderr, "valekeel: serving on http://%s\n", net::text(front.http()).c_str());
+    std::fprintf(stderr, "valekeel: serving on http://%s\n", net::toString(front.http()).c_str());
     if (!portFile.empty()) {
         {
             std::ofstream out(portFile + ".new");
-            out << net::text(front.http()) << "\n";
-            if (front.sip()) out << net::text(front.sip()->at()) << "\n";
+            out << net::toString(front.http()) << "\n";
+            if (front.sip()) out << net::toString(front.sip()->at()) << "\n";
         }
         std::filesystem::rename(portFile + ".new", portFile);
     }
@@ -76,7 +76,7 @@
             std::fprintf(stderr, "valekeel: %s\n", e.what());
         }
     });
-    std::fprintf(stderr, "valekeel: front node on %s\n", net::text(front.at()).c_str());
+    std::fprintf(stderr, "valekeel: front node on %s\n", net::toString(front.at()).c_str());
     real.run();
     log.flush();
     return kDone;
@@ -110,7 +110,7 @@
     discovery::ServerList told;
     told.version = 1;
     for (int id = 0; id < count; ++id) {
-        auto at = *net::endpointOf("127.0.0.1:0");
+        auto at = *net::parseEndpoint("127.0.0.1:0");
         if (firstPort > 0) at.port = static_cast<std::uint16_t>(firstPort + id);
         const double link = linkKb > 0 ? linkKb : std::max(1.0, machines.fleet.linkKbPerSize);
         fakes::Box& box = fleet.add(id, id % machines.fleet.cells, link, machines.fleet.places.front(), at);
@@ -119,7 +119,7 @@
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
         line.at = box.at();
         told.boxes.push_back(line);
-        std::cerr << "valekeel: box " << id << " on " << net::text(box.at()) << "\n";
+        std::cerr << "valekeel: box " << id << " on " << net::toString(box.at()) << "\n";
     }
     discovery::saveServerList(listFile, told, machines.kinds);
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
@@ -135,7 +135,7 @@
 
 // The list as a stream of server-sent events, out of a file in the list's own form.
 int serveList(const std::string& file, const std::string& listen) {
-    const auto at = net::endpointOf(listen);
+    const auto at = net::parseEndpoint(listen);
     if (!at) throw std::invalid_argument("--listen takes an address and port, as 127.0.0.1:9000");
     net::EpollNet net(5);
     fakes::Ledger ledger;
@@ -167,7 +167,7 @@
         server.put(all);
     });
     look.after(0);
-    std::cerr << "valekeel: list on http://" << net::text(server.at()) << "/boxes\n";
+    std::cerr << "valekeel: list on http://" << net::toString(server.at()) << "/boxes\n";
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
     net.run();
     return kDone;
@@ -175,7 +175,7 @@
 
 int play(const std::string& frontText, const std::string& title, const std::string& room, int count,
          Micros watch, const std::string& ledgerFile) {
-    const auto front = net::endpointOf(frontText);
+    const auto front = net::parseEndpoint(frontText);
     if (!front) throw std::invalid_argument("--front takes an address and port, as 127.0.0.1:8080");
     net::raiseDescriptorLimit();
     net::EpollNet net(11);
--- a/src/discovery/list_follower.cpp
+++ b/src/discovery/list_follower.cpp
@@ -64,7 +64,7 @@
     bool missing_ = false;
 };
 
-class StreamFollower final : public ListFollower, http::FetchUser {
+class StreamFollower final : public ListFollower, http::FetchHandler {
   public:
     StreamFollower(net::Net& net, const net::Endpoint& at, std::string target, ListNames names,
                    const ServerListLimits& limits, const FollowTimings& times, ServerListHandler& user)
@@ -87,7 +87,7 @@
   private:
     void open() {
         reader_.reset();
-        conn_ = std::make_unique<http::Connection>(net_, at_, http::WireLimits{}, times_.connectWithin);
+        conn_ = std::make_unique<http::Connection>(net_, at_, http::HttpLimits{}, times_.connectWithin);
         http::Fields fields;
         fields.add("Accept", "text/event-stream");
         fields.add("Cache-Control", "no-store");
@@ -97,12 +97,12 @@
         status_ = 0;
     }
 
-    void answered(const http::ResponseHead& head) override {
+    void onHead(const http::ResponseHead& head) override {
         status_ = head.status;
         const std::string* type = head.fields.find("Content-Type");
         if (status_ == 200 && (!type || type->compare(0, 17, "text/event-stream") != 0)) status_ = 0;
     }
-    void piece(std::string_view bytes) override {
+    void onBody(std::string_view bytes) override {
         silent_.after(times_.silentFor);
         if (status_ == 200) reader_.feed(bytes);
         if (gap_) {
@@ -112,13 +112,13 @@
             again_.after(0);
         }
     }
-    void fetched(bool) override {
+    void onFetched(bool) override {
         lost(status_ == 200 ? "the list's stream ended" : "the list is answered " + std::to_string(status_));
     }
-    void failed(http::Failed how) override {
-        lost(how == http::Failed::Refused        ? "nobody listens where the list should be"
-             : how == http::Failed::NoConnection ? "no connection to the list"
-                                                 : "the list's stream broke");
+    void onFailed(http::FetchError how) override {
+        lost(how == http::FetchError::Refused        ? "nobody listens where the list should be"
+             : how == http::FetchError::NoConnection ? "no connection to the list"
+                                                     : "the list's stream broke");
     }
 
     void heard(const SseEvent& event) {
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -105,7 +105,7 @@
         const auto put = [&](const char* name, settings::Value v) {
             box.properties.emplace_back(name, std::move(v));
         };
-        if (line.at.port != 0) put("at", text(net::text(line.at)));
+        if (line.at.port != 0) put("at", text(net::toString(line.at)));
         put("standing", text(line.sfu.standing == ServerState::On         ? "on"
                              : line.sfu.standing == ServerState::Draining ? "fading"
                                                                           : "off"));
--- a/src/experiment/experiment.cpp
+++ b/src/experiment/experiment.cpp
@@ -121,7 +121,7 @@
             job.process = net::Process(args);
             going.push_back(std::move(job));
         }
-        net.turn(50'000);
+        net.runOnce(50'000);
         for (auto it = going.begin(); it != going.end();) {
             if (it->process.running()) {
                 ++it;
--- a/src/fakes/box.cpp
+++ b/src/fakes/box.cpp
@@ -43,24 +43,24 @@
 }  // namespace
 
 // One request that is being worked on.
-class Box::Job final : public http::ExchangeUser {
+class Box::Job final : public http::ExchangeHandler {
   public:
     Job(Box& box, std::uint64_t key, http::Exchange& exchange)
         : box(box),
           key(key),
           exchange(&exchange),
           due(box.fleet_.net_, [this] { this->box.finishSetUp(*this); }) {
-        exchange.heldBy(this);
+        exchange.setHandler(this);
     }
     ~Job() override {
-        if (exchange) exchange->heldBy(nullptr);
+        if (exchange) exchange->setHandler(nullptr);
         if (travels) {
             box.fleet_.roads_->jobs.erase(travels);
             box.fleet_.roads_->transfers.cancel(box.fleet_.net_.now(), travels);
             box.fleet_.arrive_.soon();
         }
     }
-    void gone() override {
+    void onConnectionLost() override {
         exchange = nullptr;
         if (kind == Kind::SetUp) {
             Line l = line;
@@ -117,7 +117,7 @@
 
 void Box::start(bool cold) {
     if (server_) return;
-    http::WireLimits limits;
+    http::HttpLimits limits;
     limits.idleFor = 30 * kSecond;
     server_ = std::make_unique<http::Server>(fleet_.net_, at_, limits, *this);
     at_ = server_->at();
@@ -202,7 +202,7 @@
 
 // ================= requests =================
 
-void Box::asked(http::Exchange& exchange) {
+void Box::onRequest(http::Exchange& exchange) {
     const Micros now = fleet_.net_.now();
     const bool stands = trouble.silent || now < trouble.pausedUntil;
     if (!stands && trouble.answersLate == 0) return serve(exchange);
@@ -223,7 +223,7 @@
         const auto it = jobs_.find(key);
         if (it == jobs_.end() || !it->second->exchange) continue;
         http::Exchange* exchange = std::exchange(it->second->exchange, nullptr);
-        exchange->heldBy(nullptr);
+        exchange->setHandler(nullptr);
         drop(key);
         serve(*exchange);
     }
@@ -346,7 +346,7 @@
 void Box::finishSetUp(Job& job) {
     if (job.kind == Job::Kind::Held) {  // it was only answered late
         http::Exchange* exchange = std::exchange(job.exchange, nullptr);
-        if (exchange) exchange->heldBy(nullptr);
+        if (exchange) exchange->setHandler(nullptr);
         drop(job.key);
         if (exchange) serve(*exchange);
         return;
@@ -358,7 +358,7 @@
     --setUpsNow_;
     job.working = false;
     http::Exchange* exchange = std::exchange(job.exchange, nullptr);
-    if (exchange) exchange->heldBy(nullptr);
+    if (exchange) exchange->setHandler(nullptr);
     Line l = job.line;
     l.at = fleet_.net_.now();
     drop(job.key);
@@ -455,7 +455,7 @@
     const std::string head = fragmentHead(bytes);
     if (unpaced) {
         http::Exchange* out = std::exchange(job->exchange, nullptr);
-        out->heldBy(nullptr);
+        out->setHandler(nullptr);
         drop(jobKey);
         out->begin(status, f, bytes);
         out->send(head);
@@ -487,7 +487,7 @@
     it->second->travels = 0;
     http::Exchange* exchange = std::exchange(it->second->exchange, nullptr);
     const std::uint64_t left = it->second->left;
-    if (exchange) exchange->heldBy(nullptr);
+    if (exchange) exchange->setHandler(nullptr);
     drop(key);
     if (!exchange) return;
     fleet_.sentBytes += left;
@@ -539,7 +539,7 @@
         }
         if (!jobs_.count(key) || job.left > 0 || !job.exchange) continue;
         http::Exchange* exchange = std::exchange(job.exchange, nullptr);
-        exchange->heldBy(nullptr);
+        exchange->setHandler(nullptr);
         drop(key);
         exchange->finish();
     }
--- a/src/fakes/box.hpp
+++ b/src/fakes/box.hpp
@@ -75,7 +75,7 @@
         double kb = 0;
         Micros heardAt = 0;
     };
-    void asked(http::Exchange&) override;
+    void onRequest(http::Exchange&) override;
     void serve(http::Exchange&);
     void setUp(http::Exchange&, const std::string& title, const std::string& query);
     void segment(http::Exchange&, const std::string& title, int rung, const std::string& file,
--- a/src/fakes/caller.cpp
+++ b/src/fakes/caller.cpp
@@ -77,7 +77,7 @@
                 }),
       wait_(plan.t1),
       byeWait_(plan.t1) {
-    socket_ = net.bind(*net::endpointOf("127.0.0.1:0"), *this);
+    socket_ = net.bind(*net::parseEndpoint("127.0.0.1:0"), *this);
     callId_ = hex(chance_()) + "@caller";
     tag_ = hex(chance_());
     branch_ = "z9hG4bK" + hex(chance_());
@@ -101,12 +101,13 @@
 
 std::string Caller::request(const std::string& method, std::uint32_t cseq, const std::string& branch,
                             const std::string& more, const std::string& body, bool inDialog) {
-    const std::string me = net::text(socket_->at());
-    const std::string uri = inDialog ? "sip:" + net::text(front_)
-                                     : "sip:" + plan_.title + "@" + net::text(front_) + ";room=" + plan_.room;
+    const std::string me = net::toString(socket_->at());
+    const std::string uri = inDialog
+                                ? "sip:" + net::toString(front_)
+                                : "sip:" + plan_.title + "@" + net::toString(front_) + ";room=" + plan_.room;
     return method + " " + uri + " SIP/2.0\r\nVia: SIP/2.0/UDP " + me + ";branch=" + branch +
            "\r\nMax-Forwards: 70\r\nFrom: <sip:caller@" + me + ">;tag=" + tag_ +
-           "\r\nTo: <sip:" + plan_.title + "@" + net::text(front_) + ">" +
+           "\r\nTo: <sip:" + plan_.title + "@" + net::toString(front_) + ">" +
            (inDialog ? ";tag=" + toTag_ : "") + "\r\nCall-ID: " + callId_ +
            "\r\nCSeq: " + std::to_string(cseq) + " " + method + "\r\nContact: <sip:caller@" + me + ">\r\n" +
            more + (body.empty() ? "" : "Content-Type: application/sdp\r\n") +
@@ -150,7 +151,7 @@
 void Caller::put(const std::string& bytes) {
     through([this, bytes] { socket_->send(front_, bytes); });
 }
-void Caller::received(const net::Endpoint&, std::string_view bytes) {
+void Caller::onDatagram(const net::Endpoint&, std::string_view bytes) {
     through([this, text = std::string(bytes)] { heard(text); });
 }
 
--- a/src/fakes/caller.hpp
+++ b/src/fakes/caller.hpp
@@ -31,7 +31,7 @@
     std::string more;  // further header lines
 };
 
-class Caller final : net::DatagramUser {
+class Caller final : net::DatagramHandler {
   public:
     Caller(net::Net&, int number, const net::Endpoint& front, std::string frontName, const CallPlan&,
            const Weather&, std::uint64_t seed, Ledger&, std::function<void()> done);
@@ -42,7 +42,7 @@
     bool byed() const { return byed_; }
 
   private:
-    void received(const net::Endpoint&, std::string_view) override;
+    void onDatagram(const net::Endpoint&, std::string_view) override;
     void heard(std::string);  // by value: the timer that brought it may be gone meanwhile
     void put(const std::string&);
     void through(std::function<void()>);
--- a/src/fakes/list_server.cpp
+++ b/src/fakes/list_server.cpp
@@ -2,16 +2,16 @@
 
 namespace valekeel::fakes {
 
-class ListServer::Stream final : public http::ExchangeUser {
+class ListServer::Stream final : public http::ExchangeHandler {
   public:
     Stream(ListServer& list, std::uint64_t key, std::string front, http::Exchange& exchange)
         : list(list), key(key), front(std::move(front)), exchange(&exchange) {
-        exchange.heldBy(this);
+        exchange.setHandler(this);
     }
     ~Stream() override {
-        if (exchange) exchange->heldBy(nullptr);
+        if (exchange) exchange->setHandler(nullptr);
     }
-    void gone() override {
+    void onConnectionLost() override {
         exchange = nullptr;
         const auto it = list.streams_.find(key);
         if (it == list.streams_.end()) return;
@@ -59,7 +59,7 @@
                 beat_.after(kSecond);
             }),
       bury_(net, [this] { dead_.clear(); }) {
-    server_ = std::make_unique<http::Server>(net, at, http::WireLimits{}, *this);
+    server_ = std::make_unique<http::Server>(net, at, http::HttpLimits{}, *this);
     beat_.after(kSecond);
 }
 ListServer::~ListServer() {
@@ -80,7 +80,7 @@
     return out;
 }
 
-void ListServer::asked(http::Exchange& exchange) {
+void ListServer::onRequest(http::Exchange& exchange) {
     http::Fields fields;
     fields.add("Content-Type", "text/event-stream");
     fields.add("Cache-Control", "no-store");
@@ -136,7 +136,7 @@
     for (Stream* stream : all) {
         if (stream->exchange) stream->exchange->send("event: change\nid: 999999\ndata: box 1 at=\"127.");
         if (stream->exchange) stream->exchange->abort();
-        stream->gone();
+        stream->onConnectionLost();
     }
 }
 
--- a/src/fakes/list_server.hpp
+++ b/src/fakes/list_server.hpp
@@ -38,7 +38,7 @@
 
   private:
     class Stream;
-    void asked(http::Exchange&) override;
+    void onRequest(http::Exchange&) override;
     std::string text(const std::vector<ListedBox>&) const;
     void send(const std::string& type, std::int64_t version, const std::vector<ListedBox>&);
     net::Net& net_;
--- a/src/fakes/platform.cpp
+++ b/src/fakes/platform.cpp
@@ -10,12 +10,12 @@
 
 PlatformLine::PlatformLine(std::unique_ptr<net::Stream> stream, Heard heard)
     : heard_(std::move(heard)), ready_(true), stream_(std::move(stream)) {
-    stream_->handTo(*this);
+    stream_->setHandler(*this);
 }
 PlatformLine::PlatformLine(net::Net& net, const net::Endpoint& to, Heard heard)
     : heard_(std::move(heard)), ready_(false), stream_(net.connect(to, *this)) {}
 
-void PlatformLine::connected() {
+void PlatformLine::onConnected() {
     ready_ = true;
     std::string all;
     all.swap(out_);
@@ -34,12 +34,12 @@
     ready_ = false;
     stream_.reset();
 }
-void PlatformLine::readable() {
+void PlatformLine::onReadable() {
     std::array<char, 4096> buffer;
     while (!ended_ && ready_) {
-        const net::Moved got = stream_->read(buffer);
-        if (got.then == net::Moved::Then::Again) return;
-        if (got.then != net::Moved::Then::More) return close(false);
+        const net::IoResult got = stream_->read(buffer);
+        if (got.status == net::IoResult::Status::WouldBlock) return;
+        if (got.status != net::IoResult::Status::Ready) return close(false);
         in_.append(buffer.data(), got.bytes);
         for (auto end = in_.find('\n'); end != std::string::npos; end = in_.find('\n')) {
             const Json message = Json::parse(in_.substr(0, end), nullptr, false);
@@ -55,7 +55,7 @@
 PlatformServer::PlatformServer(net::Net& net, const net::Endpoint& at)
     : net_(net), listener_(net.listen(at, *this)) {}
 
-void PlatformServer::accepted(std::unique_ptr<net::Stream> stream) {
+void PlatformServer::onAccepted(std::unique_ptr<net::Stream> stream) {
     ++connections;
     lines_.push_back(std::make_unique<PlatformLine>(
         std::move(stream), [this](PlatformLine& line, const Json& message) { heard(line, message); }));
@@ -168,19 +168,19 @@
     return all + body;
 }
 
-void PlatformLog::accepted(std::unique_ptr<net::Stream> stream) {
+void PlatformLog::onAccepted(std::unique_ptr<net::Stream> stream) {
     stream_ = std::move(stream);
-    stream_->handTo(*this);
+    stream_->setHandler(*this);
     in_.clear();
     following_ = false;
 }
 
-void PlatformLog::readable() {
+void PlatformLog::onReadable() {
     std::array<char, 64> buffer;
     while (stream_) {
-        const net::Moved got = stream_->read(buffer);
-        if (got.then == net::Moved::Then::Again) return;
-        if (got.then != net::Moved::Then::More) return stream_.reset();
+        const net::IoResult got = stream_->read(buffer);
+        if (got.status == net::IoResult::Status::WouldBlock) return;
+        if (got.status != net::IoResult::Status::Ready) return stream_.reset();
         in_.append(buffer.data(), got.bytes);
         if (in_.size() < 8 || following_) continue;
         std::uint64_t from = 0;
--- a/src/fakes/platform.hpp
+++ b/src/fakes/platform.hpp
@@ -16,7 +16,7 @@
 namespace valekeel::fakes {
 
 // One connection, cut into lines.
-class PlatformLine final : public net::StreamUser {
+class PlatformLine final : public net::StreamHandler {
   public:
     using Heard = std::function<void(PlatformLine&, const nlohmann::json&)>;
     PlatformLine(std::unique_ptr<net::Stream>, Heard);     // accepted
@@ -27,10 +27,10 @@
     bool ended() const { return ended_; }
 
   private:
-    void connected() override;
-    void connectFailed(net::NoStream) override { ended_ = true; }
-    void readable() override;
-    void writable() override {}
+    void onConnected() override;
+    void onConnectFailed(net::ConnectError) override { ended_ = true; }
+    void onReadable() override;
+    void onWritable() override {}
     Heard heard_;
     std::string in_, out_;
     bool ready_, ended_ = false;
@@ -40,7 +40,7 @@
 // What a media server does with a set-up.
 enum class Does { Plays, Full, Errs, Resets, Nothing, Noise, Unfinished, PlaysTwice, UnknownFirst, NoWords };
 
-class PlatformServer final : private net::ListenerUser {
+class PlatformServer final : private net::ListenerHandler {
   public:
     PlatformServer(net::Net&, const net::Endpoint&);
     net::Endpoint at() const { return listener_->at(); }
@@ -62,7 +62,7 @@
     int cuts = 0, tests = 0, connections = 0;
 
   private:
-    void accepted(std::unique_ptr<net::Stream>) override;
+    void onAccepted(std::unique_ptr<net::Stream>) override;
     void heard(PlatformLine&, const nlohmann::json&);
     void start(PlatformLine&, const std::string& tag);
     PlatformLine* lineOf(const std::string& tag);
@@ -73,7 +73,7 @@
 };
 
 // Events as frames; `asked` holds the numbers that it was asked from.
-class PlatformLog final : private net::ListenerUser, private net::StreamUser {
+class PlatformLog final : private net::ListenerHandler, private net::StreamHandler {
   public:
     PlatformLog(net::Net&, const net::Endpoint&);
     net::Endpoint at() const { return listener_->at(); }
@@ -92,9 +92,9 @@
     std::vector<std::uint64_t> asked;
 
   private:
-    void accepted(std::unique_ptr<net::Stream>) override;
-    void readable() override;
-    void writable() override {}
+    void onAccepted(std::unique_ptr<net::Stream>) override;
+    void onReadable() override;
+    void onWritable() override {}
     void beat();
     net::Net& net_;
     std::unique_ptr<net::Listener> listener_;
--- a/src/fakes/player.cpp
+++ b/src/fakes/player.cpp
@@ -127,7 +127,7 @@
                                   target);
     if (!conn_ || !conn_->idle()) {
         closeConnection();
-        conn_ = std::make_unique<http::Connection>(net_, at_, http::WireLimits{}, 2 * kSecond);
+        conn_ = std::make_unique<http::Connection>(net_, at_, http::HttpLimits{}, 2 * kSecond);
     }
     head_ = {};
     body_.clear();
@@ -221,15 +221,15 @@
     done_(*this);
 }
 
-void Player::answered(const http::ResponseHead& head) {
+void Player::onHead(const http::ResponseHead& head) {
     head_ = head;
 }
-void Player::piece(std::string_view bytes) {
+void Player::onBody(std::string_view bytes) {
     bytes_ += bytes.size();
     if (state_ == State::Asking || state_ == State::Playlist) body_ += bytes;
 }
 
-void Player::failed(http::Failed) {
+void Player::onFailed(http::FetchError) {
     const State was = state_;
     if (was == State::Asking) {
         Line l = line("no-answer");
@@ -243,7 +243,7 @@
     comeAgain(true, std::nullopt);  // it played, and broke: it may come again
 }
 
-void Player::fetched(bool kept) {
+void Player::onFetched(bool kept) {
     if (!kept) closeConnection();
     const int status = head_.status;
     if (state_ == State::Asking) {
@@ -254,9 +254,9 @@
         l.told = head_.fields.find("Retry-After") != nullptr;
         ledger_.add(l);
         if (status == 200) {
-            const auto read = hls::readMultivariant(body_);
+            const auto read = hls::parseMultivariantPlaylist(body_);
             if (!read.got) return leave();
-            media_ = hls::resolved("/talk/x/main.m3u8", read.got->variants.front().uri).value_or("");
+            media_ = hls::resolveReference("/talk/x/main.m3u8", read.got->variants.front().uri).value_or("");
             base_ = media_;
             if (until_ == 0) until_ = net_.now() + plan_.watch;
             waited_ = 0;
@@ -285,7 +285,7 @@
     }
     timer_.cancel();
     if (state_ == State::Playlist) {
-        auto read = hls::readMedia(body_);
+        auto read = hls::parseMediaPlaylist(body_);
         if (!read.got) {
             ledger_.add(line("segment-lost"));
             return comeAgain(true, std::nullopt);
@@ -341,12 +341,12 @@
         if (!map_.empty()) ledger_.add(line("switch"));
         map_ = list_.maps[static_cast<std::size_t>(s.map)].uri;
         state_ = State::Init;
-        return fetch(hls::resolved(base_, map_).value_or("/"));
+        return fetch(hls::resolveReference(base_, map_).value_or("/"));
     }
     buffered_ = std::max(
         0.0, seconds(s.duration) * static_cast<double>(segments_) - seconds(net_.now() - startedAt_));
     state_ = State::Segment;
-    fetch(hls::resolved(base_, s.uri).value_or("/"));
+    fetch(hls::resolveReference(base_, s.uri).value_or("/"));
 }
 
 }  // namespace valekeel::fakes
--- a/src/fakes/player.hpp
+++ b/src/fakes/player.hpp
@@ -50,7 +50,7 @@
     std::function<void(const std::string& trace)> asking;  // called with each ask
 };
 
-class Player final : http::FetchUser {
+class Player final : http::FetchHandler {
   public:
     // `pick`: a front to ask now, by name and place.
     struct FrontAt {
@@ -80,10 +80,10 @@
     Line line(const char* what) const;
     void closeConnection();
 
-    void answered(const http::ResponseHead&) override;
-    void piece(std::string_view) override;
-    void fetched(bool kept) override;
-    void failed(http::Failed) override;
+    void onHead(const http::ResponseHead&) override;
+    void onBody(std::string_view) override;
+    void onFetched(bool kept) override;
+    void onFailed(http::FetchError) override;
 
     net::Net& net_;
     int number_;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -32,7 +32,7 @@
     net::Endpoint http;
     std::optional<net::Endpoint> sip;
     frontends::SipTerms sipTerms;
-    http::WireLimits wire;
+    http::HttpLimits wire;
     hints::HintLimits hints;
     frontends::HttpTerms terms;
     upstream::UpstreamLimits boxes;
@@ -59,7 +59,7 @@
 void readWire(Cursor& top, Told& t) {
     if (auto node = top.one("http")) {
         t.http = node->address("listen");
-        http::WireLimits& w = t.wire;
+        http::HttpLimits& w = t.wire;
         w.headBytes = static_cast<std::uint32_t>(node->whole("head-bytes", 1'024, 1'000'000, w.headBytes));
         w.fields = static_cast<std::uint32_t>(node->whole("fields", 8, 10'000, w.fields));
         w.targetBytes = static_cast<std::uint32_t>(node->whole("target-bytes", 128, 100'000, w.targetBytes));
@@ -301,7 +301,7 @@
         flushing.after(kSecond);
         if (!told.learntFile.empty()) keeping.after(told.learntEvery);
         line(logging::Level::Info, "started",
-             {{"front", told.name}, {"http", net::text(face->at())}, {"seed", seed}});
+             {{"front", told.name}, {"http", net::toString(face->at())}, {"seed", seed}});
     }
 
     void line(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -33,19 +33,19 @@
 };
 
 // A request that waits for its subscription's answer.
-class HttpFace::Waiter final : public http::ExchangeUser {
+class HttpFace::Waiter final : public http::ExchangeHandler {
   public:
     Waiter(HttpFace& face, std::string token, http::Exchange& exchange)
         : face_(face), token_(std::move(token)), exchange_(&exchange) {
-        exchange.heldBy(this);
+        exchange.setHandler(this);
     }
     ~Waiter() override {
-        if (exchange_) exchange_->heldBy(nullptr);
+        if (exchange_) exchange_->setHandler(nullptr);
     }
     http::Exchange* release() { return std::exchange(exchange_, nullptr); }
 
   private:
-    void gone() override {
+    void onConnectionLost() override {
         exchange_ = nullptr;
         // Once the last connection that waits is lost, the viewer may still come back by its sid.
         if (Viewer* viewer = face_.byToken(token_)) viewer->silence->after(face_.terms_.closedAfter);
@@ -56,7 +56,7 @@
 };
 
 // One fetch from a box for a viewer: the playlist first, where it isn't known, then what was asked for.
-class HttpFace::Relay final : public upstream::UpstreamRequestHandler, public http::ExchangeUser {
+class HttpFace::Relay final : public upstream::UpstreamRequestHandler, public http::ExchangeHandler {
   public:
     enum class What { Window, Init, Segment };
     Relay(HttpFace& face, std::uint64_t key, Viewer& viewer, http::Exchange& exchange, What what,
@@ -71,11 +71,11 @@
           no_(no),
           rung_(rung),
           exchange_(&exchange) {
-        exchange.heldBy(this);
+        exchange.setHandler(this);
         ++viewer.fetches;
     }
     ~Relay() override {
-        if (exchange_) exchange_->heldBy(nullptr);
+        if (exchange_) exchange_->setHandler(nullptr);
         face_.core_.delivery().discard(core::FetchId{key_});
     }
     void start() {
@@ -86,9 +86,9 @@
             const auto* answer = face_.joins_.responseOf(sub_);
             if (!answer) return end(410, "the subscription is over");
             playlist_ = true;
-            path_ =
-                hls::resolved(answer->path, answer->variants.variants[static_cast<std::size_t>(rung_)].uri)
-                    .value_or("");
+            path_ = hls::resolveReference(answer->path,
+                                          answer->variants.variants[static_cast<std::size_t>(rung_)].uri)
+                        .value_or("");
             if (path_.empty()) return end(502, "the box's playlist leads elsewhere");
             send(path_, std::nullopt);
             return;
@@ -98,7 +98,7 @@
         if (what_ == What::Window) {
             http::Exchange* exchange = std::exchange(exchange_, nullptr);
             over();
-            exchange->heldBy(nullptr);
+            exchange->setHandler(nullptr);
             return face_.sendWindow(*exchange, *viewer);
         }
         const hls::Segment* segment =
@@ -115,7 +115,7 @@
             uri = cached.list.maps.front().uri;
             range = cached.list.maps.front().range;
         }
-        const auto path = hls::resolved(cached.path, uri);
+        const auto path = hls::resolveReference(cached.path, uri);
         if (!path) return end(502, "the box's playlist leads elsewhere");
         send(*path, range);
     }
@@ -134,7 +134,7 @@
                 if (!value.empty()) fields.add(hints::kCmcdHeaders[i], value);
             }
             logging::TraceContext trace = viewer->trace;
-            trace.parent = logging::hex64(face_.net_.draw() | 1);
+            trace.parent = logging::hex64(face_.net_.randomBits() | 1);
             fields.add("traceparent", logging::write(trace));
         }
         if (range)
@@ -198,7 +198,7 @@
             playlist_ = false;
             if (status_ == 410) return lost(upstream::RequestResult::BrokenAnswer);
             if (status_ != 200) return end(502, "the box has no playlist");
-            auto read = hls::readMedia(body_);
+            auto read = hls::parseMediaPlaylist(body_);
             std::string().swap(body_);
             if (!read.got) return end(502, "the box's playlist is broken: " + read.why);
             Cached cached{std::move(*read.got), {}, path_, ++face_.cacheUse_};
@@ -232,7 +232,7 @@
         http::Exchange* exchange = std::exchange(exchange_, nullptr);
         over();  // first: what finishes may bring the viewer's next request at once
         if (exchange) {
-            exchange->heldBy(nullptr);
+            exchange->setHandler(nullptr);
             exchange->finish();
         }
     }
@@ -263,13 +263,13 @@
     }
 
     // The viewer's side.
-    void drained() override {
+    void onDrained() override {
         if (!held_ || !request_) return;
         held_ = false;
         face_.core_.delivery().resume(face_.net_.now(), core::FetchId{key_});
         request_->resume();
     }
-    void gone() override {
+    void onConnectionLost() override {
         exchange_ = nullptr;
         if (Viewer* viewer = face_.byToken(token_)) {
             tellWay(*viewer, face_.net_.now());
@@ -288,7 +288,7 @@
     }
     void cutShort() {
         if (http::Exchange* exchange = std::exchange(exchange_, nullptr)) {
-            exchange->heldBy(nullptr);
+            exchange->setHandler(nullptr);
             exchange->abort();
         }
         over();
@@ -299,7 +299,7 @@
         HttpFace& face = face_;
         over();
         if (!exchange) return;
-        exchange->heldBy(nullptr);
+        exchange->setHandler(nullptr);
         face.refuse(*exchange, status, why, status == 503 ? face.terms_.retryWhenFull : 0);
     }
     void over() {
@@ -328,7 +328,7 @@
     Micros playTime_ = 0, sentAt_ = 0, toHead_ = 0;
 };
 
-HttpFace::HttpFace(const Surroundings& around, const net::Endpoint& at, const http::WireLimits& limits,
+HttpFace::HttpFace(const Surroundings& around, const net::Endpoint& at, const http::HttpLimits& limits,
                    const HttpTerms& terms, const hints::HintLimits& hintLimits)
     : Surroundings(around), terms_(terms), hintLimits_(hintLimits), bury_(net_, [this] {
           dead_.clear();
@@ -363,18 +363,18 @@
 
 // ================= requests =================
 
-bool HttpFace::admits(const net::Endpoint& peer) {
+bool HttpFace::acceptsConnection(const net::Endpoint& peer) {
     if (gate_.openConnection(gate_.networkOf(peer.ip))) return true;
     ++turnedAway_;
     return false;
 }
-void HttpFace::closed(const net::Endpoint& peer) {
+void HttpFace::onConnectionClosed(const net::Endpoint& peer) {
     gate_.closeConnection(gate_.networkOf(peer.ip));
 }
-void HttpFace::malformed(const net::Endpoint& peer, int status, const std::string& why) {
+void HttpFace::onMalformedRequest(const net::Endpoint& peer, int status, const std::string& why) {
     ++badRequests_;
     log_.line(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-request",
-              {{"peer", net::text(peer)}, {"status", status}, {"why", why}});
+              {{"peer", net::toString(peer)}, {"status", status}, {"why", why}});
 }
 
 void HttpFace::refuse(http::Exchange& exchange, int status, std::string_view why, Micros retryAfter) {
@@ -388,7 +388,7 @@
     exchange.respond(status, fields, std::string(why) + "\n");
 }
 
-void HttpFace::asked(http::Exchange& exchange) {
+void HttpFace::onRequest(http::Exchange& exchange) {
     const http::RequestHead& head = exchange.head();
     const std::string path = head.path();
     if (head.method == "POST" && path == "/cmcd") return takeJson(exchange);
@@ -513,7 +513,7 @@
     }
     auto made = std::make_unique<Viewer>(terms_.window);
     Viewer& viewer = *made;
-    viewer.token = logging::hex64(net_.draw()) + logging::hex64(net_.draw());
+    viewer.token = logging::hex64(net_.randomBits()) + logging::hex64(net_.randomBits());
     viewer.sidKey = sidKey;
     viewer.title = title;
     viewer.sub = *id;
@@ -523,7 +523,8 @@
     viewer.hints = hint;
     const std::string* parent = head.fields.find("traceparent");
     auto trace = parent ? logging::parseTraceParent(*parent) : std::nullopt;
-    viewer.trace = trace ? *trace : logging::newTrace(net_.draw(), net_.draw(), net_.draw());
+    viewer.trace =
+        trace ? *trace : logging::newTrace(net_.randomBits(), net_.randomBits(), net_.randomBits());
     viewer.silence = std::make_unique<net::Timer>(net_, [this, token = viewer.token] {
         Viewer* silent = byToken(token);
         if (!silent) return;
@@ -644,7 +645,7 @@
     for (auto& waiter : waiters) {
         http::Exchange* exchange = waiter->release();
         if (!exchange) continue;
-        exchange->heldBy(nullptr);
+        exchange->setHandler(nullptr);
         how(*exchange);
     }
 }
@@ -740,7 +741,7 @@
         if (!value.empty()) words.fields.add(hints::kCmcdHeaders[i], value);
     }
     logging::TraceContext trace = viewer->trace;
-    trace.parent = logging::hex64(net_.draw() | 1);
+    trace.parent = logging::hex64(net_.randomBits() | 1);
     words.fields.add("traceparent", logging::write(trace));
     return words;
 }
@@ -775,7 +776,7 @@
                                {"bad_requests", badRequests_}};
     nlohmann::ordered_json hints;
     for (std::size_t i = 0; i < hints::kDroppedKinds; ++i)
-        hints[std::string(hints::nameOf(static_cast<hints::Dropped>(i)))] = hintsDropped_[i];
+        hints[std::string(hints::nameOf(static_cast<hints::DropReason>(i)))] = hintsDropped_[i];
     out["hints_dropped"] = std::move(hints);
     return out.dump() + "\n";
 }
--- a/src/frontends/http/http_frontend.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -39,7 +39,7 @@
                        public upstream::JoinRequestSource,
                        Surroundings {
   public:
-    HttpFace(const Surroundings&, const net::Endpoint&, const http::WireLimits&, const HttpTerms&,
+    HttpFace(const Surroundings&, const net::Endpoint&, const http::HttpLimits&, const HttpTerms&,
              const hints::HintLimits&);
     ~HttpFace() override;
 
@@ -64,10 +64,10 @@
     };
 
     // ---- http::Handler ----
-    void asked(http::Exchange&) override;
-    bool admits(const net::Endpoint&) override;
-    void closed(const net::Endpoint&) override;
-    void malformed(const net::Endpoint&, int, const std::string&) override;
+    void onRequest(http::Exchange&) override;
+    bool acceptsConnection(const net::Endpoint&) override;
+    void onConnectionClosed(const net::Endpoint&) override;
+    void onMalformedRequest(const net::Endpoint&, int, const std::string&) override;
 
     // ---- core::Face ----
     void onPlaying(SubId, SfuId, int rung) override;
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -27,7 +27,7 @@
 struct SipFace::Call {
     SubId sub;
     std::string key, dialog, localTag, title;
-    sip::Way way;
+    sip::ReplyRoute way;
     sip::Message invite;
     sip::Offer offer;
     logging::TraceContext trace;
@@ -51,11 +51,11 @@
     SipFace& face;
     std::string branch, method, bytes;
     SubId sub;
-    sip::Way way;
+    sip::ReplyRoute way;
     Micros wait;
     net::Timer again, end;
     Out(SipFace& face, std::string branch, std::string method, std::string bytes, SubId sub,
-        const sip::Way& way)
+        const sip::ReplyRoute& way)
         : face(face),
           branch(std::move(branch)),
           method(std::move(method)),
@@ -65,7 +65,7 @@
           wait(face.terms_.times.t1),
           again(face.net_,
                 [this] {
-                    this->face.sendOn(this->way, this->bytes);
+                    this->face.sendTo(this->way, this->bytes);
                     wait = std::min(2 * wait, this->face.terms_.times.t2);
                     again.after(wait);
                 }),
@@ -90,7 +90,7 @@
         if (status == 481 || status == 408) return f.hangUp(*call, true);  // RFC 5057: the dialog is gone
         if (status == 491) {  // glare: the caller's own request crossed ours; we didn't make the Call-ID
             call->updateDue = true;
-            call->updateTimer->after(static_cast<Micros>(f.net_.draw() % 200) * 10'000);
+            call->updateTimer->after(static_cast<Micros>(f.net_.randomBits() % 200) * 10'000);
             return;
         }
         if (status < 300) f.armSession(*call);
@@ -99,7 +99,7 @@
 };
 
 // A stream of messages: framed by Content-Length, given up on when it loses its place.
-class SipFace::Stream final : public net::StreamUser {
+class SipFace::Stream final : public net::StreamHandler {
   public:
     Stream(SipFace& face, std::uint64_t key, std::unique_ptr<net::Stream> s)
         : face_(face),
@@ -107,13 +107,13 @@
           way_{true, key, stream_->peer()},
           framer_(face.terms_.limits.bytes),
           idle_(face.net_, [this] { close(); }) {
-        stream_->handTo(*this);
+        stream_->setHandler(*this);
         idle_.after(face.terms_.streamIdle);
     }
-    void readable() override {
+    void onReadable() override {
         std::array<char, 16'384> buffer;
         while (stream_) {
-            const net::Moved got = stream_->read(buffer);
+            const net::IoResult got = stream_->read(buffer);
             if (got.bytes > 0) {
                 idle_.after(face_.terms_.streamIdle);
                 bool good = framer_.feed(std::string_view(buffer.data(), got.bytes));
@@ -122,11 +122,11 @@
                 if (!good) return close();
                 continue;
             }
-            if (got.then == net::Moved::Then::Again) return;
+            if (got.status == net::IoResult::Status::WouldBlock) return;
             return close();
         }
     }
-    void writable() override { flush(); }
+    void onWritable() override { flush(); }
     void send(const std::string& bytes) {
         if (!stream_ || out_.size() > 8 * face_.terms_.limits.bytes)
             return close();  // it takes nothing any more
@@ -147,13 +147,13 @@
   private:
     void flush() {
         if (!stream_ || out_.empty()) return;
-        const net::Moved put = stream_->write(out_);
+        const net::IoResult put = stream_->write(out_);
         out_.erase(0, put.bytes);
-        if (put.then == net::Moved::Then::Broken) close();
+        if (put.status == net::IoResult::Status::Broken) close();
     }
     SipFace& face_;
     std::unique_ptr<net::Stream> stream_;
-    sip::Way way_;
+    sip::ReplyRoute way_;
     sip::Framer framer_;
     std::string out_;
     net::Timer idle_;
@@ -260,15 +260,15 @@
 
 // ================= bytes in and out =================
 
-void SipFace::received(const net::Endpoint& from, std::string_view bytes) {
-    unreadSum_ += datagrams_->waited();
+void SipFace::onDatagram(const net::Endpoint& from, std::string_view bytes) {
+    unreadSum_ += datagrams_->queueingDelay();
     ++unreadOf_;
-    const sip::Way way{false, 0, from};
-    if (const auto g = sip::glance(bytes); g && turnedAwayAtAGlance(*g, way)) return;
+    const sip::ReplyRoute way{false, 0, from};
+    if (const auto g = sip::prefilter(bytes); g && turnedAwayAtAGlance(*g, way)) return;
     heard(bytes, way);
 }
 
-void SipFace::accepted(std::unique_ptr<net::Stream> stream) {
+void SipFace::onAccepted(std::unique_ptr<net::Stream> stream) {
     if (streams_.size() >= terms_.streams) {
         stream->reset();
         return;
@@ -277,7 +277,7 @@
     streams_[key] = std::make_unique<Stream>(*this, key, std::move(stream));
 }
 
-void SipFace::sendOn(const sip::Way& way, const std::string& bytes) {
+void SipFace::sendTo(const sip::ReplyRoute& way, const std::string& bytes) {
     if (!way.stream) {
         datagrams_->send(way.peer, bytes);
         return;
@@ -286,14 +286,14 @@
     if (it != streams_.end()) it->second->send(bytes);
 }
 
-void SipFace::heard(std::string_view bytes, const sip::Way& way) {
+void SipFace::heard(std::string_view bytes, const sip::ReplyRoute& way) {
     if (bytes.find_first_not_of("\r\n \t") == std::string_view::npos) return;  // keeps a NAT open
     ++counts_.messages;
     sip::Parsed parsed = sip::parse(bytes, terms_.limits);
     if (!parsed.got) {
         ++counts_.malformed;
         log_.line(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
-                  {{"peer", net::text(way.peer)}, {"status", parsed.status}, {"why", parsed.why}});
+                  {{"peer", net::toString(way.peer)}, {"status", parsed.status}, {"why", parsed.why}});
         if (parsed.enough && parsed.status) replyStateless(*parsed.enough, way, parsed.status);
         return;
     }
@@ -313,10 +313,11 @@
 }
 
 // Refused without keeping anything: what a flood may cost at most.
-void SipFace::replyStateless(const sip::Message& m, const sip::Way& way, int status, Micros retryAfter) {
+void SipFace::replyStateless(const sip::Message& m, const sip::ReplyRoute& way, int status,
+                             Micros retryAfter) {
     std::vector<std::pair<std::string, std::string>> more;
     if (retryAfter > 0) more.emplace_back("Retry-After", wholeSecondsUp(retryAfter));
-    sendOn(way, sip::response(withControl(m), status,
+    sendTo(way, sip::response(withControl(m), status,
                               logging::hex64(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more,
                               "", &way.peer));
 }
@@ -324,14 +325,14 @@
 void SipFace::reply(const std::string& key, const sip::Message& m, int status,
                     std::vector<std::pair<std::string, std::string>> more, const std::string& body) {
     const auto call = byKey_.find(key);
-    const std::string tag = call != byKey_.end() ? call->second->localTag : logging::hex64(net_.draw());
+    const std::string tag = call != byKey_.end() ? call->second->localTag : logging::hex64(net_.randomBits());
     const net::Endpoint* from = call != byKey_.end() ? &call->second->way.peer : nullptr;
     transactions_.answer(key, status, sip::response(withControl(m), status, tag, more, body, from));
 }
 
 // ================= requests =================
 
-void SipFace::onRequest(sip::Message m, const sip::Way& way) {
+void SipFace::onRequest(sip::Message m, const sip::ReplyRoute& way) {
     if (m.method == "ACK") {
         if (transactions_.ack(m)) return;
         Call* call = byDialog(m);
@@ -359,13 +360,13 @@
         }
     }
     switch (transactions_.request(m, way)) {
-        case sip::Transactions::Came::Absorbed:
+        case sip::Transactions::RequestDisposition::Absorbed:
             return;
-        case sip::Transactions::Came::Full:
+        case sip::Transactions::RequestDisposition::Full:
             ++counts_.shed;
             refused_.remember(nameOf(m.vias.front().branch, m.callId, salt_));
             return replyStateless(m, way, 503, terms_.retryWhenFull);
-        case sip::Transactions::Came::New:
+        case sip::Transactions::RequestDisposition::New:
             break;
     }
     if (m.maxForwards && *m.maxForwards == 0 && m.method != "OPTIONS") return reply(key, m, 483);
@@ -386,7 +387,7 @@
 
 // Before a transaction is made: overload control, and the gate where it would refuse anyway. What was refused
 // once stays refused: a copy that comes when there is room again must not get a second final answer.
-bool SipFace::turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::Way& way) {
+bool SipFace::turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::ReplyRoute& way) {
     if (refused_.knows(name)) return true;
     const double draw = static_cast<double>(name >> 11) / 9007199254740992.0;
     const bool away =
@@ -397,7 +398,7 @@
 }
 
 // What a flood costs at most: no message is read whole, nothing is kept but its name.
-bool SipFace::turnedAwayAtAGlance(const sip::Glance& g, const sip::Way& way) {
+bool SipFace::turnedAwayAtAGlance(const sip::PrefilteredRequest& g, const sip::ReplyRoute& way) {
     const std::uint64_t name = nameOf(g.branch, g.callId, salt_);
     if (g.method == "ACK") return refused_.knows(name);
     if (g.toHasTag || transactions_.knows(g.inviteKey())) return false;
@@ -415,12 +416,12 @@
                 ? std::string()
                 : std::string(g.via.substr(at + 9, g.via.find(';', at + 9) - at - 9)));
     }
-    sendOn(way, sip::refusal(g, "503 Service Unavailable", logging::hex64(name ^ salt_), more,
+    sendTo(way, sip::refusal(g, "503 Service Unavailable", logging::hex64(name ^ salt_), more,
                              static_cast<long>((terms_.retryWhenFull + kSecond - 1) / kSecond), way.peer));
     return true;
 }
 
-void SipFace::onInvite(sip::Message m, const sip::Way& way) {
+void SipFace::onInvite(sip::Message m, const sip::ReplyRoute& way) {
     const std::string key = sip::Transactions::keyOf(m);
     // The same call by another way (section 8.2.2.2): forked upstream, or sent from a second port.
     const std::string mergeKey = m.callId + "|" + m.from.tag + "|" + std::to_string(m.cseq);
@@ -471,7 +472,7 @@
     Call& call = *made;
     call.sub = *id;
     call.key = key;
-    call.localTag = logging::hex64(net_.draw());
+    call.localTag = logging::hex64(net_.randomBits());
     call.dialog = m.callId + "|" + call.localTag + "|" + m.from.tag;
     call.title = m.user;
     call.way = way;
@@ -479,12 +480,12 @@
     call.answerDue = m.body.empty();
     const auto parent = m.others.find("traceparent");
     const auto trace = parent == m.others.end() ? std::nullopt : logging::parseTraceParent(parent->second);
-    call.trace = trace ? *trace : logging::newTrace(net_.draw(), net_.draw(), net_.draw());
+    call.trace = trace ? *trace : logging::newTrace(net_.randomBits(), net_.randomBits(), net_.randomBits());
     call.room = *room;
     call.network = network;
     call.inGate = true;
     call.heardCseq = m.cseq;
-    call.session = net_.draw() >> 1;
+    call.session = net_.randomBits() >> 1;
     call.target = m.contact->uri;
     const bool timer = std::find(m.supported.begin(), m.supported.end(), "timer") != m.supported.end();
     call.callerRefreshes = timer && m.refresher != "uas";
@@ -581,7 +582,7 @@
 }
 
 std::vector<std::pair<std::string, std::string>> SipFace::dialogFields(const Call& call) const {
-    return {{"Contact", "<sip:" + name_ + "@" + net::text(datagrams_->at()) + ">"},
+    return {{"Contact", "<sip:" + name_ + "@" + net::toString(datagrams_->at()) + ">"},
             {"Allow", kAllow},
             {"Supported", "timer"},
             {"Session-Expires",
@@ -638,7 +639,7 @@
     if (Call* call = bySub(id)) hangUp(*call, false);
 }
 
-void SipFace::neverAcknowledged(const std::string& key) {
+void SipFace::onAckTimeout(const std::string& key) {
     const auto it = byKey_.find(key);
     if (it == byKey_.end()) return;
     ++counts_.unacknowledged;
@@ -648,11 +649,12 @@
 // ================= within a dialog =================
 
 void SipFace::sendInDialog(Call& call, const char* method, const std::string& body) {
-    const std::string branch = "z9hG4bK" + logging::hex64(net_.draw());
+    const std::string branch = "z9hG4bK" + logging::hex64(net_.randomBits());
     const sip::Message& m = call.invite;
     std::string text = std::string(method) + " " + sip::headerSafe(call.target) +
                        " SIP/2.0\r\nVia: SIP/2.0/" + (call.way.stream ? "TCP " : "UDP ") +
-                       net::text(datagrams_->at()) + ";branch=" + branch + ";rport\r\nMax-Forwards: 70\r\n";
+                       net::toString(datagrams_->at()) + ";branch=" + branch +
+                       ";rport\r\nMax-Forwards: 70\r\n";
     for (const std::string& route : m.recordRoutes) text += "Route: " + sip::headerSafe(route) + "\r\n";
     text += "From: " + sip::headerSafe(m.to.written) + ";tag=" + call.localTag +
             "\r\nTo: " + sip::headerSafe(m.from.written) + "\r\nCall-ID: " + sip::headerSafe(m.callId) +
@@ -661,7 +663,7 @@
     if (!body.empty()) text += "Content-Type: application/sdp\r\n";
     text += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     if (out_.size() >= terms_.transactions) return;
-    sendOn(call.way, text);
+    sendTo(call.way, text);
     out_[branch] = std::make_unique<Out>(*this, branch, method, text, call.sub, call.way);
 }
 
@@ -725,7 +727,7 @@
     // tell that it began this very one already.
     if (rooms_.types[call->room.v].paid) words.once = logging::hex64(hashOf(call->key, 0));
     logging::TraceContext trace = call->trace;
-    trace.parent = logging::hex64(net_.draw() | 1);
+    trace.parent = logging::hex64(net_.randomBits() | 1);
     words.fields.add("traceparent", logging::write(trace));
     return words;
 }
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -27,7 +27,7 @@
 struct SipTerms {
     sip::SipTimes times;
     sip::SipLimits limits;
-    sip::OverloadTerms overload;
+    sip::OverloadSettings overload;
     bool shed = true;                  // overload control; without it only the bounds hold
     std::size_t refusedKept = 65'536;  // refusals without a transaction that are remembered
     std::size_t transactions = 20'000, calls = 20'000, streams = 2'000;
@@ -44,9 +44,9 @@
 
 class SipFace final : public core::SubscriptionHandler,
                       public upstream::JoinRequestSource,
-                      sip::TransactionUser,
-                      net::DatagramUser,
-                      net::ListenerUser,
+                      sip::TransactionHandler,
+                      net::DatagramHandler,
+                      net::ListenerHandler,
                       Surroundings {
   public:
     // Listens for datagrams and streams at the same place.
@@ -68,20 +68,20 @@
     class Hold;
     struct Out;
 
-    void received(const net::Endpoint& from, std::string_view bytes) override;
-    void accepted(std::unique_ptr<net::Stream>) override;
-    void heard(std::string_view bytes, const sip::Way&);
-    void onRequest(sip::Message, const sip::Way&);
+    void onDatagram(const net::Endpoint& from, std::string_view bytes) override;
+    void onAccepted(std::unique_ptr<net::Stream>) override;
+    void heard(std::string_view bytes, const sip::ReplyRoute&);
+    void onRequest(sip::Message, const sip::ReplyRoute&);
     void onAnswer(const sip::Message&);
-    void onInvite(sip::Message, const sip::Way&);
+    void onInvite(sip::Message, const sip::ReplyRoute&);
     void onCancel(const sip::Message&, const std::string& key);
     void inDialog(Call&, const sip::Message&, const std::string& key);
     void reply(const std::string& key, const sip::Message&, int status,
                std::vector<std::pair<std::string, std::string>> more = {}, const std::string& body = "");
     sip::Message withControl(sip::Message) const;
-    bool turnedAwayAtAGlance(const sip::Glance&, const sip::Way&);
-    bool turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::Way&);
-    void replyStateless(const sip::Message&, const sip::Way&, int status, Micros retryAfter = 0);
+    bool turnedAwayAtAGlance(const sip::PrefilteredRequest&, const sip::ReplyRoute&);
+    bool turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::ReplyRoute&);
+    void replyStateless(const sip::Message&, const sip::ReplyRoute&, int status, Micros retryAfter = 0);
 
     void onPlaying(SubId, SfuId, int rung) override;
     void onThrottled(SubId, Micros retryAfter) override;
@@ -90,8 +90,8 @@
     void onServerLost(SubId) override;
     upstream::JoinRequest joinRequestFor(SubId, int joinNo) override;
 
-    void sendOn(const sip::Way&, const std::string& bytes) override;
-    void neverAcknowledged(const std::string& key) override;
+    void sendTo(const sip::ReplyRoute&, const std::string& bytes) override;
+    void onAckTimeout(const std::string& key) override;
 
     std::string answerBody(const Call&) const;
     std::vector<std::pair<std::string, std::string>> dialogFields(const Call&) const;
@@ -109,7 +109,7 @@
     std::uint64_t salt_;
     sip::Transactions transactions_;
     sip::Overload overload_;
-    sip::Refused refused_;
+    sip::RefusedRequests refused_;
     std::unique_ptr<net::Datagrams> datagrams_;
     std::unique_ptr<net::Listener> listener_;
     std::map<std::uint64_t, std::unique_ptr<Stream>> streams_;
--- a/src/hints/cmcd.cpp
+++ b/src/hints/cmcd.cpp
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-std::string_view nameOf(Dropped why) {
+std::string_view nameOf(DropReason why) {
     static constexpr std::string_view kNames[kDroppedKinds] = {"malformed",    "wrong-type",  "out-of-range",
                                                                "twice",        "too-long",    "unknown",
                                                                "wrong-header", "contradicts", "too-many"};
@@ -90,7 +90,7 @@
 // lose all the others with it.
 void CmcdReader::read(std::string_view text, std::optional<std::size_t> header) {
     if (text.size() > limits_.fieldBytes) {
-        drop(Dropped::TooLong);
+        drop(DropReason::TooLong);
         return;
     }
     std::size_t start = 0;
@@ -109,7 +109,7 @@
         while (!pair.empty() && (pair.front() == ' ' || pair.front() == '\t')) pair.remove_prefix(1);
         while (!pair.empty() && (pair.back() == ' ' || pair.back() == '\t')) pair.remove_suffix(1);
         if (pair.empty()) {
-            if (!text.empty()) drop(Dropped::Malformed);
+            if (!text.empty()) drop(DropReason::Malformed);
             continue;
         }
         const auto equals = pair.find('=');
@@ -126,7 +126,7 @@
         }
         const auto item = parseItem(value);
         if (!item || !item->params.all.empty())
-            drop(Dropped::Malformed);
+            drop(DropReason::Malformed);
         else
             take(key, item->value, header);
     }
@@ -134,7 +134,7 @@
 
 void CmcdReader::json(std::string_view body) {
     if (body.size() > limits_.fieldBytes) {
-        drop(Dropped::TooLong);
+        drop(DropReason::TooLong);
         return;
     }
     // Keys may stand twice in bytes, which a tree would hide: they are caught as they are parsed.
@@ -144,14 +144,14 @@
         depth = std::max(depth, at);
         if (event == nlohmann::json::parse_event_t::key && at == 1) {
             const std::string name = parsed.get<std::string>();
-            if (std::find(twice.begin(), twice.end(), name) != twice.end()) drop(Dropped::Twice);
+            if (std::find(twice.begin(), twice.end(), name) != twice.end()) drop(DropReason::Twice);
             twice.push_back(name);
         }
         return at < 4;
     };
     const nlohmann::json tree = nlohmann::json::parse(body, watch, false);
     if (!tree.is_object()) {
-        drop(Dropped::Malformed);
+        drop(DropReason::Malformed);
         return;
     }
     for (const auto& [key, value] : tree.items()) {
@@ -163,7 +163,7 @@
         } else if (value.is_number_float()) {
             const double number = value.get<double>();
             if (!std::isfinite(number) || std::fabs(number) > 1e11)
-                drop(Dropped::OutOfRange);
+                drop(DropReason::OutOfRange);
             else
                 take(key, Decimal{std::llround(number * 1000)}, std::nullopt);
         } else if (value.is_string()) {
@@ -172,24 +172,24 @@
             else
                 take(key, value.get<std::string>(), std::nullopt);
         } else {
-            drop(Dropped::WrongType);
+            drop(DropReason::WrongType);
         }
     }
 }
 
 void CmcdReader::take(std::string_view key, const Bare& value, std::optional<std::size_t> header) {
     if (seen_.size() >= limits_.keys) {
-        drop(Dropped::TooMany);
+        drop(DropReason::TooMany);
         return;
     }
     if (std::find(seen_.begin(), seen_.end(), key) != seen_.end()) {
-        drop(Dropped::Twice);
+        drop(DropReason::Twice);
         return;
     }
     const Key* known = keyOf(key);
     if (!known) {
         if (!customKey(key)) {
-            drop(Dropped::UnknownKey);
+            drop(DropReason::UnknownKey);
             return;
         }
         std::optional<CustomValue> custom;
@@ -199,8 +199,8 @@
         if (const auto* s = std::get_if<std::string>(&value)) custom = *s;
         if (const auto* t = std::get_if<Token>(&value)) custom = *t;
         const auto* text = std::get_if<std::string>(&value);
-        if (!custom) return drop(Dropped::WrongType);
-        if (text && text->size() > limits_.customBytes) return drop(Dropped::TooLong);
+        if (!custom) return drop(DropReason::WrongType);
+        if (text && text->size() > limits_.customBytes) return drop(DropReason::TooLong);
         seen_.emplace_back(key);
         out_.custom.emplace_back(key, *custom);
         return;
@@ -214,39 +214,39 @@
     std::string words;
     switch (known->kind) {
         case Kind::Number:
-            if (!number && !decimal) return drop(Dropped::WrongType);
+            if (!number && !decimal) return drop(DropReason::WrongType);
             whole = number ? *number : decimal->thousandths / 1000;
-            if (whole < 0 || whole > known->most) return drop(Dropped::OutOfRange);
+            if (whole < 0 || whole > known->most) return drop(DropReason::OutOfRange);
             break;
         case Kind::Decimal:
-            if (!number && !decimal) return drop(Dropped::WrongType);
-            if (number && (*number < 0 || *number > known->most)) return drop(Dropped::OutOfRange);
+            if (!number && !decimal) return drop(DropReason::WrongType);
+            if (number && (*number < 0 || *number > known->most)) return drop(DropReason::OutOfRange);
             if (decimal && (decimal->thousandths < 0 || decimal->thousandths > known->most * 1000))
-                return drop(Dropped::OutOfRange);
+                return drop(DropReason::OutOfRange);
             break;
         case Kind::Flag:
-            if (!flag) return drop(Dropped::WrongType);
+            if (!flag) return drop(DropReason::WrongType);
             break;
         case Kind::Text:
         case Kind::Url:
-            if (!text) return drop(Dropped::WrongType);
-            if (text->size() > static_cast<std::size_t>(known->most)) return drop(Dropped::TooLong);
-            if (text->empty()) return drop(Dropped::OutOfRange);
+            if (!text) return drop(DropReason::WrongType);
+            if (text->size() > static_cast<std::size_t>(known->most)) return drop(DropReason::TooLong);
+            if (text->empty()) return drop(DropReason::OutOfRange);
             words = *text;
             if (known->kind == Kind::Url) {
                 const auto url = http::percentDecoded(*text);
-                if (!url) return drop(Dropped::Malformed);
+                if (!url) return drop(DropReason::Malformed);
                 words = *url;
             }
             break;
         case Kind::Word:
-            if (!word) return drop(Dropped::WrongType);
-            if (!among(word->text, known->words)) return drop(Dropped::OutOfRange);
+            if (!word) return drop(DropReason::WrongType);
+            if (!among(word->text, known->words)) return drop(DropReason::OutOfRange);
             words = word->text;
             break;
     }
     seen_.emplace_back(key);
-    if (header && *header != known->header) drop(Dropped::WrongHeader);
+    if (header && *header != known->header) drop(DropReason::WrongHeader);
     const std::string_view n = known->name;
     if (n == "bl") out_.bl = whole;
     if (n == "br") out_.br = whole;
@@ -276,19 +276,19 @@
         kept.cid = out_.cid;
         kept.v = out_.v;
         out_ = kept;
-        drop(Dropped::Contradicts);
+        drop(DropReason::Contradicts);
         return out_;
     }
     // The rate played can't be over the best that the ladder has: neither is then to be believed.
     if (out_.br && out_.tb && *out_.br > *out_.tb) {
         out_.br.reset();
         out_.tb.reset();
-        drop(Dropped::Contradicts);
+        drop(DropReason::Contradicts);
     }
     // The deadline is the buffer over the play rate: one that lies far beyond it was made up.
     if (out_.dl && out_.bl && *out_.dl > 2 * *out_.bl + 10'000) {
         out_.dl.reset();
-        drop(Dropped::Contradicts);
+        drop(DropReason::Contradicts);
     }
     return out_;
 }
--- a/src/hints/cmcd.hpp
+++ b/src/hints/cmcd.hpp
@@ -16,7 +16,7 @@
 
 namespace valekeel::hints {
 
-enum class Dropped : std::size_t {
+enum class DropReason : std::size_t {
     Malformed,    // the value breaks the grammar of its key
     WrongType,    // a number where a string belongs, and the like
     OutOfRange,   // negative, over the limit, or not among the values that the key allows
@@ -28,8 +28,8 @@
     TooMany,      // over the number of keys that are read
     Count_
 };
-constexpr std::size_t kDroppedKinds = static_cast<std::size_t>(Dropped::Count_);
-std::string_view nameOf(Dropped);
+constexpr std::size_t kDroppedKinds = static_cast<std::size_t>(DropReason::Count_);
+std::string_view nameOf(DropReason);
 using DropCounts = std::array<std::uint64_t, kDroppedKinds>;
 
 struct HintLimits {
@@ -69,7 +69,7 @@
   private:
     void read(std::string_view text, std::optional<std::size_t> header);
     void take(std::string_view key, const Bare& value, std::optional<std::size_t> header);
-    void drop(Dropped why) { ++dropped_[static_cast<std::size_t>(why)]; }
+    void drop(DropReason why) { ++dropped_[static_cast<std::size_t>(why)]; }
     HintLimits limits_;
     Cmcd out_;
     std::vector<std::string> seen_;
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-Read<MediaPlaylist> readMedia(std::string_view text, const PlaylistLimits& limits) {
+Read<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& limits) {
     MediaPlaylist out;
     Segment next;
     int map = -1;
@@ -155,7 +155,7 @@
     return {std::move(out), ""};
 }
 
-Read<Multivariant> readMultivariant(std::string_view text, const PlaylistLimits& limits) {
+Read<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& limits) {
     Multivariant out;
     std::optional<Variant> next;
     const std::string why = lines(text, limits, [&](std::string_view line) -> std::string {
@@ -224,7 +224,7 @@
     return out;
 }
 
-std::optional<std::string> resolved(std::string_view base, std::string_view reference) {
+std::optional<std::string> resolveReference(std::string_view base, std::string_view reference) {
     if (reference.empty() || reference.substr(0, 2) == "//" ||
         reference.find(':') < reference.find_first_of("/?#"))
         return std::nullopt;
--- a/src/hls/playlist.hpp
+++ b/src/hls/playlist.hpp
@@ -59,13 +59,13 @@
     std::optional<What> got;
     std::string why;
 };
-Read<MediaPlaylist> readMedia(std::string_view text, const PlaylistLimits& = {});
-Read<Multivariant> readMultivariant(std::string_view text, const PlaylistLimits& = {});
+Read<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& = {});
+Read<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& = {});
 std::string write(const MediaPlaylist&);
 std::string write(const Multivariant&);
 
 // A reference against the path it was found at (RFC 3986, section 5, for paths alone). Nothing if it leads to
 // another host.
-std::optional<std::string> resolved(std::string_view base, std::string_view reference);
+std::optional<std::string> resolveReference(std::string_view base, std::string_view reference);
 
 }  // namespace valekeel::hls
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -4,8 +4,8 @@
 
 namespace valekeel::http {
 
-Connection::Connection(net::Net& net, const net::Endpoint& to, const WireLimits& limits, Micros within)
-    : net_(net), limits_(limits), connecting_(net, [this] { fail(Failed::NoConnection); }) {
+Connection::Connection(net::Net& net, const net::Endpoint& to, const HttpLimits& limits, Micros within)
+    : net_(net), limits_(limits), connecting_(net, [this] { fail(FetchError::NoConnection); }) {
     stream_ = net_.connect(to, *this);
     connecting_.after(within);
     idleSince_ = net.now();
@@ -15,42 +15,42 @@
     *alive_ = false;
 }
 
-void Connection::fetch(std::string head, bool headOnly, FetchUser& user) {
+void Connection::fetch(std::string head, bool headOnly, FetchHandler& user) {
     user_ = &user;
     ++fetches_;
     out_ = std::move(head);
     wroteAny_ = gotAny_ = headTold_ = paused_ = false;
-    parser_ = std::make_unique<Parser>(Parser::Kind::Response, limits_, static_cast<ParseUser&>(*this));
+    parser_ = std::make_unique<Parser>(Parser::Kind::Response, limits_, static_cast<ParserHandler&>(*this));
     if (headOnly) parser_->answersHead();
     if (connected_) flush();
 }
 
-void Connection::connected() {
+void Connection::onConnected() {
     connecting_.cancel();
     connected_ = true;
     flush();
 }
 
-void Connection::connectFailed(net::NoStream why) {
-    fail(why == net::NoStream::Refused ? Failed::Refused : Failed::NoConnection);
+void Connection::onConnectFailed(net::ConnectError why) {
+    fail(why == net::ConnectError::Refused ? FetchError::Refused : FetchError::NoConnection);
 }
 
-void Connection::writable() {
+void Connection::onWritable() {
     if (connected_) flush();
 }
 
 void Connection::flush() {
     if (!stream_ || out_.empty()) return;
-    const net::Moved put = stream_->write(out_);
+    const net::IoResult put = stream_->write(out_);
     if (put.bytes > 0) wroteAny_ = true;
     out_.erase(0, put.bytes);
-    if (put.then == net::Moved::Then::Broken) {
+    if (put.status == net::IoResult::Status::Broken) {
         mayRead_ = true;  // an answer may have come before the peer broke (a turn-away, say): read that first
         work();
     }
 }
 
-void Connection::readable() {
+void Connection::onReadable() {
     mayRead_ = true;
     work();
 }
@@ -80,13 +80,13 @@
     const auto alive = alive_;
     if (parser_->headDone() && !headTold_) {
         headTold_ = true;
-        user_->answered(parser_->response());
+        user_->onHead(parser_->response());
         if (!*alive) return false;
     }
     if (!pieces_.empty() && user_) {
         std::string pieces;
         pieces.swap(pieces_);
-        user_->piece(pieces);
+        user_->onBody(pieces);
         if (!*alive) return false;
         if (pieces_.empty()) {
             pieces.clear();
@@ -104,7 +104,7 @@
         ended_ = true;
         stream_.reset();
     }
-    if (FetchUser* user = std::exchange(user_, nullptr)) user->fetched(kept);
+    if (FetchHandler* user = std::exchange(user_, nullptr)) user->onFetched(kept);
 }
 
 void Connection::work() {
@@ -113,7 +113,7 @@
     working_ = true;
     std::array<char, 65'536> buffer;
     while (stream_ && mayRead_ && !paused_) {
-        const net::Moved got = stream_->read(buffer);
+        const net::IoResult got = stream_->read(buffer);
         if (got.bytes > 0) {
             if (!user_) {  // bytes that nobody asked for: this connection can't be trusted any more
                 ended_ = unasked_ = true;
@@ -129,14 +129,14 @@
             in_.swap(left);
             if (!tell()) return;
             if (fed.badStatus || in_.size() > limits_.headBytes) {
-                fail(Failed::BadAnswer);
+                fail(FetchError::BadAnswer);
                 if (!*alive) return;
                 break;
             }
             if (user_ && parser_ && parser_->done()) {
                 if (parser_->response().status / 100 == 1) {  // interim: the answer is still to come
                     parser_ = std::make_unique<Parser>(Parser::Kind::Response, limits_,
-                                                       static_cast<ParseUser&>(*this));
+                                                       static_cast<ParserHandler&>(*this));
                     headTold_ = false;
                     continue;
                 }
@@ -149,30 +149,32 @@
             continue;
         }
         mayRead_ = false;
-        if (got.then == net::Moved::Then::Again) break;
+        if (got.status == net::IoResult::Status::WouldBlock) break;
         if (!user_) {
             ended_ = true;
             stream_.reset();
             break;
         }
-        if (got.then == net::Moved::Then::Ended &&
+        if (got.status == net::IoResult::Status::EndOfStream &&
             parser_->ended()) {  // an answer that ends with the connection
             if (!tell()) return;
             working_ = false;
             finished(false);
             return;
         }
-        fail(gotAny_ ? Failed::BrokenAnswer : wroteAny_ ? Failed::BrokenOut : Failed::NeverWritten);
+        fail(gotAny_     ? FetchError::BrokenAnswer
+             : wroteAny_ ? FetchError::BrokenOut
+                         : FetchError::NeverWritten);
         if (!*alive) return;
     }
     working_ = false;
 }
 
-void Connection::fail(Failed how) {
+void Connection::fail(FetchError how) {
     connecting_.cancel();
     ended_ = true;
     stream_.reset();
-    if (FetchUser* user = std::exchange(user_, nullptr)) user->failed(how);
+    if (FetchHandler* user = std::exchange(user_, nullptr)) user->onFailed(how);
 }
 
 std::string requestBytes(std::string_view method, std::string_view target, const net::Endpoint& host,
@@ -183,7 +185,7 @@
         const auto byte = static_cast<unsigned char>(c);
         out += byte <= ' ' || byte == 127 ? '_' : c;
     }
-    out += " HTTP/1.1\r\nHost: " + net::text(host) + "\r\n";
+    out += " HTTP/1.1\r\nHost: " + net::toString(host) + "\r\n";
     for (const Field& f : fields.all()) {
         out += f.name;
         out += ": ";
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -12,7 +12,7 @@
 namespace valekeel::http {
 
 // How far a fetch had come when it failed: what that proves is for the caller's own table to say.
-enum class Failed {
+enum class FetchError {
     Refused,       // nobody listens there
     NoConnection,  // no route, no descriptor, or not connected in time
     NeverWritten,  // connected, and broken before a byte of the request was handed to the kernel
@@ -21,24 +21,24 @@
     BadAnswer,     // the answer was no HTTP, or over a limit
 };
 
-class FetchUser {
+class FetchHandler {
   public:
-    virtual ~FetchUser() = default;
-    virtual void answered(const ResponseHead&) = 0;
-    virtual void piece(std::string_view) = 0;
+    virtual ~FetchHandler() = default;
+    virtual void onHead(const ResponseHead&) = 0;
+    virtual void onBody(std::string_view) = 0;
     // The connection may be used again where `kept`. It may be deleted within either of these.
-    virtual void fetched(bool kept) = 0;
-    virtual void failed(Failed) = 0;
+    virtual void onFetched(bool kept) = 0;
+    virtual void onFailed(FetchError) = 0;
 };
 
-class Connection final : net::StreamUser, ParseUser {
+class Connection final : net::StreamHandler, ParserHandler {
   public:
     // Connects at once; the first request may be handed over before it stands.
-    Connection(net::Net&, const net::Endpoint&, const WireLimits&, Micros connectWithin);
+    Connection(net::Net&, const net::Endpoint&, const HttpLimits&, Micros connectWithin);
     ~Connection() override;
 
     // `head` is the request as it goes out, body included. Not while another is out.
-    void fetch(std::string head, bool headOnly, FetchUser&);
+    void fetch(std::string head, bool headOnly, FetchHandler&);
     // Whoever asked wants to hear no more: the stream is closed, and its user is not called again.
     void abandon();
     void pause();  // no more pieces are wanted now: the peer is made to wait
@@ -53,26 +53,26 @@
     bool spokeUnasked() const { return unasked_; }
 
   private:
-    void connected() override;
-    void connectFailed(net::NoStream) override;
-    void readable() override;
-    void writable() override;
-    void headParsed() override {}
-    void bodyParsed(std::string_view piece) override { pieces_ += piece; }
-    void endParsed() override {}
+    void onConnected() override;
+    void onConnectFailed(net::ConnectError) override;
+    void onReadable() override;
+    void onWritable() override;
+    void onHeadParsed() override {}
+    void onBodyParsed(std::string_view piece) override { pieces_ += piece; }
+    void onEndParsed() override {}
     void flush();
     void work();
     bool tell();  // false once this object is gone
     void finished(bool kept);
-    void fail(Failed);
+    void fail(FetchError);
 
     net::Net& net_;
-    WireLimits limits_;
+    HttpLimits limits_;
     std::unique_ptr<net::Stream> stream_;
     net::Timer connecting_;
     std::unique_ptr<Parser> parser_;
     std::string out_, in_, pieces_;
-    FetchUser* user_ = nullptr;
+    FetchHandler* user_ = nullptr;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     int fetches_ = 0;
     Micros idleSince_ = 0;
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -54,7 +54,7 @@
 
 // Named limits; what each one guards is said beside it. Over a limit a request is answered 400, 408, 413, 414
 // or 431 and the connection closed; a response over a limit fails the fetch.
-struct WireLimits {
+struct HttpLimits {
     std::uint32_t headBytes = 16'384;
     std::uint32_t fields = 64;
     std::uint32_t targetBytes = 8'192;
--- a/src/http/parse.cpp
+++ b/src/http/parse.cpp
@@ -21,7 +21,7 @@
 template <bool isRequest>
 class Parser::Core final : public beast::basic_parser<isRequest> {
   public:
-    Core(const WireLimits& limits, RequestHead& request, ResponseHead& response, ParseUser& user)
+    Core(const HttpLimits& limits, RequestHead& request, ResponseHead& response, ParserHandler& user)
         : fieldsAtMost_(limits.fields),
           targetAtMost_(limits.targetBytes),
           request_(request),
@@ -58,20 +58,20 @@
     void on_header_impl(Code&) override {}
     void on_body_init_impl(const boost::optional<std::uint64_t>&, Code&) override {}
     std::size_t on_body_impl(View body, Code&) override {
-        user_.bodyParsed(plain(body));
+        user_.onBodyParsed(plain(body));
         return body.size();
     }
     void on_chunk_header_impl(std::uint64_t, View, Code&) override {}
     std::size_t on_chunk_body_impl(std::uint64_t, View body, Code&) override {
-        user_.bodyParsed(plain(body));
+        user_.onBodyParsed(plain(body));
         return body.size();
     }
-    void on_finish_impl(Code&) override { user_.endParsed(); }
+    void on_finish_impl(Code&) override { user_.onEndParsed(); }
 
     std::size_t fieldsAtMost_, targetAtMost_;
     RequestHead& request_;
     ResponseHead& response_;
-    ParseUser& user_;
+    ParserHandler& user_;
 };
 
 struct Parser::Any {
@@ -83,7 +83,7 @@
     }
 };
 
-Parser::Parser(Kind kind, const WireLimits& limits, ParseUser& user)
+Parser::Parser(Kind kind, const HttpLimits& limits, ParserHandler& user)
     : user_(user), any_(std::make_unique<Any>()) {
     if (kind == Kind::Request)
         any_->request = std::make_unique<Core<true>>(limits, request_, response_, user);
@@ -104,7 +104,7 @@
             if (core.is_header_done() && !headTold_) {
                 headTold_ = true;
                 if (const auto length = core.content_length()) response_.length = *length;
-                user_.headParsed();
+                user_.onHeadParsed();
             }
             if (ec == beast::error::need_more) break;
             if (ec) {
--- a/src/http/parse.hpp
+++ b/src/http/parse.hpp
@@ -13,18 +13,18 @@
 namespace valekeel::http {
 
 // What a parser tells, in order: one head, pieces of body, one end.
-class ParseUser {
+class ParserHandler {
   public:
-    virtual ~ParseUser() = default;
-    virtual void headParsed() = 0;
-    virtual void bodyParsed(std::string_view piece) = 0;
-    virtual void endParsed() = 0;
+    virtual ~ParserHandler() = default;
+    virtual void onHeadParsed() = 0;
+    virtual void onBodyParsed(std::string_view piece) = 0;
+    virtual void onEndParsed() = 0;
 };
 
 class Parser {
   public:
     enum class Kind { Request, Response };
-    Parser(Kind, const WireLimits&, ParseUser&);
+    Parser(Kind, const HttpLimits&, ParserHandler&);
     ~Parser();
 
     struct Fed {
@@ -48,7 +48,7 @@
     template <bool isRequest>
     class Core;
     struct Any;
-    ParseUser& user_;
+    ParserHandler& user_;
     bool headTold_ = false;
     RequestHead request_;
     ResponseHead response_;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-class Server::Conn final : public net::StreamUser, public Exchange, private ParseUser {
+class Server::Conn final : public net::StreamHandler, public Exchange, private ParserHandler {
   public:
     Conn(Server& server, std::uint64_t key, std::unique_ptr<net::Stream> stream)
         : server_(server),
@@ -39,18 +39,18 @@
           peer_(stream->peer()),
           stream_(std::move(stream)),
           guard_(server.net_, [this] { tooSlow(); }) {
-        stream_->handTo(*this);
+        stream_->setHandler(*this);
         freshParser();
         guard_.after(server_.limits_.idleFor);
     }
 
     // ---- what the stream says ----
 
-    void readable() override {
+    void onReadable() override {
         mayRead_ = true;
         work();
     }
-    void writable() override {
+    void onWritable() override {
         if (dead()) return;
         flush();
         if (!dead()) work();
@@ -61,7 +61,7 @@
     const RequestHead& head() const override { return parser_->request(); }
     const std::string& body() const override { return body_; }
     net::Endpoint peer() const override { return peer_; }
-    void heldBy(ExchangeUser* user) override { user_ = user; }
+    void setHandler(ExchangeHandler* user) override { user_ = user; }
 
     void respond(int status, const Fields& fields, std::string_view body) override {
         if (state_ != State::Owed) return;
@@ -88,9 +88,9 @@
     void send(std::string_view bytes) override {
         if (state_ != State::Sending || bytes.empty() || dead()) return;
         if (!chunked_ && unsent() == 0) {  // the usual case of a relay: nothing is copied
-            const net::Moved put = stream_->write(bytes);
+            const net::IoResult put = stream_->write(bytes);
             bytes.remove_prefix(put.bytes);
-            if (put.then == net::Moved::Then::Broken) return die();
+            if (put.status == net::IoResult::Status::Broken) return die();
             if (bytes.empty()) return;
         }
         if (chunked_) {
@@ -131,13 +131,13 @@
   private:
     enum class State { Reading, Owed, Sending, Done };
 
-    void headParsed() override {}
-    void bodyParsed(std::string_view piece) override { body_ += piece; }
-    void endParsed() override {}
+    void onHeadParsed() override {}
+    void onBodyParsed(std::string_view piece) override { body_ += piece; }
+    void onEndParsed() override {}
 
     void freshParser() {
-        parser_ =
-            std::make_unique<Parser>(Parser::Kind::Request, server_.limits_, static_cast<ParseUser&>(*this));
+        parser_ = std::make_unique<Parser>(Parser::Kind::Request, server_.limits_,
+                                           static_cast<ParserHandler&>(*this));
         body_.clear();
         started_ = false;
         state_ = State::Reading;
@@ -164,7 +164,7 @@
         if (state_ == State::Done) {
             if (unsent() > 0) return;
             if (!keep_) {
-                stream_->finishWriting();
+                stream_->shutdownWrite();
                 die();
                 return;
             }
@@ -190,7 +190,7 @@
         if (parser_->done()) {
             state_ = State::Owed;
             guard_.cancel();
-            server_.handler_.asked(*this);
+            server_.handler_.onRequest(*this);
             if (!dead() && state_ == State::Done) again_ = true;
             return;
         }
@@ -217,20 +217,20 @@
         const std::size_t room = server_.limits_.headBytes + kChunk;
         while (mayRead_ && in_.size() < room) {
             std::array<char, kChunk> buffer;
-            const net::Moved got = stream_->read(buffer);
+            const net::IoResult got = stream_->read(buffer);
             in_.append(buffer.data(), got.bytes);
-            if (got.then == net::Moved::Then::More) {
+            if (got.status == net::IoResult::Status::Ready) {
                 if (state_ == State::Reading) return;
                 continue;
             }
             mayRead_ = false;
-            if (got.then == net::Moved::Then::Ended) peerEnded_ = true;
-            if (got.then == net::Moved::Then::Broken) die();
+            if (got.status == net::IoResult::Status::EndOfStream) peerEnded_ = true;
+            if (got.status == net::IoResult::Status::Broken) die();
         }
     }
 
     void refuse(int status, const std::string& why) {
-        server_.handler_.malformed(peer_, status, why);
+        server_.handler_.onMalformedRequest(peer_, status, why);
         keep_ = false;
         out_ += headOf(status, {}, 0, false);
         state_ = State::Done;
@@ -242,13 +242,13 @@
         if (dead()) return;
         const std::size_t before = unsent();
         while (unsent() > 0) {
-            const net::Moved put = stream_->write(std::string_view(out_).substr(sent_));
+            const net::IoResult put = stream_->write(std::string_view(out_).substr(sent_));
             sent_ += put.bytes;
-            if (put.then == net::Moved::Then::Broken) {
+            if (put.status == net::IoResult::Status::Broken) {
                 die();
                 return;
             }
-            if (put.then == net::Moved::Then::Again) break;
+            if (put.status == net::IoResult::Status::WouldBlock) break;
         }
         const bool moved = unsent() < before;
         if (unsent() == 0) {
@@ -262,7 +262,7 @@
         if (unsent() > 0 && (moved || !guard_.isSet())) guard_.after(server_.limits_.stalledFor);
         if (unsent() == 0 && (state_ == State::Owed || state_ == State::Sending)) guard_.cancel();
         if (state_ == State::Sending && user_ && moved && unsent() < server_.limits_.outBytes / 2)
-            user_->drained();
+            user_->onDrained();
     }
 
     void tooSlow() {
@@ -280,7 +280,7 @@
         if (dead()) return;
         guard_.cancel();
         stream_.reset();
-        if (ExchangeUser* user = std::exchange(user_, nullptr)) user->gone();
+        if (ExchangeHandler* user = std::exchange(user_, nullptr)) user->onConnectionLost();
         state_ = State::Done;
         server_.drop(*this);
     }
@@ -298,12 +298,12 @@
     std::string in_, out_, body_;
     std::size_t sent_ = 0;
     State state_ = State::Reading;
-    ExchangeUser* user_ = nullptr;
+    ExchangeHandler* user_ = nullptr;
     bool mayRead_ = false, peerEnded_ = false, keep_ = true, started_ = false;
     bool working_ = false, again_ = false, chunked_ = false;
 };
 
-Server::Server(net::Net& net, const net::Endpoint& at, const WireLimits& limits, Handler& handler)
+Server::Server(net::Net& net, const net::Endpoint& at, const HttpLimits& limits, Handler& handler)
     : net_(net), limits_(limits), handler_(handler), bury_(net, [this] { dead_.clear(); }) {
     listener_ = net_.listen(at, *this);
     at_ = listener_->at();
@@ -314,9 +314,9 @@
     if (!listener_) listener_ = net_.listen(at_, *this);
 }
 
-void Server::accepted(std::unique_ptr<net::Stream> stream) {
+void Server::onAccepted(std::unique_ptr<net::Stream> stream) {
     const net::Endpoint peer = stream->peer();
-    if (open_.size() >= limits_.connections || finishing_ || !handler_.admits(peer)) {
+    if (open_.size() >= limits_.connections || finishing_ || !handler_.acceptsConnection(peer)) {
         stream->reset();
         return;
     }
@@ -327,7 +327,7 @@
 void Server::drop(Conn& conn) {
     const auto it = open_.find(conn.key);
     if (it == open_.end()) return;
-    handler_.closed(conn.peer());
+    handler_.onConnectionClosed(conn.peer());
     dead_.push_back(std::move(it->second));  // it may be on the stack: buried a moment later
     open_.erase(it);
     bury_.soon();
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -14,11 +14,11 @@
 namespace valekeel::http {
 
 // Who answers a request hears of its connection, until the answer is finished.
-class ExchangeUser {
+class ExchangeHandler {
   public:
-    virtual ~ExchangeUser() = default;
-    virtual void drained() {}  // less than half of the out buffer is filled again
-    virtual void gone() = 0;   // the connection is lost; the exchange must not be touched any more
+    virtual ~ExchangeHandler() = default;
+    virtual void onDrained() {}           // less than half of the out buffer is filled again
+    virtual void onConnectionLost() = 0;  // the connection is lost; the exchange must not be touched any more
 };
 
 // One request that is owed an answer.
@@ -28,7 +28,7 @@
     virtual const RequestHead& head() const = 0;
     virtual const std::string& body() const = 0;
     virtual net::Endpoint peer() const = 0;
-    virtual void heldBy(ExchangeUser*) = 0;
+    virtual void setHandler(ExchangeHandler*) = 0;
     // A whole answer; the exchange is over with it.
     virtual void respond(int status, const Fields&, std::string_view body) = 0;
     // An answer in pieces, of a length that is known.
@@ -46,18 +46,18 @@
   public:
     virtual ~Handler() = default;
     // Answered now or later, exactly once.
-    virtual void asked(Exchange&) = 0;
+    virtual void onRequest(Exchange&) = 0;
     // A connection came; false turns it away. `open` counts it.
-    virtual bool admits(const net::Endpoint&) { return true; }
-    virtual void closed(const net::Endpoint&) {}
+    virtual bool acceptsConnection(const net::Endpoint&) { return true; }
+    virtual void onConnectionClosed(const net::Endpoint&) {}
     // A request that could not be read was answered by `status`.
-    virtual void malformed(const net::Endpoint&, int /*status*/, const std::string& /*why*/) {}
+    virtual void onMalformedRequest(const net::Endpoint&, int /*status*/, const std::string& /*why*/) {}
 };
 
-class Server : net::ListenerUser {
+class Server : net::ListenerHandler {
   public:
     // Throws std::runtime_error if it can't listen there.
-    Server(net::Net&, const net::Endpoint&, const WireLimits&, Handler&);
+    Server(net::Net&, const net::Endpoint&, const HttpLimits&, Handler&);
     ~Server() override;
     net::Endpoint at() const { return at_; }
     std::size_t connections() const { return open_.size(); }
@@ -69,10 +69,10 @@
 
   private:
     class Conn;
-    void accepted(std::unique_ptr<net::Stream>) override;
+    void onAccepted(std::unique_ptr<net::Stream>) override;
     void drop(Conn&);
     net::Net& net_;
-    WireLimits limits_;
+    HttpLimits limits_;
     Handler& handler_;
     net::Endpoint at_;
     std::unique_ptr<net::Listener> listener_;
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -4,7 +4,7 @@
 
 namespace valekeel::net {
 
-std::optional<Endpoint> endpointOf(std::string_view text) {
+std::optional<Endpoint> parseEndpoint(std::string_view text) {
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos || colon + 1 == text.size()) return std::nullopt;
     std::string_view host = text.substr(0, colon), port = text.substr(colon + 1);
@@ -20,7 +20,7 @@
     return out;
 }
 
-std::string text(const Endpoint& at) {
+std::string toString(const Endpoint& at) {
     const std::string ip = at.ip.to_string();
     return (at.ip.is_v6() ? "[" + ip + "]" : ip) + ":" + std::to_string(at.port);
 }
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -24,7 +24,7 @@
 };
 
 // "127.0.0.1:8080" or "[::1]:8080"; port 0 lets the kernel choose. Empty if it is neither.
-std::optional<Endpoint> endpointOf(std::string_view text);
-std::string text(const Endpoint&);
+std::optional<Endpoint> parseEndpoint(std::string_view text);
+std::string toString(const Endpoint&);
 
 }  // namespace valekeel::net
--- a/src/net/epoll.cpp
+++ b/src/net/epoll.cpp
@@ -75,7 +75,7 @@
 
 class EpollStream final : public Stream, private EpollNet::Handler {
   public:
-    EpollStream(EpollNet& net, int fd, const Endpoint& peer, bool connecting, StreamUser* user)
+    EpollStream(EpollNet& net, int fd, const Endpoint& peer, bool connecting, StreamHandler* user)
         : net_(net), fd_(fd), peer_(peer), connecting_(connecting), user_(user) {
         if (fd_ >= 0) ticket_ = net_.enter(fd_, *this, EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET);
     }
@@ -85,34 +85,35 @@
         ::close(fd_);
     }
 
-    Moved read(std::span<char> into) override {
-        if (fd_ < 0) return {0, Moved::Then::Broken};
+    IoResult read(std::span<char> into) override {
+        if (fd_ < 0) return {0, IoResult::Status::Broken};
         for (;;) {
             const ssize_t got = ::recv(fd_, into.data(), into.size(), 0);
-            if (got > 0) return {static_cast<std::size_t>(got), Moved::Then::More};
-            if (got == 0) return {0, Moved::Then::Ended};
+            if (got > 0) return {static_cast<std::size_t>(got), IoResult::Status::Ready};
+            if (got == 0) return {0, IoResult::Status::EndOfStream};
             if (errno == EINTR) continue;
-            return {0, errno == EAGAIN || errno == EWOULDBLOCK ? Moved::Then::Again : Moved::Then::Broken};
+            return {0, errno == EAGAIN || errno == EWOULDBLOCK ? IoResult::Status::WouldBlock
+                                                               : IoResult::Status::Broken};
         }
     }
 
-    Moved write(std::string_view bytes) override {
-        if (fd_ < 0) return {0, Moved::Then::Broken};
+    IoResult write(std::string_view bytes) override {
+        if (fd_ < 0) return {0, IoResult::Status::Broken};
         std::size_t done = 0;
         while (done < bytes.size()) {
             const ssize_t put = ::send(fd_, bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL);
             if (put >= 0) {
                 done += static_cast<std::size_t>(put);
             } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
-                return {done, Moved::Then::Again};
+                return {done, IoResult::Status::WouldBlock};
             } else if (errno != EINTR) {
-                return {done, Moved::Then::Broken};
+                return {done, IoResult::Status::Broken};
             }
         }
-        return {done, Moved::Then::More};
+        return {done, IoResult::Status::Ready};
     }
 
-    void finishWriting() override {
+    void shutdownWrite() override {
         if (fd_ >= 0) ::shutdown(fd_, SHUT_WR);
     }
     void reset() override {
@@ -124,7 +125,7 @@
         fd_ = -1;
     }
     Endpoint peer() const override { return peer_; }
-    void handTo(StreamUser& user) override { user_ = &user; }
+    void setHandler(StreamHandler& user) override { user_ = &user; }
 
   private:
     void happened(std::uint32_t events) override {
@@ -140,25 +141,26 @@
             socklen_t size = sizeof wrong;
             ::getsockopt(fd_, SOL_SOCKET, SO_ERROR, &wrong, &size);
             if (wrong) {
-                user_->connectFailed(wrong == ECONNREFUSED ? NoStream::Refused : NoStream::Unreachable);
+                user_->onConnectFailed(wrong == ECONNREFUSED ? ConnectError::Refused
+                                                             : ConnectError::Unreachable);
                 return;
             }
             connecting_ = false;
-            user_->connected();
+            user_->onConnected();
             if (gone()) return;
         }
         if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-            user_->readable();
+            user_->onReadable();
             if (gone()) return;
         }
-        if (events & EPOLLOUT) user_->writable();
+        if (events & EPOLLOUT) user_->onWritable();
     }
 
     EpollNet& net_;
     int fd_;
     Endpoint peer_;
     bool connecting_;
-    StreamUser* user_;
+    StreamHandler* user_;
     std::uint64_t ticket_ = 0;
 };
 
@@ -167,20 +169,20 @@
 // A connect that failed before it began is told a moment later, as all other failures are.
 class StillBorn final : public Stream {
   public:
-    StillBorn(Net& net, const Endpoint& peer, NoStream why, StreamUser& user)
-        : peer_(peer), user_(&user), tell_(net, [this, why] { user_->connectFailed(why); }) {
+    StillBorn(Net& net, const Endpoint& peer, ConnectError why, StreamHandler& user)
+        : peer_(peer), user_(&user), tell_(net, [this, why] { user_->onConnectFailed(why); }) {
         tell_.after(0);
     }
-    Moved read(std::span<char>) override { return {0, Moved::Then::Broken}; }
-    Moved write(std::string_view) override { return {0, Moved::Then::Broken}; }
-    void finishWriting() override {}
+    IoResult read(std::span<char>) override { return {0, IoResult::Status::Broken}; }
+    IoResult write(std::string_view) override { return {0, IoResult::Status::Broken}; }
+    void shutdownWrite() override {}
     void reset() override {}
     Endpoint peer() const override { return peer_; }
-    void handTo(StreamUser& user) override { user_ = &user; }
+    void setHandler(StreamHandler& user) override { user_ = &user; }
 
   private:
     Endpoint peer_;
-    StreamUser* user_;
+    StreamHandler* user_;
     Timer tell_;
 };
 
@@ -188,10 +190,10 @@
 
 class EpollListener final : public Listener, private EpollNet::Handler {
   public:
-    EpollListener(EpollNet& net, const Endpoint& at, ListenerUser& user)
+    EpollListener(EpollNet& net, const Endpoint& at, ListenerHandler& user)
         : net_(net), user_(user), again_(net, [this] { takeAll(); }) {
         const auto fail = [&](const char* what) {
-            const std::string why = std::string(what) + " " + text(at) + ": " + std::strerror(errno);
+            const std::string why = std::string(what) + " " + toString(at) + ": " + std::strerror(errno);
             if (fd_ >= 0) ::close(fd_);
             throw std::runtime_error(why);
         };
@@ -211,7 +213,7 @@
         ::close(fd_);
     }
     Endpoint at() const override { return at_; }
-    void takeWaiting() override { takeAll(); }
+    void acceptPending() override { takeAll(); }
 
   private:
     void happened(std::uint32_t) override { takeAll(); }
@@ -231,13 +233,13 @@
                 return;
             }
             dontDelay(fd);
-            user_.accepted(std::make_unique<EpollStream>(net_, fd, fromRaw(raw), false, nullptr));
+            user_.onAccepted(std::make_unique<EpollStream>(net_, fd, fromRaw(raw), false, nullptr));
             if (net.slots_[ticket & 0xffffffff].generation != ticket >> 32) return;
         }
     }
 
     EpollNet& net_;
-    ListenerUser& user_;
+    ListenerHandler& user_;
     Timer again_;
     int fd_ = -1;
     Endpoint at_;
@@ -246,12 +248,12 @@
 
 class EpollDatagrams final : public Datagrams, private EpollNet::Handler {
   public:
-    EpollDatagrams(EpollNet& net, const Endpoint& at, DatagramUser& user) : net_(net), user_(user) {
+    EpollDatagrams(EpollNet& net, const Endpoint& at, DatagramHandler& user) : net_(net), user_(user) {
         fd_ = ::socket(at.ip.is_v6() ? AF_INET6 : AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
         sockaddr_storage raw;
         const socklen_t size = toRaw(at, raw);
         if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&raw), size) < 0) {
-            const std::string why = "cannot take datagrams at " + text(at) + ": " + std::strerror(errno);
+            const std::string why = "cannot take datagrams at " + toString(at) + ": " + std::strerror(errno);
             if (fd_ >= 0) ::close(fd_);
             throw std::runtime_error(why);
         }
@@ -274,7 +276,7 @@
         ::sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<sockaddr*>(&raw), size);
     }
 
-    Micros waited() const override { return waited_; }
+    Micros queueingDelay() const override { return waited_; }
 
   private:
     // So many a turn: a flood must not keep the loop from its timers and from other sockets.
@@ -302,7 +304,7 @@
             if (got < 0) return;
             --left;
             waited_ = waitedIn(message);
-            user_.received(fromRaw(raw), std::string_view(buffer.data(), static_cast<std::size_t>(got)));
+            user_.onDatagram(fromRaw(raw), std::string_view(buffer.data(), static_cast<std::size_t>(got)));
             if (net.slots_[ticket & 0xffffffff].generation != ticket >> 32) return;
         }
         net.again_.push_back(ticket);
@@ -319,7 +321,7 @@
     }
 
     EpollNet& net_;
-    DatagramUser& user_;
+    DatagramHandler& user_;
     int fd_ = -1;
     Endpoint at_;
     std::uint64_t ticket_ = 0;
@@ -403,26 +405,26 @@
     free_.push_back(static_cast<std::uint32_t>(ticket & 0xffffffff));
 }
 
-std::unique_ptr<Stream> EpollNet::connect(const Endpoint& to, StreamUser& user) {
+std::unique_ptr<Stream> EpollNet::connect(const Endpoint& to, StreamHandler& user) {
     const int fd =
         ::socket(to.ip.is_v6() ? AF_INET6 : AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd < 0) return std::make_unique<StillBorn>(*this, to, NoStream::OutOfDescriptors, user);
+    if (fd < 0) return std::make_unique<StillBorn>(*this, to, ConnectError::OutOfDescriptors, user);
     dontDelay(fd);
     sockaddr_storage raw;
     const socklen_t size = toRaw(to, raw);
     if (::connect(fd, reinterpret_cast<sockaddr*>(&raw), size) < 0 && errno != EINPROGRESS) {
-        const NoStream why = errno == ECONNREFUSED ? NoStream::Refused : NoStream::Unreachable;
+        const ConnectError why = errno == ECONNREFUSED ? ConnectError::Refused : ConnectError::Unreachable;
         ::close(fd);
         return std::make_unique<StillBorn>(*this, to, why, user);
     }
     return std::make_unique<EpollStream>(*this, fd, to, true, &user);
 }
 
-std::unique_ptr<Listener> EpollNet::listen(const Endpoint& at, ListenerUser& user) {
+std::unique_ptr<Listener> EpollNet::listen(const Endpoint& at, ListenerHandler& user) {
     return std::make_unique<EpollListener>(*this, at, user);
 }
 
-std::unique_ptr<Datagrams> EpollNet::bind(const Endpoint& at, DatagramUser& user) {
+std::unique_ptr<Datagrams> EpollNet::bind(const Endpoint& at, DatagramHandler& user) {
     return std::make_unique<EpollDatagrams>(*this, at, user);
 }
 
@@ -430,7 +432,7 @@
     signals_ = std::make_unique<SignalHandler>(*this, signals, std::move(heard));
 }
 
-void EpollNet::turn(Micros atMost) {
+void EpollNet::runOnce(Micros atMost) {
     Micros wait = atMost;
     now_ = clock();
     if (!again_.empty()) wait = 0;
@@ -452,12 +454,12 @@
             slot.handler->happened(events[static_cast<std::size_t>(i)].events);
     }
     now_ = clock();
-    while (WheelNode* node = wheel_.due(now_)) Timer::fire(*node);
+    while (TimerNode* node = wheel_.due(now_)) Timer::fire(*node);
 }
 
 void EpollNet::run() {
     running_ = true;
-    while (running_) turn(kSecond);
+    while (running_) runOnce(kSecond);
 }
 
 std::size_t raiseDescriptorLimit() {
--- a/src/net/epoll.hpp
+++ b/src/net/epoll.hpp
@@ -16,14 +16,14 @@
 
     Micros now() const override { return now_; }
     Micros wallNow() const override;
-    Wheel& wheel() override { return wheel_; }
-    std::unique_ptr<Stream> connect(const Endpoint&, StreamUser&) override;
-    std::unique_ptr<Listener> listen(const Endpoint&, ListenerUser&) override;
-    std::unique_ptr<Datagrams> bind(const Endpoint&, DatagramUser&) override;
-    std::uint64_t draw() override { return chance_(); }
-
-    void run();                // until stop()
-    void turn(Micros atMost);  // one round of events and timers
+    TimerWheel& timerWheel() override { return wheel_; }
+    std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) override;
+    std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) override;
+    std::unique_ptr<Datagrams> bind(const Endpoint&, DatagramHandler&) override;
+    std::uint64_t randomBits() override { return chance_(); }
+
+    void run();                   // until stop()
+    void runOnce(Micros atMost);  // one round of events and timers
     void stop() { running_ = false; }
     // These signals come as calls, between events.
     void onSignals(const std::vector<int>& signals, std::function<void(int)> heard);
@@ -48,7 +48,7 @@
     };
     int epoll_ = -1;
     Micros now_;
-    Wheel wheel_;
+    TimerWheel wheel_;
     std::mt19937_64 chance_;
     std::vector<Slot> slots_;
     std::vector<std::uint32_t> free_;
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -17,47 +17,47 @@
 
 namespace valekeel::net {
 
-struct Moved {
-    enum class Then {
-        More,    // it may go on at once
-        Again,   // wait for readable() or writable()
-        Ended,   // the peer has finished writing
-        Broken,  // reset, or never connected; nothing more comes
+struct IoResult {
+    enum class Status {
+        Ready,        // it may go on at once
+        WouldBlock,   // wait for readable() or writable()
+        EndOfStream,  // the peer has finished writing
+        Broken,       // reset, or never connected; nothing more comes
     };
     std::size_t bytes = 0;
-    Then then = Then::More;
+    Status status = Status::Ready;
 };
 
 // How a connect ended that did not succeed.
-enum class NoStream { Refused, Unreachable, OutOfDescriptors };
+enum class ConnectError { Refused, Unreachable, OutOfDescriptors };
 
 // Called edge by edge: after readable() one must read until Again, or remember that more may lie there.
 // Whatever is called may delete the stream.
-class StreamUser {
+class StreamHandler {
   public:
-    virtual ~StreamUser() = default;
-    virtual void connected() {}
-    virtual void connectFailed(NoStream) {}
-    virtual void readable() = 0;
-    virtual void writable() = 0;
+    virtual ~StreamHandler() = default;
+    virtual void onConnected() {}
+    virtual void onConnectFailed(ConnectError) {}
+    virtual void onReadable() = 0;
+    virtual void onWritable() = 0;
 };
 
 // One byte stream; deleting it closes it.
 class Stream {
   public:
     virtual ~Stream() = default;
-    virtual Moved read(std::span<char>) = 0;
-    virtual Moved write(std::string_view) = 0;
-    virtual void finishWriting() = 0;  // half-close: the peer reads to the end
+    virtual IoResult read(std::span<char>) = 0;
+    virtual IoResult write(std::string_view) = 0;
+    virtual void shutdownWrite() = 0;  // half-close: the peer reads to the end
     virtual void reset() = 0;          // the peer sees a reset
     virtual Endpoint peer() const = 0;
-    virtual void handTo(StreamUser&) = 0;
+    virtual void setHandler(StreamHandler&) = 0;
 };
 
-class ListenerUser {
+class ListenerHandler {
   public:
-    virtual ~ListenerUser() = default;
-    virtual void accepted(std::unique_ptr<Stream>) = 0;  // handTo() must be called before it returns
+    virtual ~ListenerHandler() = default;
+    virtual void onAccepted(std::unique_ptr<Stream>) = 0;  // handTo() must be called before it returns
 };
 
 class Listener {
@@ -65,13 +65,13 @@
     virtual ~Listener() = default;
     virtual Endpoint at() const = 0;
     // Hands out all that already wait in the kernel: deleting a listener resets those.
-    virtual void takeWaiting() {}
+    virtual void acceptPending() {}
 };
 
-class DatagramUser {
+class DatagramHandler {
   public:
-    virtual ~DatagramUser() = default;
-    virtual void received(const Endpoint& from, std::string_view bytes) = 0;
+    virtual ~DatagramHandler() = default;
+    virtual void onDatagram(const Endpoint& from, std::string_view bytes) = 0;
 };
 
 // Datagrams in and out of one place. What can't be sent now is lost, as any datagram may be.
@@ -81,7 +81,7 @@
     virtual Endpoint at() const = 0;
     virtual void send(const Endpoint& to, std::string_view bytes) = 0;
     // How long the one that is being handed out lay unread, as far as is known.
-    virtual Micros waited() const { return 0; }
+    virtual Micros queueingDelay() const { return 0; }
 };
 
 class Net {
@@ -89,23 +89,24 @@
     virtual ~Net() = default;
     virtual Micros now() const = 0;      // never goes back; of one turn of the loop
     virtual Micros wallNow() const = 0;  // since 1970, for what other machines say
-    virtual Wheel& wheel() = 0;
+    virtual TimerWheel& timerWheel() = 0;
     // Fails later, through connectFailed(); never at once.
-    virtual std::unique_ptr<Stream> connect(const Endpoint&, StreamUser&) = 0;
+    virtual std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) = 0;
     // Throws std::runtime_error, naming the address, if it can't be had.
-    virtual std::unique_ptr<Listener> listen(const Endpoint&, ListenerUser&) = 0;
-    virtual std::unique_ptr<Datagrams> bind(const Endpoint&, DatagramUser&) = 0;  // throws as listen() does
-    virtual std::uint64_t draw() = 0;  // for ids; decisions have generators of their own
+    virtual std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) = 0;
+    virtual std::unique_ptr<Datagrams> bind(const Endpoint&,
+                                            DatagramHandler&) = 0;  // throws as listen() does
+    virtual std::uint64_t randomBits() = 0;  // for ids; decisions have generators of their own
 };
 
 // A timer belongs to the object that set it and dies with it.
-class Timer : private WheelNode {
+class Timer : private TimerNode {
   public:
     Timer(Net& net, std::function<void()> due) : net_(net), due_(std::move(due)) {}
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
     ~Timer() { cancel(); }
-    void at(Micros when) { net_.wheel().add(*this, when); }
+    void at(Micros when) { net_.timerWheel().add(*this, when); }
     void after(Micros wait) { at(net_.now() + wait); }
     // At the next turn. Asked for again before that it is not put off: else what is always asked for never
     // comes.
@@ -113,11 +114,11 @@
         if (!linked()) after(0);
     }
     void cancel() {
-        if (linked()) net_.wheel().remove(*this);
+        if (linked()) net_.timerWheel().remove(*this);
     }
     bool isSet() const { return linked(); }
     // By the loop alone, of a node that the wheel handed out.
-    static void fire(WheelNode& node) { static_cast<Timer&>(node).due_(); }
+    static void fire(TimerNode& node) { static_cast<Timer&>(node).due_(); }
 
   private:
     Net& net_;
--- a/src/net/process.cpp
+++ b/src/net/process.cpp
@@ -85,13 +85,13 @@
     ::kill(id_, SIGKILL);
     reap(true);
 }
-void Process::askToStop() {
+void Process::requestStop() {
     if (id_ >= 0) ::kill(id_, SIGTERM);
 }
-void Process::standStill() {
+void Process::pause() {
     if (id_ >= 0) ::kill(id_, SIGSTOP);
 }
-void Process::goOn() {
+void Process::resume() {
     if (id_ >= 0) ::kill(id_, SIGCONT);
 }
 
@@ -111,7 +111,7 @@
     return id_ < 0 ? 0 : residentOf(std::to_string(id_));
 }
 
-void endWithParent() {
+void killOnParentExit() {
     const pid_t parent = ::getppid();
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent || parent == 1) ::kill(::getpid(), SIGKILL);  // it ended in between
--- a/src/net/process.hpp
+++ b/src/net/process.hpp
@@ -19,9 +19,9 @@
 
     bool running();
     void kill();                // at once
-    void askToStop();           // SIGTERM
-    void standStill();          // SIGSTOP
-    void goOn();                // SIGCONT
+    void requestStop();         // SIGTERM
+    void pause();               // SIGSTOP
+    void resume();              // SIGCONT
     double cpuSeconds() const;  // used so far, or at its end
     long memoryKb() const;      // resident, while it runs
 
@@ -32,7 +32,7 @@
 };
 
 // From now on this process is killed when the one that started it ends; at once if it has ended already.
-void endWithParent();
+void killOnParentExit();
 std::string ownProgram();  // path of the program that runs
 double ownCpuSeconds();
 long ownMemoryKb();
--- a/src/net/timer_wheel.cpp
+++ b/src/net/timer_wheel.cpp
@@ -5,49 +5,49 @@
 
 namespace valekeel::net {
 
-Wheel::Wheel(Micros now) : tick_(static_cast<std::uint64_t>(now) >> kTickShift) {
+TimerWheel::TimerWheel(Micros now) : tick_(static_cast<std::uint64_t>(now) >> kTickShift) {
     for (Level& level : levels_)
-        for (WheelNode& head : level.heads) head.prev = head.next = &head;
+        for (TimerNode& head : level.heads) head.prev = head.next = &head;
     ready_.prev = ready_.next = &ready_;
 }
 
-Wheel::~Wheel() {
+TimerWheel::~TimerWheel() {
     // Timers may outlive the wheel by a moment at the end of a program: they must not reach back into it.
-    const auto clear = [](WheelNode& head) {
+    const auto clear = [](TimerNode& head) {
         while (head.next != &head) unlink(*head.next);
     };
     for (Level& level : levels_)
-        for (WheelNode& head : level.heads) clear(head);
+        for (TimerNode& head : level.heads) clear(head);
     clear(ready_);
 }
 
-void Wheel::append(WheelNode& head, WheelNode& node) {
+void TimerWheel::append(TimerNode& head, TimerNode& node) {
     node.prev = head.prev;
     node.next = &head;
     head.prev->next = &node;
     head.prev = &node;
 }
 
-void Wheel::unlink(WheelNode& node) {
+void TimerWheel::unlink(TimerNode& node) {
     node.prev->next = node.next;
     node.next->prev = node.prev;
     node.prev = node.next = nullptr;
 }
 
-void Wheel::add(WheelNode& node, Micros at) {
+void TimerWheel::add(TimerNode& node, Micros at) {
     if (node.linked()) remove(node);
     node.at = std::max<Micros>(at, 0);
     place(node);
     ++size_;
 }
 
-void Wheel::remove(WheelNode& node) {
+void TimerWheel::remove(TimerNode& node) {
     if (!node.linked()) return;
     unlink(node);  // a slot that is empty now keeps its bit; first() and due() pass over it
     --size_;
 }
 
-void Wheel::place(WheelNode& node) {
+void TimerWheel::place(TimerNode& node) {
     const std::uint64_t tick = std::max(tickUp(node.at), tick_);
     if (tick == tick_) {
         append(ready_, node);
@@ -65,7 +65,7 @@
     levels_[static_cast<std::size_t>(level)].taken |= std::uint64_t{1} << index;
 }
 
-std::optional<Wheel::Slot> Wheel::first() const {
+std::optional<TimerWheel::Slot> TimerWheel::first() const {
     for (int level = 0; level < kLevels; ++level) {
         const std::uint64_t taken = levels_[static_cast<std::size_t>(level)].taken;
         if (!taken) continue;
@@ -79,18 +79,18 @@
     return std::nullopt;
 }
 
-std::optional<Micros> Wheel::next() const {
+std::optional<Micros> TimerWheel::next() const {
     if (ready_.next != &ready_) return static_cast<Micros>(tick_ << kTickShift);
     const auto slot = first();
     if (!slot) return std::nullopt;
     return static_cast<Micros>(slot->tick << kTickShift);
 }
 
-WheelNode* Wheel::due(Micros now) {
+TimerNode* TimerWheel::due(Micros now) {
     const std::uint64_t until = static_cast<std::uint64_t>(now) >> kTickShift;
     for (;;) {
         if (ready_.next != &ready_) {
-            WheelNode* node = ready_.next;
+            TimerNode* node = ready_.next;
             unlink(*node);
             --size_;
             return node;
@@ -100,16 +100,16 @@
         tick_ = slot->tick;
         Level& level = levels_[static_cast<std::size_t>(slot->level)];
         level.taken &= ~(std::uint64_t{1} << slot->index);
-        WheelNode& head = level.heads[slot->index];
-        WheelNode moved;  // emptied first: what lies beyond the last level may come back to the same slot
+        TimerNode& head = level.heads[slot->index];
+        TimerNode moved;  // emptied first: what lies beyond the last level may come back to the same slot
         moved.prev = moved.next = &moved;
         while (head.next != &head) {
-            WheelNode& node = *head.next;
+            TimerNode& node = *head.next;
             unlink(node);
             append(moved, node);
         }
         while (moved.next != &moved) {
-            WheelNode& node = *moved.next;
+            TimerNode& node = *moved.next;
             unlink(node);
             place(node);
         }
--- a/src/net/timer_wheel.hpp
+++ b/src/net/timer_wheel.hpp
@@ -11,28 +11,28 @@
 
 namespace valekeel::net {
 
-struct WheelNode {  // lies in the object that waits; unlinks itself in O(1)
-    WheelNode* prev = nullptr;
-    WheelNode* next = nullptr;
+struct TimerNode {  // lies in the object that waits; unlinks itself in O(1)
+    TimerNode* prev = nullptr;
+    TimerNode* next = nullptr;
     Micros at = 0;
     bool linked() const { return prev != nullptr; }
 };
 
-class Wheel {
+class TimerWheel {
   public:
-    explicit Wheel(Micros now);
-    Wheel(const Wheel&) = delete;
-    Wheel& operator=(const Wheel&) = delete;
-    ~Wheel();
+    explicit TimerWheel(Micros now);
+    TimerWheel(const TimerWheel&) = delete;
+    TimerWheel& operator=(const TimerWheel&) = delete;
+    ~TimerWheel();
 
-    void add(WheelNode&, Micros at);  // moves it if it waits already
-    void remove(WheelNode&);          // nothing if it doesn't wait
+    void add(TimerNode&, Micros at);  // moves it if it waits already
+    void remove(TimerNode&);          // nothing if it doesn't wait
 
     // When it is worth looking again: not later than the earliest timer, if there is one.
     std::optional<Micros> next() const;
 
     // Takes out one timer that is due, or nothing. Timers of one tick come in the order they were added.
-    WheelNode* due(Micros now);
+    TimerNode* due(Micros now);
 
     std::size_t size() const { return size_; }
 
@@ -41,15 +41,15 @@
     static constexpr std::uint64_t kSlots = 1u << kSlotBits;
     struct Level {
         std::uint64_t taken = 0;
-        std::array<WheelNode, kSlots> heads;
+        std::array<TimerNode, kSlots> heads;
     };
 
     static std::uint64_t tickUp(Micros at) {
         return static_cast<std::uint64_t>(at + (1 << kTickShift) - 1) >> kTickShift;
     }
-    void place(WheelNode&);
-    static void append(WheelNode& head, WheelNode& node);
-    static void unlink(WheelNode& node);
+    void place(TimerNode&);
+    static void append(TimerNode& head, TimerNode& node);
+    static void unlink(TimerNode& node);
     struct Slot {
         int level;
         std::uint64_t index, tick;
@@ -58,7 +58,7 @@
 
     std::uint64_t tick_ = 0;
     std::array<Level, kLevels> levels_;
-    WheelNode ready_;  // of the tick that was reached, not yet handed out
+    TimerNode ready_;  // of the tick that was reached, not yet handed out
     std::size_t size_ = 0;
 };
 
--- a/src/net/virtual.cpp
+++ b/src/net/virtual.cpp
@@ -11,7 +11,7 @@
 struct VirtualWorld::End {
     VirtualNode* node = nullptr;
     Endpoint mine;
-    StreamUser* user = nullptr;
+    StreamHandler* user = nullptr;
     std::weak_ptr<End> peer;
     std::shared_ptr<End> keeps;  // its peer, while the user holds this end
     std::string in;
@@ -31,11 +31,11 @@
     }
     ~StreamHere() override { close(end_->node->crashing || end_->unread() > 0); }
 
-    Moved read(std::span<char> into) override {
+    IoResult read(std::span<char> into) override {
         End& e = *end_;
-        if (e.broken) return {0, Moved::Then::Broken};
+        if (e.broken) return {0, IoResult::Status::Broken};
         const std::size_t n = std::min(into.size(), e.unread());
-        if (n == 0) return {0, e.ended ? Moved::Then::Ended : Moved::Then::Again};
+        if (n == 0) return {0, e.ended ? IoResult::Status::EndOfStream : IoResult::Status::WouldBlock};
         std::copy_n(e.in.data() + e.taken, n, into.data());
         e.taken += n;
         if (e.taken == e.in.size()) {
@@ -48,23 +48,23 @@
             peer->outstanding -= std::min(n, peer->outstanding);
             if (full && peer->wantsToWrite)
                 world_.later(world_.between(*e.node, *peer->node), *peer->node, [peer] {
-                    if (peer->open && std::exchange(peer->wantsToWrite, false)) peer->user->writable();
+                    if (peer->open && std::exchange(peer->wantsToWrite, false)) peer->user->onWritable();
                 });
         }
-        return {n, Moved::Then::More};
+        return {n, IoResult::Status::Ready};
     }
-    Moved write(std::string_view bytes) override {
+    IoResult write(std::string_view bytes) override {
         End& e = *end_;
-        if (e.broken || e.finished) return {0, Moved::Then::Broken};
+        if (e.broken || e.finished) return {0, IoResult::Status::Broken};
         if (!e.connected) {
             e.wantsToWrite = true;
-            return {0, Moved::Then::Again};
+            return {0, IoResult::Status::WouldBlock};
         }
         const auto peer = e.peer.lock();
         const std::size_t n = std::min(bytes.size(), kBuffer - std::min(kBuffer, e.outstanding));
         if (n == 0 && !bytes.empty()) {
             e.wantsToWrite = true;
-            return {0, Moved::Then::Again};
+            return {0, IoResult::Status::WouldBlock};
         }
         e.outstanding += n;
         if (peer)
@@ -77,33 +77,33 @@
                              }
                              if (peer->broken) return;
                              peer->in += text;
-                             peer->user->readable();
+                             peer->user->onReadable();
                          });
         if (n < bytes.size()) {
             e.wantsToWrite = true;
-            return {n, Moved::Then::Again};
+            return {n, IoResult::Status::WouldBlock};
         }
-        return {n, Moved::Then::More};
+        return {n, IoResult::Status::Ready};
     }
-    void finishWriting() override {
+    void shutdownWrite() override {
         if (std::exchange(end_->finished, true)) return;
         tellEnd();
     }
     void reset() override { close(true); }
     Endpoint peer() const override { return end_->peerAt; }
-    void handTo(StreamUser& user) override { end_->user = &user; }
+    void setHandler(StreamHandler& user) override { end_->user = &user; }
 
   private:
     static void breakNow(End& e) {
         if (!e.open || std::exchange(e.broken, true)) return;
-        e.user->readable();
+        e.user->onReadable();
     }
     void tellEnd() {
         const auto peer = end_->peer.lock();
         if (!peer) return;
         world_.later(world_.between(*end_->node, *peer->node), *peer->node, [peer] {
             if (!peer->open || peer->broken || std::exchange(peer->ended, true)) return;
-            peer->user->readable();
+            peer->user->onReadable();
         });
     }
     void close(bool hard) {
@@ -123,7 +123,7 @@
 
 class VirtualWorld::ListenerHere final : public Listener {
   public:
-    ListenerHere(VirtualWorld& world, VirtualNode& node, const Endpoint& at, ListenerUser& user)
+    ListenerHere(VirtualWorld& world, VirtualNode& node, const Endpoint& at, ListenerHandler& user)
         : world(world), node(node), place(at), user(user) {
         world.listeners_[at] = this;
     }
@@ -132,12 +132,12 @@
     VirtualWorld& world;
     VirtualNode& node;
     Endpoint place;
-    ListenerUser& user;
+    ListenerHandler& user;
 };
 
 class VirtualWorld::DatagramsHere final : public Datagrams {
   public:
-    DatagramsHere(VirtualWorld& world, VirtualNode& node, const Endpoint& at, DatagramUser& user)
+    DatagramsHere(VirtualWorld& world, VirtualNode& node, const Endpoint& at, DatagramHandler& user)
         : world(world), node(node), place(at), user(user) {
         world.datagrams_[at] = this;
     }
@@ -153,13 +153,13 @@
             world.later(world.between(node, there) + late, there,
                         [&w = world, from = place, to, text = std::string(bytes)] {
                             const auto who = w.datagrams_.find(to);
-                            if (who != w.datagrams_.end()) who->second->user.received(from, text);
+                            if (who != w.datagrams_.end()) who->second->user.onDatagram(from, text);
                         });
     }
     VirtualWorld& world;
     VirtualNode& node;
     Endpoint place;
-    DatagramUser& user;
+    DatagramHandler& user;
 };
 
 // ================= nodes =================
@@ -175,7 +175,7 @@
     return 1'700'000'000 * kSecond + world_.now() + wallSkew;
 }
 
-void VirtualNode::goOn() {
+void VirtualNode::resume() {
     if (!std::exchange(stands_, false)) return;
     // In their order, before anything that comes later.
     std::deque<std::function<void()>> all;
@@ -183,7 +183,7 @@
     for (auto& what : all) world_.later(0, *this, std::move(what));
 }
 
-std::unique_ptr<Stream> VirtualNode::connect(const Endpoint& to, StreamUser& user) {
+std::unique_ptr<Stream> VirtualNode::connect(const Endpoint& to, StreamHandler& user) {
     VirtualWorld& w = world_;
     const auto mine = std::make_shared<VirtualWorld::End>();
     mine->node = this;
@@ -193,7 +193,7 @@
     const auto refused = [&w, mine](VirtualNode& by) {
         w.later(w.between(by, *mine->node), *mine->node, [mine] {
             if (mine->open && !std::exchange(mine->broken, true))
-                mine->user->connectFailed(NoStream::Refused);
+                mine->user->onConnectFailed(ConnectError::Refused);
         });
     };
     const auto there = w.listeners_.find(to);
@@ -218,23 +218,25 @@
                 if (!mine->open || mine->broken) return;
                 mine->connected = true;
                 mine->wantsToWrite = false;
-                mine->user->connected();
+                mine->user->onConnected();
             });
-            listener->second->user.accepted(std::make_unique<VirtualWorld::StreamHere>(w, other));
+            listener->second->user.onAccepted(std::make_unique<VirtualWorld::StreamHere>(w, other));
         });
     }
     return std::make_unique<VirtualWorld::StreamHere>(w, mine);
 }
 
-std::unique_ptr<Listener> VirtualNode::listen(const Endpoint& at, ListenerUser& user) {
+std::unique_ptr<Listener> VirtualNode::listen(const Endpoint& at, ListenerHandler& user) {
     const Endpoint place = world_.placeFor(at);
-    if (world_.listeners_.count(place)) throw std::runtime_error(text(place) + ": address already in use");
+    if (world_.listeners_.count(place))
+        throw std::runtime_error(toString(place) + ": address already in use");
     return std::make_unique<VirtualWorld::ListenerHere>(world_, *this, place, user);
 }
 
-std::unique_ptr<Datagrams> VirtualNode::bind(const Endpoint& at, DatagramUser& user) {
+std::unique_ptr<Datagrams> VirtualNode::bind(const Endpoint& at, DatagramHandler& user) {
     const Endpoint place = world_.placeFor(at);
-    if (world_.datagrams_.count(place)) throw std::runtime_error(text(place) + ": address already in use");
+    if (world_.datagrams_.count(place))
+        throw std::runtime_error(toString(place) + ": address already in use");
     return std::make_unique<VirtualWorld::DatagramsHere>(world_, *this, place, user);
 }
 
@@ -303,7 +305,7 @@
         now_ = std::max(now_, timerAt);
         bool fired = false;
         on(*whose, [&] {
-            if (WheelNode* node = whose->wheel_.due(now_)) {
+            if (TimerNode* node = whose->wheel_.due(now_)) {
                 Timer::fire(*node);
                 fired = true;
             }
--- a/src/net/virtual.hpp
+++ b/src/net/virtual.hpp
@@ -30,16 +30,16 @@
 
     Micros now() const override;
     Micros wallNow() const override;
-    Wheel& wheel() override { return wheel_; }
-    std::unique_ptr<Stream> connect(const Endpoint&, StreamUser&) override;
-    std::unique_ptr<Listener> listen(const Endpoint&, ListenerUser&) override;
-    std::unique_ptr<Datagrams> bind(const Endpoint&, DatagramUser&) override;
-    std::uint64_t draw() override { return chance_(); }
+    TimerWheel& timerWheel() override { return wheel_; }
+    std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) override;
+    std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) override;
+    std::unique_ptr<Datagrams> bind(const Endpoint&, DatagramHandler&) override;
+    std::uint64_t randomBits() override { return chance_(); }
 
     const std::string& name() const { return name_; }
     // Nothing reaches it and no timer fires until it goes on; then all that waited comes at once.
-    void standStill() { stands_ = true; }
-    void goOn();
+    void pause() { stands_ = true; }
+    void resume();
     bool stands() const { return stands_; }
     // While set, what is deleted here resets: for the end of a process that had no time to say goodbye.
     bool crashing = false;
@@ -53,7 +53,7 @@
     VirtualWorld& world_;
     std::string name_;
     IpAddress ip_;
-    Wheel wheel_;
+    TimerWheel wheel_;
     std::mt19937_64 chance_;
     bool stands_ = false;
     std::deque<std::function<void()>> waits_;
--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -47,7 +47,7 @@
             discovery::ServerListEntry line;
             line.sfu.id = SfuId{idOf(setup::text(one, "instanceId", where), where)};
             line.sfu.standing = standingOf(setup::text(one, "lifecycle", where), where);
-            if (const auto to = net::endpointOf(setup::textOr(one, "hostPort", "", where)))
+            if (const auto to = net::parseEndpoint(setup::textOr(one, "hostPort", "", where)))
                 line.at = *to;
             else if (line.sfu.standing != ServerState::Off)
                 setup::throwInvalid(where, "'hostPort' is no address and port");
@@ -119,14 +119,14 @@
       user_(user),
       silent_(net, [this] { silence(); }),
       again_(net, [this] { open(); }),
-      more_(net, [this] { readable(); }),
+      more_(net, [this] { onReadable(); }),
       wait_(times.again),
       patience_(times.silent) {}
 ChangeLog::~ChangeLog() = default;
 
 void ChangeLog::open() {
     // What lies unread on a connection that is left was told in time, and the next one to ask may not be up.
-    if (stream_) readable();
+    if (stream_) onReadable();
     again_.cancel();
     more_.cancel();
     reader_.reset();
@@ -143,26 +143,26 @@
     wait_ = times_.again;
     patience_ = times_.silent;
     well_ = true;
-    again_.after(static_cast<Micros>(net_.draw() % static_cast<std::uint64_t>(times_.again)));
+    again_.after(static_cast<Micros>(net_.randomBits() % static_cast<std::uint64_t>(times_.again)));
 }
 
-void ChangeLog::connected() {
+void ChangeLog::onConnected() {
     std::array<char, 8> number;
     for (std::size_t i = 0; i < 8; ++i) number[i] = static_cast<char>(last_ >> (56 - 8 * i) & 0xff);
-    const net::Moved put = stream_->write(std::string_view(number.data(), number.size()));
+    const net::IoResult put = stream_->write(std::string_view(number.data(), number.size()));
     if (put.bytes != number.size()) return lost("can't be asked");
     sent_ = true;
     askedAt_ = net_.now();
     silent_.after(patience_);
 }
 
-void ChangeLog::readable() {
+void ChangeLog::onReadable() {
     if (!stream_ || !sent_) return;
     std::array<char, 8192> buffer;
     for (int portion = 0; portion < 16; ++portion) {
-        const net::Moved got = stream_->read(buffer);
-        if (got.then == net::Moved::Then::Again) return;
-        if (got.then != net::Moved::Then::More) return lost("it broke off");
+        const net::IoResult got = stream_->read(buffer);
+        if (got.status == net::IoResult::Status::WouldBlock) return;
+        if (got.status != net::IoResult::Status::Ready) return lost("it broke off");
         gap_ = false;
         const bool readable =
             reader_.feed(std::string_view(buffer.data(), got.bytes),
@@ -215,7 +215,7 @@
     // Only one that has held is asked again at once: guards against a handshake for each word of one that
     // breaks whenever it is asked, times all fronts.
     if (heard_ && net_.now() - askedAt_ >= times_.beat) wait_ = times_.again;
-    const Micros apart = static_cast<Micros>(net_.draw() % static_cast<std::uint64_t>(wait_));
+    const Micros apart = static_cast<Micros>(net_.randomBits() % static_cast<std::uint64_t>(wait_));
     again_.after(wait_ / 2 + apart);  // all fronts may have lost it at once
     wait_ = std::min(2 * wait_, times_.againAtMost);
     if (std::exchange(well_, false)) user_.unreachable(why);
--- a/src/node/changelog.hpp
+++ b/src/node/changelog.hpp
@@ -53,7 +53,7 @@
     virtual void unreachable(const std::string& why) = 0;  // at the first failure: of a start, or since well
 };
 
-class ChangeLog final : private net::StreamUser {
+class ChangeLog final : private net::StreamHandler {
   public:
     ChangeLog(net::Net&, const net::Endpoint&, std::uint64_t last, FrameReader, const ChangeLogTimes&,
               ChangeLogHandler&);
@@ -68,10 +68,10 @@
     void lost(const std::string& why);
     void silence();
     void frame(const ChangeEvent&, bool empty);
-    void connected() override;
-    void connectFailed(net::NoStream) override { lost("no connection"); }
-    void readable() override;
-    void writable() override {}
+    void onConnected() override;
+    void onConnectFailed(net::ConnectError) override { lost("no connection"); }
+    void onReadable() override;
+    void onWritable() override {}
 
     net::Net& net_;
     net::Endpoint at_;
--- a/src/node/line_connection.cpp
+++ b/src/node/line_connection.cpp
@@ -25,46 +25,47 @@
       heardAt_(net.now()),
       usedAt_(net.now()),
       late_(net, [this] { lose(DisconnectReason::NoConnect); }),
-      more_(net, [this] { readable(); }),
+      more_(net, [this] { onReadable(); }),
       unfinished_(net, [this] { stillUnfinished(); }) {}
 
 // ================= lingering close =================
 
-class LingeringCloser::One final : public net::StreamUser {
+class LingeringCloser::One final : public net::StreamHandler {
   public:
     One(LingeringCloser& all, std::unique_ptr<net::Stream> stream, std::string unsent)
         : all_(all),
           stream_(std::move(stream)),
           out_(std::move(unsent)),
           late_(all.net_, [this] { all_.end(*this); }),
-          more_(all.net_, [this] { readable(); }) {
-        stream_->handTo(*this);
+          more_(all.net_, [this] { onReadable(); }) {
+        stream_->setHandler(*this);
         late_.after(all_.limits_.time);
         more_.soon();  // what lies there unread makes no further edge
-        writable();
+        onWritable();
     }
-    void readable() override {
+    void onReadable() override {
         std::array<char, 8192> buffer;
         for (std::size_t left = kPortion; left > 0 && stream_;) {
-            const net::Moved got = stream_->read(buffer);
-            if (got.then == net::Moved::Then::Again) return;
+            const net::IoResult got = stream_->read(buffer);
+            if (got.status == net::IoResult::Status::WouldBlock) return;
             // After the end of its writing it may still read: what is unsent here goes on.
-            if (got.then == net::Moved::Then::Ended && !out_.empty()) return;
+            if (got.status == net::IoResult::Status::EndOfStream && !out_.empty()) return;
             discarded_ += got.bytes;
-            if (got.then != net::Moved::Then::More || discarded_ > all_.limits_.discarded)
+            if (got.status != net::IoResult::Status::Ready || discarded_ > all_.limits_.discarded)
                 return all_.end(*this);
             left -= std::min(left, got.bytes);
         }
         if (stream_) more_.soon();
     }
-    void writable() override {
+    void onWritable() override {
         if (!stream_ || finished_) return;
-        const net::Moved put = stream_->write(out_);
+        const net::IoResult put = stream_->write(out_);
         out_.erase(0, put.bytes);
-        if (put.then == net::Moved::Then::Broken) return more_.soon();  // reading finds it, and ends this
+        if (put.status == net::IoResult::Status::Broken)
+            return more_.soon();  // reading finds it, and ends this
         if (!out_.empty()) return;
         finished_ = true;
-        stream_->finishWriting();
+        stream_->shutdownWrite();
         more_.soon();
     }
     void free() {
@@ -111,7 +112,7 @@
     : LineConnection(net, State::Open, limits, user) {
     lingering_ = &lingering;
     stream_ = std::move(stream);
-    stream_->handTo(*this);
+    stream_->setHandler(*this);
 }
 
 LineConnection::LineConnection(net::Net& net, const net::Endpoint& to, Micros connectWithin,
@@ -137,14 +138,14 @@
 // never from within say(), whose caller is in the middle of something.
 void LineConnection::flush() {
     if (out_.empty() || state_ != State::Open) return;
-    const net::Moved put = stream_->write(out_);
+    const net::IoResult put = stream_->write(out_);
     taken_ += put.bytes;
     out_.erase(0, put.bytes);
     if (out_.empty() && out_.capacity() > 4096) std::string().swap(out_);
-    if (put.then == net::Moved::Then::Broken || out_.size() > limits_.unsent) more_.soon();
+    if (put.status == net::IoResult::Status::Broken || out_.size() > limits_.unsent) more_.soon();
 }
 
-void LineConnection::connected() {
+void LineConnection::onConnected() {
     state_ = State::Open;
     late_.cancel();
     heardAt_ = net_.now();
@@ -152,29 +153,29 @@
     user_.opened();
 }
 
-void LineConnection::connectFailed(net::NoStream why) {
-    lose(why == net::NoStream::Refused            ? DisconnectReason::Refused
-         : why == net::NoStream::OutOfDescriptors ? DisconnectReason::NoSocket
-                                                  : DisconnectReason::NoConnect);
+void LineConnection::onConnectFailed(net::ConnectError why) {
+    lose(why == net::ConnectError::Refused            ? DisconnectReason::Refused
+         : why == net::ConnectError::OutOfDescriptors ? DisconnectReason::NoSocket
+                                                      : DisconnectReason::NoConnect);
 }
 
-void LineConnection::writable() {
+void LineConnection::onWritable() {
     const bool waited = !out_.empty();
     flush();
-    if (waited && canSend()) user_.drained();
+    if (waited && canSend()) user_.onDrained();
 }
 
-void LineConnection::readable() {
+void LineConnection::onReadable() {
     if (state_ != State::Open) return;
     // Guards against a peer that asks on and on and never reads what it is told.
     if (out_.size() > limits_.unsent) return lose(DisconnectReason::Slow);
     std::array<char, 8192> buffer;
     for (std::size_t left = kPortion; left > 0;) {
-        const net::Moved got = stream_->read(buffer);
-        if (got.then == net::Moved::Then::Again) return;
-        if (got.then == net::Moved::Then::Ended)
+        const net::IoResult got = stream_->read(buffer);
+        if (got.status == net::IoResult::Status::WouldBlock) return;
+        if (got.status == net::IoResult::Status::EndOfStream)
             return lose(in_.empty() ? DisconnectReason::Closed : DisconnectReason::Garbled);
-        if (got.then == net::Moved::Then::Broken) return lose(DisconnectReason::Broken);
+        if (got.status == net::IoResult::Status::Broken) return lose(DisconnectReason::Broken);
         heardAt_ = net_.now();
         if (!takeLines(std::string_view(buffer.data(), got.bytes))) return;
         left -= std::min(left, got.bytes);
@@ -218,7 +219,7 @@
 void LineConnection::stillUnfinished() {
     if (++unfinishedLooks_ > 1) return lose(DisconnectReason::Garbled);
     unfinished_.after(kLookAgain);
-    readable();
+    onReadable();
 }
 
 void LineConnection::lose(DisconnectReason how) {
--- a/src/node/line_connection.hpp
+++ b/src/node/line_connection.hpp
@@ -26,7 +26,7 @@
   public:
     virtual ~LineConnectionHandler() = default;
     virtual void opened() {}
-    virtual void drained() {}  // the kernel has taken all that was unsent
+    virtual void onDrained() {}  // the kernel has taken all that was unsent
     // May close the wire, but not delete it before it has returned.
     virtual void line(std::string_view) = 0;
     virtual void gone(DisconnectReason) = 0;  // once, and not after close()
@@ -59,7 +59,7 @@
     net::Timer bury_;
 };
 
-class LineConnection final : private net::StreamUser {
+class LineConnection final : private net::StreamHandler {
   public:
     struct Limits {
         std::size_t line, unsent;
@@ -74,7 +74,7 @@
 
     // Gives the place in the stream at which it begins; what is said after close() is lost.
     std::uint64_t say(std::string_view line);
-    void readNow() { readable(); }  // what lies there already, without waiting for the next turn
+    void readNow() { onReadable(); }  // what lies there already, without waiting for the next turn
     std::uint64_t taken() const { return taken_; }                          // bytes that the kernel has taken
     bool canSend() const { return state_ == State::Open && out_.empty(); }  // the kernel took all so far
     bool isOpen() const { return state_ == State::Open; }
@@ -88,10 +88,10 @@
   private:
     enum class State { Connecting, Open, Closed };
     LineConnection(net::Net&, State, const Limits&, LineConnectionHandler&);
-    void connected() override;
-    void connectFailed(net::NoStream) override;
-    void readable() override;
-    void writable() override;
+    void onConnected() override;
+    void onConnectFailed(net::ConnectError) override;
+    void onReadable() override;
+    void onWritable() override;
     void flush();
     void lose(DisconnectReason);
     void stillUnfinished();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -39,7 +39,7 @@
 
 net::Endpoint endpoint(const Json& object, const char* key, const std::string& where) {
     const std::string told = setup::text(object, key, where);
-    if (const auto at = net::endpointOf(told)) return *at;
+    if (const auto at = net::parseEndpoint(told)) return *at;
     setup::throwInvalid(where,
                         std::string("'") + key + "' is '" + told + "', and should be an address and a port");
 }
@@ -48,8 +48,8 @@
 net::Endpoint changeLogOf(const Json& all, const std::string& file) {
     const net::Endpoint at = endpoint(all, "changelog", file);
     if (at.port == 0)
-        setup::throwInvalid(file,
-                            "'changelog' is '" + net::text(at) + "', and should be an address and a port");
+        setup::throwInvalid(
+            file, "'changelog' is '" + net::toString(at) + "', and should be an address and a port");
     return at;
 }
 
@@ -399,7 +399,7 @@
     try {
         const Json all = readConfiguration(parts_->file, text);
         const net::Endpoint to = changeLogOf(all, parts_->file);
-        parts_->say(logging::Level::Info, "configuration replaced", {{"changelog", net::text(to)}});
+        parts_->say(logging::Level::Info, "configuration replaced", {{"changelog", net::toString(to)}});
         parts_->log_.moveTo(to);
     } catch (const setup::InvalidValue& wrong) {
         parts_->say(logging::Level::Error, "configuration passed over", {{"why", wrong.what()}});
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -71,7 +71,7 @@
           begunAt(all.net_.now()),
           wire(all.net_, to, std::max(all.limits_.connectWithin, all.limits_.lookWithin), limits, *this) {}
     void opened() override;
-    void drained() override { all.sendWaiting(*this); }
+    void onDrained() override { all.sendWaiting(*this); }
     void line(std::string_view bytes) override {
         const auto message = messageOf(bytes);
         // After what can't be read nothing on this connection can be trusted to begin where it should.
--- a/src/node/viewers.cpp
+++ b/src/node/viewers.cpp
@@ -159,7 +159,7 @@
 // ================= connections =================
 
 // Some places are kept for those that come while all others are needed: they are heard, refused and closed.
-void Viewers::accepted(std::unique_ptr<net::Stream> stream) {
+void Viewers::onAccepted(std::unique_ptr<net::Stream> stream) {
     ++counts_.accepted;
     const std::size_t kept = std::max<std::size_t>(1, limits_.connections / 16);
     const bool room = makeRoom(limits_.connections - kept, false);
@@ -500,7 +500,7 @@
 
 void Viewers::closeAll() {
     draining_ = true;
-    if (listener_) listener_->takeWaiting();
+    if (listener_) listener_->acceptPending();
     listener_.reset();
     while (!conns_.empty()) {
         Conn& conn = *conns_.begin()->second;
--- a/src/node/viewers.hpp
+++ b/src/node/viewers.hpp
@@ -47,7 +47,7 @@
     int cells = 1, rungs = 1;
 };
 
-class Viewers final : public core::SubscriptionHandler, public ServersHandler, private net::ListenerUser {
+class Viewers final : public core::SubscriptionHandler, public ServersHandler, private net::ListenerHandler {
   public:
     Viewers(net::Net&, const net::Endpoint&, const ViewerLimits&, Asked);
     ~Viewers() override;
@@ -93,7 +93,7 @@
     void answered(SubId, const std::string& description) override;
     void over(SubId, JoinResult, int cause, const LoadReport&) override;
 
-    void accepted(std::unique_ptr<net::Stream>) override;
+    void onAccepted(std::unique_ptr<net::Stream>) override;
     void heard(Conn&, std::string_view line);
     void setup(Conn&, const Message&);
     void ending(Conn&, const Message&);
--- a/src/settings/document.cpp
+++ b/src/settings/document.cpp
@@ -283,7 +283,7 @@
 net::Endpoint Cursor::address(std::string_view name) {
     const Value& v = needed(name);
     const auto* s = std::get_if<std::string>(&v.is);
-    const auto at = s ? net::endpointOf(*s) : std::nullopt;
+    const auto at = s ? net::parseEndpoint(*s) : std::nullopt;
     if (!at)
         document_->wrong(
             v.at, std::string(name) +
--- a/src/simulation/drill.cpp
+++ b/src/simulation/drill.cpp
@@ -63,14 +63,14 @@
         const Micros limit = net_.now() + 20 * kSecond;
         while (net_.now() < limit &&
                !std::all_of(fronts_.begin(), fronts_.end(), [](const auto& f) { return f.at.has_value(); }))
-            house_->turn(20'000);
-        for (Micros settle = net_.now() + 500'000; net_.now() < settle;) house_->turn(50'000);
+            house_->runOnce(20'000);
+        for (Micros settle = net_.now() + 500'000; net_.now() < settle;) house_->runOnce(50'000);
 
         begun_ = net_.now();
         plan();
         const Micros end = begun_ + day_.length;
         while (net_.now() < end) {
-            house_->turn(100'000);
+            house_->runOnce(100'000);
             const auto second = (net_.now() - begun_) / (5 * kSecond);
             if (second != lastSaid_) {
                 lastSaid_ = second;
@@ -82,12 +82,12 @@
         closing_ = true;
         for (auto& player : players_) player->endSoon();
         const Micros last = net_.now() + (day_.callers.empty() ? 8 : 20) * kSecond;
-        while (net_.now() < last && active_ > 0) house_->turn(50'000);
-        for (FrontHere& f : fronts_) f.life->askToStop();
+        while (net_.now() < last && active_ > 0) house_->runOnce(50'000);
+        for (FrontHere& f : fronts_) f.life->requestStop();
         const Micros until = net_.now() + 5 * kSecond;
         while (net_.now() < until &&
                std::any_of(fronts_.begin(), fronts_.end(), [](auto& f) { return f.life->running(); }))
-            house_->turn(50'000);
+            house_->runOnce(50'000);
         DrillResult result;
         result.secondsTaken =
             std::chrono::duration<double>(std::chrono::steady_clock::now() - startedReal_).count();
@@ -118,11 +118,11 @@
         f.name = "front" + std::to_string(i);
         if (!f.life) f.life = house_->front(static_cast<int>(i), f.name);
         const std::string base = ways_.folder + "/" + f.name;
-        const std::string here = net::text(house_->boxAt());
+        const std::string here = net::toString(house_->boxAt());
         std::ostringstream out;
         out << "front \"" << f.name << "\" fronts=" << day_.fronts << " stop-within=\"2s\"\n"
             << settings::printKdl(day_.siteNodes) << "http listen=\"" << here << "\"\n"
-            << "list stream=\"" << net::text(list_.at()) << "\" path=\"/boxes?front=" << f.name
+            << "list stream=\"" << net::toString(list_.at()) << "\" path=\"/boxes?front=" << f.name
             << "\" keep=\"" << base << ".list\" silent-for=\"4s\"\n"
             << "log file=\"" << base << ".log\"" << (ways_.real ? "" : " level=\"warning\"") << "\n";
         if (!day_.callers.empty())
@@ -157,7 +157,7 @@
         fakes::ListedBox listed;
         listed.id = id;
         listed.cell = box.cell();
-        listed.at = net::text(box.at());
+        listed.at = net::toString(box.at());
         listed.kind = day_.machines.kinds.front();
         listed.standing = standing;
         listed.size = 1;
@@ -401,11 +401,11 @@
         if (k == "front-stops")
             for (const int i : t.boxes) {
                 FrontHere& f = fronts_[static_cast<std::size_t>(i)];
-                f.life->askToStop();
+                f.life->requestStop();
                 frontIsDown(f);  // it answers what it took, and is not asked any more; it ends by itself
             }
         if (k == "front-stalls")
-            for (const int i : t.boxes) fronts_[static_cast<std::size_t>(i)].life->standStill();
+            for (const int i : t.boxes) fronts_[static_cast<std::size_t>(i)].life->pause();
         if (k == "rush" && !day_.crowds.empty()) {
             const auto more = static_cast<int>(t.size);
             for (int i = 0; i < more; ++i)
@@ -463,7 +463,7 @@
         if (k == "front-stalls")
             for (const int i : t.boxes) {
                 FrontHere& f = fronts_[static_cast<std::size_t>(i)];
-                f.life->goOn();
+                f.life->resume();
                 down_.emplace(f.name, std::pair{begun_ + t.at, net_.now()});
             }
     }
--- a/src/simulation/environment.cpp
+++ b/src/simulation/environment.cpp
@@ -38,9 +38,9 @@
         at_.clear();
         std::filesystem::remove(base_ + ".port");
     }
-    void askToStop() override { process_.askToStop(); }
-    void standStill() override { process_.standStill(); }
-    void goOn() override { process_.goOn(); }
+    void requestStop() override { process_.requestStop(); }
+    void pause() override { process_.pause(); }
+    void resume() override { process_.resume(); }
     bool running() override { return process_.running(); }
     double cpuSeconds() const override { return cpu_ + process_.cpuSeconds(); }
     std::optional<net::Endpoint> http() override { return place(0); }
@@ -51,7 +51,7 @@
         if (at_.empty()) {
             std::ifstream in(base_ + ".port");
             for (std::string text; std::getline(in, text);)
-                if (const auto at = net::endpointOf(text)) at_.push_back(*at);
+                if (const auto at = net::parseEndpoint(text)) at_.push_back(*at);
         }
         return line < at_.size() ? std::optional(at_[line]) : std::nullopt;
     }
@@ -69,8 +69,8 @@
     }
     net::Net& net() override { return net_; }
     net::Net& netOf(int) override { return net_; }
-    net::Endpoint boxAt() override { return *net::endpointOf("127.0.0.1:0"); }
-    void turn(Micros atMost) override { net_.turn(atMost); }
+    net::Endpoint boxAt() override { return *net::parseEndpoint("127.0.0.1:0"); }
+    void runOnce(Micros atMost) override { net_.runOnce(atMost); }
     std::unique_ptr<FrontLife> front(int, const std::string& name) override {
         return std::make_unique<ProcessFront>(program_, folder_ + "/" + name);
     }
@@ -97,13 +97,13 @@
         node_.crashing = true;
         front_.reset();
         node_.crashing = false;
-        node_.goOn();
+        node_.resume();
     }
-    void askToStop() override {
+    void requestStop() override {
         if (front_) front_->stop(front_->stopWithin(), [this] { stopped_ = true; });
     }
-    void standStill() override { node_.standStill(); }
-    void goOn() override { node_.goOn(); }
+    void pause() override { node_.pause(); }
+    void resume() override { node_.resume(); }
     bool running() override {
         if (front_ && stopped_) front_.reset();
         return front_ != nullptr;
@@ -138,7 +138,7 @@
         return *node;
     }
     net::Endpoint boxAt() override { return {address(0, 0, 1), 0}; }
-    void turn(Micros atMost) override { world_.runUntil(world_.now() + atMost); }
+    void runOnce(Micros atMost) override { world_.runUntil(world_.now() + atMost); }
     std::unique_ptr<FrontLife> front(int number, const std::string& name) override {
         return std::make_unique<VirtualFront>(
             world_.node(name, address(0, 1 + number / 250, 1 + number % 250)), folder_ + "/" + name);
--- a/src/simulation/environment.hpp
+++ b/src/simulation/environment.hpp
@@ -16,9 +16,9 @@
     virtual ~FrontLife() = default;
     virtual void start(const std::string& settings, std::uint64_t seed, const std::string& decisions) = 0;
     virtual void kill() = 0;
-    virtual void askToStop() = 0;  // it answers what it took, then ends
-    virtual void standStill() = 0;
-    virtual void goOn() = 0;
+    virtual void requestStop() = 0;  // it answers what it took, then ends
+    virtual void pause() = 0;
+    virtual void resume() = 0;
     virtual bool running() = 0;
     virtual double cpuSeconds() const = 0;  // of all its lives
     // Where it listens, once it does.
@@ -32,7 +32,7 @@
     virtual net::Net& net() = 0;              // of boxes, the list and the script
     virtual net::Net& netOf(int member) = 0;  // of that member's viewers; -1: of those without one
     virtual net::Endpoint boxAt() = 0;        // where the next box is to listen
-    virtual void turn(Micros atMost) = 0;
+    virtual void runOnce(Micros atMost) = 0;
     virtual std::unique_ptr<FrontLife> front(int number, const std::string& name) = 0;
 };
 
--- a/src/sip/overload.cpp
+++ b/src/sip/overload.cpp
@@ -6,7 +6,8 @@
 
 namespace valekeel::sip {
 
-Refused::Refused(std::size_t places) : places_(std::bit_ceil(std::max<std::size_t>(2, places))) {}
+RefusedRequests::RefusedRequests(std::size_t places)
+    : places_(std::bit_ceil(std::max<std::size_t>(2, places))) {}
 
 void Overload::look(Micros now, double fill, Micros unread, std::uint64_t came, std::uint64_t served) {
     const double span = seconds(std::max<Micros>(1, now - lookedAt_));
--- a/src/sip/overload.hpp
+++ b/src/sip/overload.hpp
@@ -15,7 +15,7 @@
 
 namespace valekeel::sip {
 
-struct OverloadTerms {
+struct OverloadSettings {
     double targetFill = 0.5;       // of what may wait, at which shedding begins
     Micros targetUnread = 20'000;  // for which messages may lie unread, likewise
     Micros every = 200'000;        // between looks
@@ -27,9 +27,9 @@
 // What was turned away without a transaction, so that each copy of it is turned away too and no request has
 // two final answers. A table of fixed size: a newcomer takes the place of an older one, never of more than
 // one.
-class Refused {
+class RefusedRequests {
   public:
-    explicit Refused(std::size_t places);  // rounded up to a power of two
+    explicit RefusedRequests(std::size_t places);  // rounded up to a power of two
     void remember(std::uint64_t name) { places_[name & (places_.size() - 1)] = name | 1; }
     bool knows(std::uint64_t name) const { return places_[name & (places_.size() - 1)] == (name | 1); }
 
@@ -39,7 +39,7 @@
 
 class Overload {
   public:
-    explicit Overload(const OverloadTerms& terms) : terms_(terms) {}
+    explicit Overload(const OverloadSettings& terms) : terms_(terms) {}
 
     // What was seen since the last look: how full the waiting room is, how long messages lay unread, new
     // INVITEs that came, and those that the front brought to an end with a placement or a reasoned refusal.
@@ -55,7 +55,7 @@
     std::string viaParameters(const std::string& algorithms) const;
 
   private:
-    OverloadTerms terms_;
+    OverloadSettings terms_;
     double loss_ = 0, rate_ = 1e9;
     Micros lookedAt_ = 0;
     std::uint64_t sequence_ = 0;
--- a/src/sip/prefilter.cpp
+++ b/src/sip/prefilter.cpp
@@ -36,14 +36,14 @@
 
 }  // namespace
 
-std::string Glance::inviteKey() const {
+std::string PrefilteredRequest::inviteKey() const {
     const auto colon = sentBy.rfind(':');
     const std::string_view port = colon == std::string_view::npos ? "5060" : sentBy.substr(colon + 1);
     return std::string(branch) + "|" + std::string(sentBy.substr(0, colon)) + ":" + std::string(port) +
            "|INVITE";
 }
 
-std::optional<Glance> glance(std::string_view bytes) {
+std::optional<PrefilteredRequest> prefilter(std::string_view bytes) {
     const auto end = bytes.find("\r\n\r\n");
     if (end == std::string_view::npos || bytes.size() > kMost) return std::nullopt;
     const std::string_view head = bytes.substr(0, end);
@@ -56,7 +56,7 @@
         }
         if (c < 0x20 || c > 0x7e) return std::nullopt;
     }
-    Glance out;
+    PrefilteredRequest out;
     auto lineEnd = head.find("\r\n");
     const std::string_view first = head.substr(0, lineEnd);
     const auto space = first.find(' ');
@@ -121,7 +121,7 @@
     return out;
 }
 
-std::string refusal(const Glance& g, std::string_view statusLine, std::string_view toTag,
+std::string refusal(const PrefilteredRequest& g, std::string_view statusLine, std::string_view toTag,
                     std::string_view viaMore, long retryAfterSeconds, const net::Endpoint& from) {
     std::string out;
     out.reserve(g.via.size() + g.from.size() + g.to.size() + g.callId.size() + viaMore.size() + 220);
--- a/src/sip/prefilter.hpp
+++ b/src/sip/prefilter.hpp
@@ -11,7 +11,7 @@
 
 namespace valekeel::sip {
 
-struct Glance {                                            // views into the message
+struct PrefilteredRequest {                                // views into the message
     std::string_view method, via, from, to, callId, cseq;  // values, as written
     std::string_view branch, sentBy;
     bool toHasTag = false;
@@ -20,10 +20,10 @@
 };
 
 // Nothing where it is no such request, or anything about it is out of the ordinary.
-std::optional<Glance> glance(std::string_view bytes);
+std::optional<PrefilteredRequest> prefilter(std::string_view bytes);
 
 // A refusal of it, whole. `viaMore`: parameters for the Via, each with its semicolon.
-std::string refusal(const Glance&, std::string_view statusLine, std::string_view toTag,
+std::string refusal(const PrefilteredRequest&, std::string_view statusLine, std::string_view toTag,
                     std::string_view viaMore, long retryAfterSeconds, const net::Endpoint& from);
 
 }  // namespace valekeel::sip
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -4,7 +4,7 @@
 
 namespace valekeel::sip {
 
-Transactions::Transactions(net::Net& net, const SipTimes& times, std::size_t atMost, TransactionUser& user)
+Transactions::Transactions(net::Net& net, const SipTimes& times, std::size_t atMost, TransactionHandler& user)
     : net_(net), times_(times), atMost_(atMost), user_(user) {}
 Transactions::~Transactions() = default;
 
@@ -18,7 +18,7 @@
            via.written + "|" + method + own;
 }
 
-Transactions::Came Transactions::request(const Message& m, const Way& way) {
+Transactions::RequestDisposition Transactions::request(const Message& m, const ReplyRoute& way) {
     const std::string key = keyOf(m);
     const auto it = all_.find(key);
     if (it != all_.end()) {
@@ -27,14 +27,14 @@
         one.way = way;  // from another port, after a NAT's whim: the answer goes where it was last asked
         const bool still =
             one.state == TransactionState::Proceeding || one.state == TransactionState::Completed;
-        if (still && !one.last.empty()) user_.sendOn(one.way, one.last);
-        return Came::Absorbed;
+        if (still && !one.last.empty()) user_.sendTo(one.way, one.last);
+        return RequestDisposition::Absorbed;
     }
-    if (all_.size() >= atMost_) return Came::Full;
+    if (all_.size() >= atMost_) return RequestDisposition::Full;
     One& one = all_[key];
     one.invite = m.method == "INVITE";
     one.way = way;
-    return Came::New;
+    return RequestDisposition::New;
 }
 
 bool Transactions::answer(const std::string& key, int status, std::string bytes) {
@@ -42,7 +42,7 @@
     if (it == all_.end() || it->second.state != TransactionState::Proceeding) return false;
     One& one = it->second;
     one.last = std::move(bytes);
-    user_.sendOn(one.way, one.last);
+    user_.sendTo(one.way, one.last);
     if (status < 200) return true;
     one.end = std::make_unique<net::Timer>(net_, [this, key] { over(key); });
     if (!one.invite) {
@@ -66,7 +66,7 @@
     const auto it = all_.find(key);
     if (it == all_.end()) return;
     One& one = it->second;
-    user_.sendOn(one.way, one.last);
+    user_.sendTo(one.way, one.last);
     one.wait = std::min(2 * one.wait, times_.t2);
     one.again->after(one.wait);
 }
@@ -104,7 +104,7 @@
     spent_.push_back(std::move(it->second.end));  // this very call lies in it
     if (it->second.again) it->second.again->cancel();
     all_.erase(it);
-    if (unheard) user_.neverAcknowledged(key);
+    if (unheard) user_.onAckTimeout(key);
 }
 
 }  // namespace valekeel::sip
--- a/src/sip/transactions.hpp
+++ b/src/sip/transactions.hpp
@@ -22,35 +22,35 @@
 };
 
 // Where a request came from, and answers go.
-struct Way {
+struct ReplyRoute {
     bool stream = false;
     std::uint64_t connection = 0;  // of a stream
     net::Endpoint peer;
-    auto operator<=>(const Way&) const = default;
+    auto operator<=>(const ReplyRoute&) const = default;
 };
 
 enum class TransactionState { Proceeding, Completed, Confirmed, Accepted, Terminated };
 
-class TransactionUser {
+class TransactionHandler {
   public:
-    virtual ~TransactionUser() = default;
-    virtual void sendOn(const Way&, const std::string& bytes) = 0;
+    virtual ~TransactionHandler() = default;
+    virtual void sendTo(const ReplyRoute&, const std::string& bytes) = 0;
     // A 200 to an INVITE was never acknowledged; or a failure's ACK never came (nothing more is done then).
-    virtual void neverAcknowledged(const std::string& key) = 0;
+    virtual void onAckTimeout(const std::string& key) = 0;
 };
 
 class Transactions {
   public:
-    Transactions(net::Net&, const SipTimes&, std::size_t atMost, TransactionUser&);
+    Transactions(net::Net&, const SipTimes&, std::size_t atMost, TransactionHandler&);
     ~Transactions();
 
     // Matched as section 17.2.3 says: by branch, sent-by and method (an ACK's and a CANCEL's by the
     // INVITE's). Without the magic cookie, by the older rules' fields.
     static std::string keyOf(const Message&);
 
-    enum class Came { New, Absorbed, Full };
+    enum class RequestDisposition { New, Absorbed, Full };
     // A request that is no ACK. New: the user owes it an answer by answer().
-    Came request(const Message&, const Way&);
+    RequestDisposition request(const Message&, const ReplyRoute&);
     // An ACK to a failure is absorbed; one to a 200 is for the dialog, and tells so by false.
     bool ack(const Message&);
     // A provisional answer, or the final one. Each transaction takes one final answer; more are refused.
@@ -65,7 +65,7 @@
   private:
     struct One {
         bool invite = false;
-        Way way;
+        ReplyRoute way;
         TransactionState state = TransactionState::Proceeding;
         std::string last;
         Micros wait = 0, until = 0;
@@ -76,7 +76,7 @@
     net::Net& net_;
     SipTimes times_;
     std::size_t atMost_;
-    TransactionUser& user_;
+    TransactionHandler& user_;
     std::map<std::string, One> all_;
     std::vector<std::unique_ptr<net::Timer>> spent_;
     std::uint64_t absorbed_ = 0;
--- a/src/upstream/join_client.cpp
+++ b/src/upstream/join_client.cpp
@@ -21,7 +21,7 @@
         const LoadReport load = loadOf(head_.fields);
         RequestResult end = RequestResult::ErrorStatus;
         if (head_.status == 200) {
-            auto read = hls::readMultivariant(body_, all_.limits_);
+            auto read = hls::parseMultivariantPlaylist(body_, all_.limits_);
             end = read.got && read.got->variants.size() >= all_.rungs_ ? RequestResult::Answered200
                                                                        : RequestResult::BadAnswer;
             if (end == RequestResult::Answered200)
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -19,7 +19,7 @@
 };
 
 // One request on its way: it waits for a connection, or holds one.
-class UpstreamClient::Exchange final : public UpstreamRequest, private http::FetchUser {
+class UpstreamClient::Exchange final : public UpstreamRequest, private http::FetchHandler {
   public:
     Exchange(UpstreamClient& all, Box& box, std::string bytes, bool headOnly, bool sure, Micros within,
              UpstreamRequestHandler& user)
@@ -72,32 +72,32 @@
     }
 
   private:
-    void answered(const http::ResponseHead& head) override { user_.onHead(head); }
+    void onHead(const http::ResponseHead& head) override { user_.onHead(head); }
     void onBody(std::string_view bytes) override { user_.onBody(bytes); }
-    void fetched(bool kept) override {
+    void onFetched(bool kept) override {
         finish();
         giveBack(kept);
         user_.onComplete();
     }
-    void failed(http::Failed how) override {
+    void onFailed(http::FetchError how) override {
         const bool kept = kept_;
         finish();
         giveBack(false);
         user_.onFailed(meaningFor(how, kept));
     }
-    static RequestResult meaningFor(http::Failed how, bool kept) {
+    static RequestResult meaningFor(http::FetchError how, bool kept) {
         switch (how) {
-            case http::Failed::Refused:
+            case http::FetchError::Refused:
                 return RequestResult::ConnectRefused;
-            case http::Failed::NoConnection:
+            case http::FetchError::NoConnection:
                 return RequestResult::ConnectFailed;
-            case http::Failed::NeverWritten:
+            case http::FetchError::NeverWritten:
                 return RequestResult::NeverWritten;
-            case http::Failed::BrokenOut:
+            case http::FetchError::BrokenOut:
                 return kept ? RequestResult::BrokenOutKept : RequestResult::BrokenOutFresh;
-            case http::Failed::BrokenAnswer:
+            case http::FetchError::BrokenAnswer:
                 return RequestResult::BrokenAnswer;
-            case http::Failed::BadAnswer:
+            case http::FetchError::BadAnswer:
                 return RequestResult::BadAnswer;
         }
         return RequestResult::BadAnswer;
@@ -184,7 +184,7 @@
     }
 };
 
-UpstreamClient::UpstreamClient(net::Net& net, const http::WireLimits& wire, const UpstreamLimits& limits)
+UpstreamClient::UpstreamClient(net::Net& net, const http::HttpLimits& wire, const UpstreamLimits& limits)
     : net_(net), wire_(wire), limits_(limits), bury_(net, [this] { dead_.clear(); }), tidy_(net, [this] {
           tidy();
       }) {
--- a/src/upstream/upstream_client.hpp
+++ b/src/upstream/upstream_client.hpp
@@ -49,7 +49,7 @@
 
 class UpstreamClient {
   public:
-    UpstreamClient(net::Net&, const http::WireLimits&, const UpstreamLimits&);
+    UpstreamClient(net::Net&, const http::HttpLimits&, const UpstreamLimits&);
     ~UpstreamClient();
 
     // Where a box listens; a new place closes what stands to the old one as it falls idle.
@@ -77,7 +77,7 @@
     void tidy();
 
     net::Net& net_;
-    http::WireLimits wire_;
+    http::HttpLimits wire_;
     UpstreamLimits limits_;
     std::map<SfuId, std::unique_ptr<Box>> boxes_;
     std::uint64_t nextConn_ = 1;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -284,7 +284,7 @@
 
 TEST(AdmissionController, ForgetsWhatNobodyUses) {
     AdmissionController gate(fixed(10), 10, 24, 56);
-    EXPECT_TRUE(gate.wouldAdmit(net::endpointOf("10.1.1.1:1")->ip));
+    EXPECT_TRUE(gate.wouldAdmit(net::parseEndpoint("10.1.1.1:1")->ip));
     EXPECT_EQ(gate.networks(), 0u) << "asking what it would say keeps nothing";
     for (int i = 0; i < 20'000; ++i) {
         const auto n =
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -29,18 +29,18 @@
 constexpr Micros kAfterBreak = 2 * kSecond, kAfterSilence = 4 * kSecond, kAfterReload = 4 * kSecond;
 
 // A change log that does nothing by itself but beat: the test says what it writes, on which connection.
-class HandLog final : net::ListenerUser {
+class HandLog final : net::ListenerHandler {
   public:
-    struct Link final : net::StreamUser {
+    struct Link final : net::StreamHandler {
         Link(HandLog& log, std::unique_ptr<net::Stream> stream) : log(log), stream(std::move(stream)) {
-            this->stream->handTo(*this);
+            this->stream->setHandler(*this);
         }
-        void readable() override {
+        void onReadable() override {
             std::array<char, 64> buffer;
             while (stream) {
-                const net::Moved got = stream->read(buffer);
-                if (got.then == net::Moved::Then::Again) return;
-                if (got.then != net::Moved::Then::More) return stream.reset();
+                const net::IoResult got = stream->read(buffer);
+                if (got.status == net::IoResult::Status::WouldBlock) return;
+                if (got.status != net::IoResult::Status::Ready) return stream.reset();
                 in.append(buffer.data(), got.bytes);
                 if (asked || in.size() < 8) continue;
                 asked = true;
@@ -50,7 +50,7 @@
                 if (log.onAsk) log.onAsk(*this, from);
             }
         }
-        void writable() override {}
+        void onWritable() override {}
         void say(const std::string& bytes) {
             if (stream) stream->write(bytes);
         }
@@ -95,7 +95,7 @@
     std::vector<std::unique_ptr<Link>> links;
 
   private:
-    void accepted(std::unique_ptr<net::Stream> stream) override {
+    void onAccepted(std::unique_ptr<net::Stream> stream) override {
         links.push_back(std::make_unique<Link>(*this, std::move(stream)));
     }
     void beat() {
@@ -124,7 +124,7 @@
 };
 
 net::Endpoint place(int n) {
-    return *net::endpointOf("10.0.1." + std::to_string(n) + ":2379");
+    return *net::parseEndpoint("10.0.1." + std::to_string(n) + ":2379");
 }
 std::string drain(std::uint64_t number) {
     return PlatformLog::frame(number, 2, {{7, place(9), 1}});
@@ -504,7 +504,7 @@
     node::ChangeLog follows(loop.net, log.at(), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, user);
     {  // the same failure with descriptors to spare: a sanitizer needs one where it meets a class first
         Heard heard;
-        node::ChangeLog nobody(loop.net, *net::endpointOf("255.255.255.255:9"), 1,
+        node::ChangeLog nobody(loop.net, *net::parseEndpoint("255.255.255.255:9"), 1,
                                node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, heard);
         nobody.start();
         EXPECT_TRUE(loop.until([&] { return !heard.whys.empty(); }));
@@ -722,7 +722,7 @@
     bool over = false;
     front->stop([&] { over = true; });
     Json all = configuration();
-    all["changelog"] = net::text(other.at());
+    all["changelog"] = net::toString(other.at());
     front->reread(all.dump());
     other.add({{0, servers[0]->at(), 1, 0}});
     run(300'000);
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -184,10 +184,10 @@
 // Each connection carries no more set-ups at once than the settings allow.
 TEST(Deployments, ConnectionsCarryNoMoreThanTheSettingsAllow) {
     Day day(pierNotices(), 0, 1);
-    struct Holds final : net::ListenerUser {
+    struct Holds final : net::ListenerHandler {
         std::vector<std::unique_ptr<fakes::PlatformLine>> lines;
         std::map<fakes::PlatformLine*, int> out;
-        void accepted(std::unique_ptr<net::Stream> stream) override {
+        void onAccepted(std::unique_ptr<net::Stream> stream) override {
             lines.push_back(std::make_unique<fakes::PlatformLine>(
                 std::move(stream),
                 [this](fakes::PlatformLine& line, const Json& m) { out[&line] += m["verb"] == "START"; }));
@@ -223,7 +223,7 @@
         day.servers[0]->note(idOf(1), "link_use", 0.2);
         day.run(20'000);
         const Micros ended = day.world.now();
-        day.nodes[0]->standStill();
+        day.nodes[0]->pause();
         day.run(12 * kSecond);
         EXPECT_EQ(day.said(1), "+ 41");
         EXPECT_LE(day.lastSaidAt(1) - ended, 8 * kSecond) << told["allowed"]["connect_timeout"];
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -203,9 +203,9 @@
 
 TEST(Stream, SilenceIsAFailure) {
     Loop loop;
-    struct Mute : http::Handler, http::ExchangeUser {
-        void asked(http::Exchange& e) override { e.heldBy(this); }
-        void gone() override {}
+    struct Mute : http::Handler, http::ExchangeHandler {
+        void onRequest(http::Exchange& e) override { e.setHandler(this); }
+        void onConnectionLost() override {}
     } mute;
     http::Server server(loop.net, Loop::any(), {}, mute);
     Hears hears;
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -31,35 +31,35 @@
 
 // ---- the virtual net ----
 
-struct Side : net::StreamUser {
+struct Side : net::StreamHandler {
     std::unique_ptr<net::Stream> stream;
     std::string in;
     int writables = 0;
     bool up = false, refused = false, ended = false, broken = false, keep = true;
-    void connected() override { up = true; }
-    void connectFailed(net::NoStream) override { refused = true; }
-    void writable() override { ++writables; }
-    void readable() override {
+    void onConnected() override { up = true; }
+    void onConnectFailed(net::ConnectError) override { refused = true; }
+    void onWritable() override { ++writables; }
+    void onReadable() override {
         std::array<char, 1'000> buffer;
         while (keep) {
-            const net::Moved got = stream->read(buffer);
+            const net::IoResult got = stream->read(buffer);
             in.append(buffer.data(), got.bytes);
             if (got.bytes > 0) continue;
-            ended |= got.then == net::Moved::Then::Ended;
-            broken |= got.then == net::Moved::Then::Broken;
+            ended |= got.status == net::IoResult::Status::EndOfStream;
+            broken |= got.status == net::IoResult::Status::Broken;
             return;
         }
     }
 };
-struct World : net::ListenerUser {
+struct World : net::ListenerHandler {
     net::VirtualWorld world{1};
-    net::VirtualNode& a = world.node("a", net::endpointOf("10.0.0.1:0")->ip);
-    net::VirtualNode& b = world.node("b", net::endpointOf("10.0.0.2:0")->ip);
-    std::unique_ptr<net::Listener> listener = b.listen(*net::endpointOf("10.0.0.2:0"), *this);
+    net::VirtualNode& a = world.node("a", net::parseEndpoint("10.0.0.1:0")->ip);
+    net::VirtualNode& b = world.node("b", net::parseEndpoint("10.0.0.2:0")->ip);
+    std::unique_ptr<net::Listener> listener = b.listen(*net::parseEndpoint("10.0.0.2:0"), *this);
     Side here, there;
-    void accepted(std::unique_ptr<net::Stream> s) override {
+    void onAccepted(std::unique_ptr<net::Stream> s) override {
         there.stream = std::move(s);
-        there.stream->handTo(there);
+        there.stream->setHandler(there);
         there.up = true;
     }
     void connect() {
@@ -73,7 +73,7 @@
     World w;
     w.connect();
     ASSERT_TRUE(w.here.up && w.there.up);
-    EXPECT_EQ(w.there.stream->peer().ip, net::endpointOf("10.0.0.1:0")->ip);
+    EXPECT_EQ(w.there.stream->peer().ip, net::parseEndpoint("10.0.0.1:0")->ip);
     const Micros sent = w.world.now();
     w.here.stream->write("one ");
     w.here.stream->write("two");
@@ -82,7 +82,7 @@
     w.run(1);
     EXPECT_EQ(w.there.in, "one two");
     EXPECT_EQ(w.world.now(), sent + 200);
-    w.here.stream->finishWriting();
+    w.here.stream->shutdownWrite();
     w.run(1'000);
     EXPECT_TRUE(w.there.ended);
     w.there.stream->write("and back");
@@ -95,13 +95,13 @@
     w.connect();
     w.there.keep = false;
     const std::string much(300'000, 'x');
-    const net::Moved put = w.here.stream->write(much);
+    const net::IoResult put = w.here.stream->write(much);
     EXPECT_EQ(put.bytes, net::VirtualWorld::kBuffer);
-    EXPECT_EQ(put.then, net::Moved::Then::Again);
+    EXPECT_EQ(put.status, net::IoResult::Status::WouldBlock);
     w.run(10'000);
     EXPECT_EQ(w.here.writables, 0);
     w.there.keep = true;
-    w.there.readable();
+    w.there.onReadable();
     w.run(1'000);
     EXPECT_EQ(w.here.writables, 1);
     EXPECT_EQ(w.here.stream->write("y").bytes, 1u);
@@ -115,7 +115,7 @@
     EXPECT_TRUE(w.here.ended);
     w.here.stream->write("to nobody");
     w.run(1'000);
-    w.here.readable();
+    w.here.onReadable();
     EXPECT_TRUE(w.here.broken);
 
     World hard;
@@ -127,7 +127,7 @@
 
     World none;
     Side late;
-    late.stream = none.a.connect(*net::endpointOf("10.0.0.2:9"), late);
+    late.stream = none.a.connect(*net::parseEndpoint("10.0.0.2:9"), late);
     EXPECT_FALSE(late.refused) << "never at once";
     none.run(1'000);
     EXPECT_TRUE(late.refused);
@@ -139,13 +139,13 @@
     int fired = 0;
     net::Timer timer(w.b, [&] { ++fired; });
     timer.after(5'000);
-    w.b.standStill();
+    w.b.pause();
     w.here.stream->write("a");
     w.here.stream->write("b");
     w.run(20'000);
     EXPECT_EQ(w.there.in, "");
     EXPECT_EQ(fired, 0);
-    w.b.goOn();
+    w.b.resume();
     w.run(2'000);
     EXPECT_EQ(w.there.in, "ab");
     EXPECT_EQ(fired, 1);
@@ -153,12 +153,12 @@
 
 TEST(VirtualNet, DatagramsMeetTheWeatherThatIsSet) {
     World w;
-    struct Ear : net::DatagramUser {
+    struct Ear : net::DatagramHandler {
         std::vector<std::string> got;
-        void received(const net::Endpoint&, std::string_view bytes) override { got.emplace_back(bytes); }
+        void onDatagram(const net::Endpoint&, std::string_view bytes) override { got.emplace_back(bytes); }
     } ear, mouth;
-    const auto to = w.b.bind(*net::endpointOf("10.0.0.2:0"), ear);
-    const auto from = w.a.bind(*net::endpointOf("10.0.0.1:0"), mouth);
+    const auto to = w.b.bind(*net::parseEndpoint("10.0.0.2:0"), ear);
+    const auto from = w.a.bind(*net::parseEndpoint("10.0.0.1:0"), mouth);
     int n = 0;
     w.world.datagramWeather = [&](const net::VirtualNode&, const net::VirtualNode&) {
         ++n;
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -78,7 +78,7 @@
         fakes::ListedBox b;
         b.id = id;
         b.cell = fleet->box(id).cell();
-        b.at = net::text(fleet->box(id).at());
+        b.at = net::toString(fleet->box(id).at());
         b.kind = "k";
         b.standing = standing;
         if (zoneOf) b.zone = zoneOf(id);
@@ -87,7 +87,7 @@
     }
     void startFront(const std::string& more = "", const front::OtherDecide& other = {},
                     const std::string& ofFront = "") {
-        const std::string text = "front \"a\"" + ofFront + "\nlist stream=\"" + net::text(list.at()) +
+        const std::string text = "front \"a\"" + ofFront + "\nlist stream=\"" + net::toString(list.at()) +
                                  "\" path=\"/boxes?front=a\" keep=\"" + (folder / "kept.kdl").string() +
                                  "\" silent-for=\"2s\"\nlog file=\"" + (folder / "front.log").string() +
                                  "\"\n" + site + more;
@@ -508,14 +508,14 @@
 
 TEST(Front, ASidOnASecondConnectionIsTheSameSubscription) {
     Rig rig;
-    struct Ask : http::FetchUser {
+    struct Ask : http::FetchHandler {
         http::ResponseHead head;
         std::string body;
         bool done = false;
-        void answered(const http::ResponseHead& h) override { head = h; }
-        void piece(std::string_view b) override { body += b; }
-        void fetched(bool) override { done = true; }
-        void failed(http::Failed) override { done = true; }
+        void onHead(const http::ResponseHead& h) override { head = h; }
+        void onBody(std::string_view b) override { body += b; }
+        void onFetched(bool) override { done = true; }
+        void onFailed(http::FetchError) override { done = true; }
     } one, two, three;
     http::Fields fields;
     fields.add("CMCD-Session", "sid=\"same\"");
@@ -713,7 +713,7 @@
     plan.loses100 = true;
     auto& caller = rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.count("charged") == 1; }));
-    const std::string at = net::text(rig.front->sip()->at());
+    const std::string at = net::toString(rig.front->sip()->at());
     rig.front.reset();
     rig.startFront("sip listen=\"" + at + "\"\n");
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }, 20 * kSecond));
@@ -753,7 +753,7 @@
 }
 
 // A caller of bare text, for what a well-behaved one never does.
-struct RawCaller : net::DatagramUser {
+struct RawCaller : net::DatagramHandler {
     std::unique_ptr<net::Datagrams> socket;
     net::Endpoint front;
     std::vector<std::string> got;
@@ -761,7 +761,7 @@
     RawCaller(net::Net& net, const net::Endpoint& front) : front(front) {
         socket = net.bind(Loop::any(), *this);
     }
-    void received(const net::Endpoint&, std::string_view bytes) override {
+    void onDatagram(const net::Endpoint&, std::string_view bytes) override {
         got.emplace_back(bytes);
         const auto to = bytes.find("\r\nTo: "), tag = bytes.find(";tag=", to);
         if (bytes.compare(0, 11, "SIP/2.0 200") == 0 && tag != std::string_view::npos)
@@ -773,7 +773,7 @@
     }
     std::string text(const std::string& method, int cseq, const std::string& branch, const std::string& body,
                      const std::string& via = "", const std::string& way = "UDP") const {
-        const std::string me = net::text(socket->at());
+        const std::string me = net::toString(socket->at());
         return method + " sip:t@x;room=open SIP/2.0\r\nVia: SIP/2.0/" + way + " " + me + ";branch=z9hG4bK" +
                branch + via + "\r\nMax-Forwards: 70\r\nFrom: <sip:r@" + me + ">;tag=r" +
                (toTag.empty() ? branch : "") + "\r\nTo: <sip:t@x>" + (toTag.empty() ? "" : ";tag=" + toTag) +
@@ -875,21 +875,21 @@
     }
 }
 
-struct RawStream : net::StreamUser {
+struct RawStream : net::StreamHandler {
     std::unique_ptr<net::Stream> stream;
     std::string in;
     bool up = false, ended = false;
     RawStream(net::Net& net, const net::Endpoint& at) { stream = net.connect(at, *this); }
-    void connected() override { up = true; }
-    void connectFailed(net::NoStream) override { ended = true; }
-    void writable() override {}
-    void readable() override {
+    void onConnected() override { up = true; }
+    void onConnectFailed(net::ConnectError) override { ended = true; }
+    void onWritable() override {}
+    void onReadable() override {
         std::array<char, 4'096> buffer;
         for (;;) {
-            const net::Moved got = stream->read(buffer);
+            const net::IoResult got = stream->read(buffer);
             in.append(buffer.data(), got.bytes);
             if (got.bytes > 0) continue;
-            if (got.then != net::Moved::Then::Again) ended = true;
+            if (got.status != net::IoResult::Status::WouldBlock) ended = true;
             return;
         }
     }
@@ -912,7 +912,7 @@
     const std::string one = rig.raw.text("OPTIONS", 1, "o", "", "", "TCP");
     for (const char c : one) {
         s.stream->write(std::string(1, c));
-        rig.net.turn(0);
+        rig.net.runOnce(0);
     }
     ASSERT_TRUE(rig.until([&] { return s.times("CSeq: 1 OPTIONS") == 1; }));
     EXPECT_FALSE(s.ended);
@@ -940,7 +940,7 @@
     for (int i = 0; i < 300; ++i) {
         rig.raw.say(
             rig.raw.text("INVITE", 1, "f" + std::to_string(i), RawCaller::sdp(), ";oc;oc-algo=\"loss\""));
-        rig.net.turn(2'000);
+        rig.net.runOnce(2'000);
     }
     rig.run(kSecond);
     EXPECT_GT(rig.front->sip()->counts().shed, 50u);
