--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -66,7 +66,7 @@
     });
 }
 
-std::uint64_t dropped(const CmcdReader& r, Dropped why) {
+std::uint64_t dropped(const CmcdReader& r, DropReason why) {
     return r.dropped()[static_cast<std::size_t>(why)];
 }
 
@@ -112,12 +112,12 @@
     EXPECT_EQ(c.cid, "ok");
     EXPECT_EQ(c.br, 1);
     EXPECT_FALSE(c.sid || c.bl || c.dl || c.mtp || c.su || c.ot || c.tb || c.nor || c.rtp);
-    EXPECT_EQ(dropped(r, Dropped::Twice), 1u);
-    EXPECT_GE(dropped(r, Dropped::WrongType), 2u);
-    EXPECT_GE(dropped(r, Dropped::OutOfRange), 2u);
-    EXPECT_EQ(dropped(r, Dropped::TooLong), 3u);
-    EXPECT_GE(dropped(r, Dropped::UnknownKey), 1u);
-    EXPECT_GE(dropped(r, Dropped::Malformed), 3u);
+    EXPECT_EQ(dropped(r, DropReason::Twice), 1u);
+    EXPECT_GE(dropped(r, DropReason::WrongType), 2u);
+    EXPECT_GE(dropped(r, DropReason::OutOfRange), 2u);
+    EXPECT_EQ(dropped(r, DropReason::TooLong), 3u);
+    EXPECT_GE(dropped(r, DropReason::UnknownKey), 1u);
+    EXPECT_GE(dropped(r, DropReason::Malformed), 3u);
 }
 
 TEST(Cmcd, QuotesHideCommasAndWrongHeadersStillCount) {
@@ -126,7 +126,7 @@
     const Cmcd c = r.done();
     EXPECT_EQ(c.sid, "a,b\"c");
     EXPECT_EQ(c.bl, 5);
-    EXPECT_EQ(dropped(r, Dropped::WrongHeader), 2u);
+    EXPECT_EQ(dropped(r, DropReason::WrongHeader), 2u);
 }
 
 TEST(Cmcd, HintsThatContradictEachOtherGoBoth) {
@@ -135,7 +135,7 @@
     const Cmcd c = r.done();
     EXPECT_FALSE(c.br || c.tb || c.dl);
     EXPECT_EQ(c.sid, "s");
-    EXPECT_EQ(dropped(r, Dropped::Contradicts), 2u);
+    EXPECT_EQ(dropped(r, DropReason::Contradicts), 2u);
     CmcdReader later;
     later.query("v=2,sid=\"s\",bl=5");
     EXPECT_FALSE(later.done().bl) << "a later version may mean another thing by it";
@@ -146,14 +146,14 @@
         CmcdReader r;
         r.json(bad);
         EXPECT_EQ(writeCmcdQuery(r.done()), "") << bad;
-        EXPECT_EQ(dropped(r, Dropped::Malformed), 1u) << bad;
+        EXPECT_EQ(dropped(r, DropReason::Malformed), 1u) << bad;
     }
     CmcdReader r;
     r.json(R"({"sid":"a","sid":"b","bl":[1],"br":1.5,"d":1e300})");
     r.done();
-    EXPECT_EQ(dropped(r, Dropped::Twice), 1u);
-    EXPECT_EQ(dropped(r, Dropped::WrongType), 1u);
-    EXPECT_EQ(dropped(r, Dropped::OutOfRange), 1u);
+    EXPECT_EQ(dropped(r, DropReason::Twice), 1u);
+    EXPECT_EQ(dropped(r, DropReason::WrongType), 1u);
+    EXPECT_EQ(dropped(r, DropReason::OutOfRange), 1u);
 }
 
 TEST(Cmcd, AnyBytesAtAllDoNoHarm) {
--- a/tests/hls_test.cpp
+++ b/tests/hls_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 TEST(Hls, ReadsByteRangesMapsAndDurations) {
-    const auto read = hls::readMedia(
+    const auto read = hls::parseMediaPlaylist(
         "#EXTM3U\r\n#EXT-X-TARGETDURATION:4\n#EXT-X-MEDIA-SEQUENCE:7\n#EXT-X-MAP:URI=\"i,1.mp4\",BYTERANGE="
         "\"10@0\"\n"
         "#EXT-X-BYTERANGE:100@10\n#EXTINF:4.0,title\nall.mp4\n#EXT-X-UNKNOWN:x\n#EXT-X-BYTERANGE:50\n#EXTINF:"
@@ -25,34 +25,35 @@
     EXPECT_EQ(p.segments[2].duration, 1'500'000);
     EXPECT_TRUE(p.segments[2].discontinuity);
     EXPECT_TRUE(p.ended);
-    const auto back = hls::readMedia(hls::write(p));
+    const auto back = hls::parseMediaPlaylist(hls::write(p));
     ASSERT_TRUE(back.got) << back.why;
     EXPECT_EQ(*back.got, p);
 }
 
 TEST(Hls, RefusesBrokenPlaylistsWithTheLine) {
-    EXPECT_EQ(hls::readMedia("").why, "it is empty");
-    EXPECT_EQ(hls::readMedia("<html>").why, "its first line is not #EXTM3U");
-    EXPECT_EQ(hls::readMedia("#EXTM3U\na.mp4").why, "line 2: a segment without #EXTINF");
-    EXPECT_EQ(hls::readMedia("#EXTM3U\n#EXTINF:x,\na").why, "line 2: #EXTINF is broken");
-    EXPECT_EQ(hls::readMedia("#EXTM3U\n#EXTINF:nan,\na").why, "line 2: #EXTINF is broken");
-    EXPECT_EQ(hls::readMedia("#EXTM3U\n#EXTINF:1,\na").why, "#EXT-X-TARGETDURATION is missing");
-    EXPECT_EQ(hls::readMultivariant("#EXTM3U\n#EXT-X-STREAM-INF:X=1\na").why,
+    EXPECT_EQ(hls::parseMediaPlaylist("").why, "it is empty");
+    EXPECT_EQ(hls::parseMediaPlaylist("<html>").why, "its first line is not #EXTM3U");
+    EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\na.mp4").why, "line 2: a segment without #EXTINF");
+    EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\n#EXTINF:x,\na").why, "line 2: #EXTINF is broken");
+    EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\n#EXTINF:nan,\na").why, "line 2: #EXTINF is broken");
+    EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\n#EXTINF:1,\na").why, "#EXT-X-TARGETDURATION is missing");
+    EXPECT_EQ(hls::parseMultivariantPlaylist("#EXTM3U\n#EXT-X-STREAM-INF:X=1\na").why,
               "line 2: #EXT-X-STREAM-INF names no BANDWIDTH");
-    EXPECT_EQ(hls::readMultivariant("#EXTM3U\n").why, "it names no variant");
+    EXPECT_EQ(hls::parseMultivariantPlaylist("#EXTM3U\n").why, "it names no variant");
     hls::PlaylistLimits small{100, 1};
     EXPECT_FALSE(
-        hls::readMedia("#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\na\n#EXTINF:1,\nb\n", small).got);
-    EXPECT_FALSE(hls::readMedia("#EXTM3U\n" + std::string(200, '\n'), small).got);
+        hls::parseMediaPlaylist("#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\na\n#EXTINF:1,\nb\n", small)
+            .got);
+    EXPECT_FALSE(hls::parseMediaPlaylist("#EXTM3U\n" + std::string(200, '\n'), small).got);
 }
 
 TEST(Hls, ReferencesStayOnTheBox) {
-    EXPECT_EQ(hls::resolved("/talk/a/main.m3u8?x=1", "2/media.m3u8"), "/talk/a/2/media.m3u8");
-    EXPECT_EQ(hls::resolved("/talk/a/2/media.m3u8", "../init.mp4?y"), "/talk/a/init.mp4?y");
-    EXPECT_EQ(hls::resolved("/a/b", "/c/./d"), "/c/d");
-    EXPECT_EQ(hls::resolved("/a", "../../../etc"), "/etc");
-    EXPECT_FALSE(hls::resolved("/a", "//other/x"));
-    EXPECT_FALSE(hls::resolved("/a", "http://other/x"));
+    EXPECT_EQ(hls::resolveReference("/talk/a/main.m3u8?x=1", "2/media.m3u8"), "/talk/a/2/media.m3u8");
+    EXPECT_EQ(hls::resolveReference("/talk/a/2/media.m3u8", "../init.mp4?y"), "/talk/a/init.mp4?y");
+    EXPECT_EQ(hls::resolveReference("/a/b", "/c/./d"), "/c/d");
+    EXPECT_EQ(hls::resolveReference("/a", "../../../etc"), "/etc");
+    EXPECT_FALSE(hls::resolveReference("/a", "//other/x"));
+    EXPECT_FALSE(hls::resolveReference("/a", "http://other/x"));
 }
 
 // Whatever the rungs do and whenever it is asked: what was listed stays, without gaps, at the rung it had.
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -15,7 +15,7 @@
     std::size_t big = 0;
     int asks = 0, bad = 0, lastBad = 0;
     std::vector<std::string> paths;
-    void asked(Exchange& e) override {
+    void onRequest(Exchange& e) override {
         ++asks;
         paths.push_back(e.head().path());
         if (hold) {
@@ -30,37 +30,37 @@
         }
         e.respond(200, {}, e.head().method + " " + e.head().target + " " + e.body());
     }
-    bool admits(const net::Endpoint&) override { return admit; }
-    void malformed(const net::Endpoint&, int status, const std::string&) override {
+    bool acceptsConnection(const net::Endpoint&) override { return admit; }
+    void onMalformedRequest(const net::Endpoint&, int status, const std::string&) override {
         ++bad;
         lastBad = status;
     }
 };
 
 // A raw peer that says exactly these bytes.
-struct Raw : net::StreamUser {
+struct Raw : net::StreamHandler {
     std::unique_ptr<net::Stream> stream;
     std::string got;
     bool ended = false, open = false, reading = true;
-    void connected() override { open = true; }
-    void connectFailed(net::NoStream) override { ended = true; }
-    void readable() override {
+    void onConnected() override { open = true; }
+    void onConnectFailed(net::ConnectError) override { ended = true; }
+    void onReadable() override {
         char buffer[65536];
         while (reading) {
-            const net::Moved m = stream->read(buffer);
+            const net::IoResult m = stream->read(buffer);
             got.append(buffer, m.bytes);
-            if (m.then == net::Moved::Then::Again) return;
-            if (m.then != net::Moved::Then::More) {
+            if (m.status == net::IoResult::Status::WouldBlock) return;
+            if (m.status != net::IoResult::Status::Ready) {
                 ended = true;
                 return;
             }
         }
     }
-    void writable() override {}
+    void onWritable() override {}
 };
 
 struct Rig : Loop {
-    http::WireLimits limits;
+    http::HttpLimits limits;
     Echo echo;
     std::unique_ptr<http::Server> server;
     void serve() { server = std::make_unique<http::Server>(net, any(), limits, echo); }
@@ -96,7 +96,7 @@
     auto r = rig.raw();
     for (const char c : std::string("GET /slow?x=1 HTTP/1.1\r\nHost: x\r\n\r\n")) {
         r->stream->write(std::string_view(&c, 1));
-        rig.net.turn(0);
+        rig.net.runOnce(0);
     }
     ASSERT_TRUE(rig.until([&] { return r->got.find("GET /slow?x=1") != std::string::npos; }));
 }
@@ -107,7 +107,7 @@
     rig.serve();
     auto r = rig.raw();
     r->stream->write("GET /h HTTP/1.1\r\nHost: x\r\n\r\n");
-    r->stream->finishWriting();
+    r->stream->shutdownWrite();
     ASSERT_TRUE(rig.until([&] { return rig.echo.held.size() == 1; }));
     rig.run(20'000);
     rig.echo.held[0]->respond(200, {}, "late but here");
@@ -200,18 +200,18 @@
     EXPECT_EQ(r->got.find("\r\nSet-Cookie"), std::string::npos);
 }
 
-struct Fetch : http::FetchUser {
+struct Fetch : http::FetchHandler {
     http::ResponseHead head;
     std::string body;
     bool done = false, kept = false;
-    std::optional<http::Failed> how;
-    void answered(const http::ResponseHead& h) override { head = h; }
-    void piece(std::string_view b) override { body += b; }
-    void fetched(bool k) override {
+    std::optional<http::FetchError> how;
+    void onHead(const http::ResponseHead& h) override { head = h; }
+    void onBody(std::string_view b) override { body += b; }
+    void onFetched(bool k) override {
         done = true;
         kept = k;
     }
-    void failed(http::Failed f) override { how = f; }
+    void onFailed(http::FetchError f) override { how = f; }
 };
 
 TEST(HttpClient, KeepsItsConnectionAndStreamsBigAnswers) {
@@ -236,8 +236,8 @@
     http::Connection conn(rig.net, rig.server->at(), {}, kSecond);
     struct Pausing : Fetch {
         http::Connection* conn = nullptr;
-        void piece(std::string_view b) override {
-            Fetch::piece(b);
+        void onBody(std::string_view b) override {
+            Fetch::onBody(b);
             if (body.size() < 1'000'000) conn->pause();
         }
     } f;
@@ -249,7 +249,7 @@
     EXPECT_EQ(f.body.size(), before);
     while (!f.done && !f.how) {
         conn.resume();
-        rig.net.turn(10'000);
+        rig.net.runOnce(10'000);
     }
     EXPECT_EQ(f.body.size(), 30'000'000u);
 }
@@ -274,24 +274,24 @@
 // Each way a fetch can fail, by a peer that does just that.
 TEST(HttpClient, TellsHowFarItHadCome) {
     Loop loop;
-    struct Breaks : net::ListenerUser, net::StreamUser {
+    struct Breaks : net::ListenerHandler, net::StreamHandler {
         std::vector<std::unique_ptr<net::Stream>> streams;
         std::string answer;
         bool reset = true;
-        void accepted(std::unique_ptr<net::Stream> s) override {
-            s->handTo(*this);
+        void onAccepted(std::unique_ptr<net::Stream> s) override {
+            s->setHandler(*this);
             streams.push_back(std::move(s));
         }
-        void readable() override {
+        void onReadable() override {
             char buffer[4096];
             if (streams.back()->read(buffer).bytes == 0) return;
             if (!answer.empty()) streams.back()->write(answer);
             if (reset)
                 streams.back()->reset();
             else
-                streams.back()->finishWriting();
+                streams.back()->shutdownWrite();
         }
-        void writable() override {}
+        void onWritable() override {}
     } peer;
     auto listener = loop.net.listen(Loop::any(), peer);
     const auto fails = [&](const std::string& answer, bool reset) {
@@ -303,11 +303,11 @@
         loop.until([&] { return f.done || f.how; });
         return f.how;
     };
-    EXPECT_EQ(fails("", true), http::Failed::BrokenOut);
-    EXPECT_EQ(fails("", false), http::Failed::BrokenOut);
+    EXPECT_EQ(fails("", true), http::FetchError::BrokenOut);
+    EXPECT_EQ(fails("", false), http::FetchError::BrokenOut);
     EXPECT_EQ(fails("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort", false),
-              http::Failed::BrokenAnswer);
-    EXPECT_EQ(fails("220 smtp here\r\n\r\n", false), http::Failed::BadAnswer);
+              http::FetchError::BrokenAnswer);
+    EXPECT_EQ(fails("220 smtp here\r\n\r\n", false), http::FetchError::BadAnswer);
     EXPECT_EQ(fails("HTTP/1.1 200 OK\r\n\r\nto the end", false), std::nullopt);
     const net::Endpoint gone = listener->at();
     listener.reset();
@@ -315,25 +315,25 @@
     Fetch f;
     conn.fetch("GET / HTTP/1.1\r\n\r\n", false, f);
     ASSERT_TRUE(loop.until([&] { return f.how.has_value(); }));
-    EXPECT_EQ(*f.how, http::Failed::Refused);
+    EXPECT_EQ(*f.how, http::FetchError::Refused);
 }
 
 TEST(HttpClient, BytesNobodyAskedForAreSeen) {
     Loop loop;
-    struct Chatty : net::ListenerUser, net::StreamUser {
+    struct Chatty : net::ListenerHandler, net::StreamHandler {
         std::unique_ptr<net::Stream> stream;
-        void accepted(std::unique_ptr<net::Stream> s) override {
+        void onAccepted(std::unique_ptr<net::Stream> s) override {
             stream = std::move(s);
-            stream->handTo(*this);
+            stream->setHandler(*this);
         }
-        void readable() override {
+        void onReadable() override {
             char buffer[4096];
             if (stream->read(buffer).bytes > 0)
                 stream->write(
                     "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\nContent-Length: "
                     "1\r\n\r\nb");
         }
-        void writable() override {}
+        void onWritable() override {}
     } peer;
     auto listener = loop.net.listen(Loop::any(), peer);
     http::Connection conn(loop.net, listener->at(), {}, kSecond);
--- a/tests/loop_fixture.hpp
+++ b/tests/loop_fixture.hpp
@@ -14,14 +14,14 @@
         const Micros end = net.now() + atMost;
         while (!holds()) {
             if (net.now() > end) return false;
-            net.turn(10'000);
+            net.runOnce(10'000);
         }
         return true;
     }
     void run(Micros time) {
         until([] { return false; }, time);
     }
-    static net::Endpoint any() { return *net::endpointOf("127.0.0.1:0"); }
+    static net::Endpoint any() { return *net::parseEndpoint("127.0.0.1:0"); }
 };
 
 }  // namespace valekeel
--- a/tests/manual_net.hpp
+++ b/tests/manual_net.hpp
@@ -11,24 +11,26 @@
 class HandNet final : public net::Net {
   public:
     Micros time = 1'000'000;
-    net::Wheel wheel_{time};
+    net::TimerWheel wheel_{time};
     std::mt19937_64 chance{1};
     Micros now() const override { return time; }
     Micros wallNow() const override { return time; }
-    net::Wheel& wheel() override { return wheel_; }
-    std::unique_ptr<net::Stream> connect(const net::Endpoint&, net::StreamUser&) override { return nullptr; }
-    std::unique_ptr<net::Listener> listen(const net::Endpoint&, net::ListenerUser&) override {
+    net::TimerWheel& timerWheel() override { return wheel_; }
+    std::unique_ptr<net::Stream> connect(const net::Endpoint&, net::StreamHandler&) override {
         return nullptr;
     }
-    std::unique_ptr<net::Datagrams> bind(const net::Endpoint&, net::DatagramUser&) override {
+    std::unique_ptr<net::Listener> listen(const net::Endpoint&, net::ListenerHandler&) override {
         return nullptr;
     }
-    std::uint64_t draw() override { return chance(); }
+    std::unique_ptr<net::Datagrams> bind(const net::Endpoint&, net::DatagramHandler&) override {
+        return nullptr;
+    }
+    std::uint64_t randomBits() override { return chance(); }
     void pass(Micros wait) {
         const Micros end = time + wait;
         while (time < end) {
             time = std::min(end, std::max(time + 1, wheel_.next().value_or(end)));
-            while (net::WheelNode* node = wheel_.due(time)) net::Timer::fire(*node);
+            while (net::TimerNode* node = wheel_.due(time)) net::Timer::fire(*node);
         }
     }
 };
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -11,26 +11,26 @@
 namespace {
 
 TEST(Address, ReadsBothKindsAndNothingElse) {
-    EXPECT_EQ(net::text(*net::endpointOf("127.0.0.1:80")), "127.0.0.1:80");
-    EXPECT_EQ(net::text(*net::endpointOf("[::1]:8080")), "[::1]:8080");
+    EXPECT_EQ(net::toString(*net::parseEndpoint("127.0.0.1:80")), "127.0.0.1:80");
+    EXPECT_EQ(net::toString(*net::parseEndpoint("[::1]:8080")), "[::1]:8080");
     for (const char* bad : {"", "127.0.0.1", "127.0.0.1:", ":80", "::1:80", "127.0.0.1:65536", "127.0.0.1:-1",
                             "localhost:80", "1.2.3:4", "127.0.0.1:80x"})
-        EXPECT_FALSE(net::endpointOf(bad)) << bad;
+        EXPECT_FALSE(net::parseEndpoint(bad)) << bad;
 }
 
 // Beside the wheel runs a plain ordered map: what is due, and when, must agree.
-TEST(Wheel, AgreesWithAnOrderedMap) {
+TEST(TimerWheel, AgreesWithAnOrderedMap) {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         std::mt19937 chance(seed);
         const auto pick = [&](Micros lo, Micros hi) {
             return std::uniform_int_distribution<Micros>(lo, hi)(chance);
         };
         Micros now = pick(0, 1LL << 40);
-        std::vector<net::WheelNode> nodes(200);
-        net::Wheel wheel(now);
-        std::map<const net::WheelNode*, Micros> plain;
+        std::vector<net::TimerNode> nodes(200);
+        net::TimerWheel wheel(now);
+        std::map<const net::TimerNode*, Micros> plain;
         for (int step = 0; step < 3'000; ++step) {
-            net::WheelNode& node = nodes[static_cast<std::size_t>(pick(0, 199))];
+            net::TimerNode& node = nodes[static_cast<std::size_t>(pick(0, 199))];
             const auto what = pick(0, 9);
             if (what < 5) {
                 const Micros reach = Micros{1} << pick(5, 42);
@@ -49,7 +49,7 @@
                     ASSERT_LE(*next, earliest + 1024) << "it would sleep past a timer";
                 }
                 now += pick(0, 3) == 0 ? pick(0, Micros{1} << pick(10, 41)) : pick(0, 5'000);
-                while (net::WheelNode* due = wheel.due(now)) {
+                while (net::TimerNode* due = wheel.due(now)) {
                     ASSERT_EQ(plain.count(due), 1u) << "fired, and was not waiting";
                     ASSERT_LE(plain[due], now) << "fired early";
                     plain.erase(due);
@@ -61,9 +61,9 @@
     }
 }
 
-TEST(Wheel, TimersOfOneTickComeInOrder) {
-    std::vector<net::WheelNode> nodes(5);
-    net::Wheel wheel(0);
+TEST(TimerWheel, TimersOfOneTickComeInOrder) {
+    std::vector<net::TimerNode> nodes(5);
+    net::TimerWheel wheel(0);
     for (auto& n : nodes) wheel.add(n, 700'000);
     for (auto& n : nodes) EXPECT_EQ(wheel.due(800'000), &n);
     EXPECT_EQ(wheel.due(800'000), nullptr);
@@ -80,33 +80,33 @@
     EXPECT_EQ(fired, 0);
 }
 
-struct Peer : net::StreamUser {
+struct Peer : net::StreamHandler {
     std::unique_ptr<net::Stream> stream;
     bool open = false, ended = false, broken = false;
-    std::optional<net::NoStream> failure;
+    std::optional<net::ConnectError> failure;
     std::string got;
-    void connected() override { open = true; }
-    void connectFailed(net::NoStream why) override { failure = why; }
-    void readable() override {
+    void onConnected() override { open = true; }
+    void onConnectFailed(net::ConnectError why) override { failure = why; }
+    void onReadable() override {
         char buffer[4096];
         for (;;) {
-            const net::Moved m = stream->read(buffer);
+            const net::IoResult m = stream->read(buffer);
             got.append(buffer, m.bytes);
-            if (m.then == net::Moved::Then::Again) return;
-            if (m.then == net::Moved::Then::Ended) ended = true;
-            if (m.then == net::Moved::Then::Broken) broken = true;
-            if (m.then != net::Moved::Then::More) return;
+            if (m.status == net::IoResult::Status::WouldBlock) return;
+            if (m.status == net::IoResult::Status::EndOfStream) ended = true;
+            if (m.status == net::IoResult::Status::Broken) broken = true;
+            if (m.status != net::IoResult::Status::Ready) return;
         }
     }
-    void writable() override {}
+    void onWritable() override {}
 };
 
-struct Accepts : net::ListenerUser {
+struct Accepts : net::ListenerHandler {
     std::vector<std::unique_ptr<Peer>> peers;
-    void accepted(std::unique_ptr<net::Stream> s) override {
+    void onAccepted(std::unique_ptr<net::Stream> s) override {
         peers.push_back(std::make_unique<Peer>());
         peers.back()->stream = std::move(s);
-        peers.back()->stream->handTo(*peers.back());
+        peers.back()->stream->setHandler(*peers.back());
     }
 };
 
@@ -118,7 +118,7 @@
     client.stream = loop.net.connect(listener->at(), client);
     ASSERT_TRUE(loop.until([&] { return client.open && server.peers.size() == 1; }));
     client.stream->write("hello");
-    client.stream->finishWriting();
+    client.stream->shutdownWrite();
     ASSERT_TRUE(loop.until([&] { return server.peers[0]->ended; }));
     EXPECT_EQ(server.peers[0]->got, "hello");
     server.peers[0]->stream->write("still answered");
@@ -137,7 +137,7 @@
     Peer client;
     client.stream = loop.net.connect(at, client);
     ASSERT_TRUE(loop.until([&] { return client.failure.has_value(); }));
-    EXPECT_EQ(*client.failure, net::NoStream::Refused);
+    EXPECT_EQ(*client.failure, net::ConnectError::Refused);
 }
 
 TEST(Epoll, ManyThatComeAtOnceAreAllAccepted) {
@@ -175,7 +175,7 @@
     const bool told = loop.until([&] { return late.failure.has_value(); }, kSecond);
     setrlimit(RLIMIT_NOFILE, &before);
     EXPECT_TRUE(told);
-    EXPECT_EQ(late.failure, net::NoStream::OutOfDescriptors);
+    EXPECT_EQ(late.failure, net::ConnectError::OutOfDescriptors);
     EXPECT_EQ(server.peers.size(), 0u);
     EXPECT_TRUE(loop.until([&] { return server.peers.size() == 5; })) << "those that wait are taken later";
 }
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -46,7 +46,7 @@
     Json boxes = Json::array();
     for (std::size_t i = 0; i < servers.size(); ++i)
         boxes.push_back({{"instanceId", "s-0000000" + std::to_string(i)},
-                         {"hostPort", net::text(servers[i])},
+                         {"hostPort", net::toString(servers[i])},
                          {"zone", settings["zones"][i % settings["zones"].size()]},
                          {"machineType", settings["host_types"].back()},
                          {"cell", i},
@@ -54,10 +54,10 @@
                          {"weight", 1},
                          {"startedAtMs", 0}});
     return {{"name", "n0"},
-            {"listen", net::text(listen)},
+            {"listen", net::toString(listen)},
             {"seed", "8c1f30d27a5be964"},
             {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 256}}},
-            {"changelog", net::text(log)},
+            {"changelog", net::toString(log)},
             {"known",
              {{"seq", 1}, {"results", {{{"seq", 1}, {"fleet", {{"reset", true}, {"instances", boxes}}}}}}}},
             {"settings", settings}};
@@ -134,7 +134,7 @@
         return *node;
     }
     static net::Endpoint place(int n) {
-        return *net::endpointOf("10.0.0." + std::to_string(n + 1) + ":5060");
+        return *net::parseEndpoint("10.0.0." + std::to_string(n + 1) + ":5060");
     }
     void run(Micros time) { world.runUntil(world.now() + time); }
 };
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -69,7 +69,7 @@
     VirtualDay day(1);
     day.ask(50);
     day.run(kSecond);  // the connection is up
-    day.nodes[0]->standStill();
+    day.nodes[0]->pause();
     for (int n = 1; n <= 24; ++n) {
         Json setup = VirtualDay::start(n, "talk", "t" + std::to_string(n));
         setup["blob"] = std::string(15'000, 'x');
@@ -78,7 +78,7 @@
     }
     for (int n = 1; n <= 24; ++n) day.end(n);
     day.run(100'000);
-    day.nodes[0]->goOn();
+    day.nodes[0]->resume();
     day.run(kSecond);
     int arrived = 0;
     for (int n = 1; n <= 24; ++n) arrived += day.setupsOf(n);
@@ -95,11 +95,11 @@
     day.run(kSecond);
     day.servers[0]->resetAll();
     day.run(1'000);
-    day.nodes[0]->standStill();  // no connection comes up for a while
+    day.nodes[0]->pause();  // no connection comes up for a while
     day.end(1);
     day.run(700'000);
     EXPECT_EQ(day.servers[0]->standing.size(), 1u);
-    day.nodes[0]->goOn();
+    day.nodes[0]->resume();
     day.run(kSecond);
     EXPECT_TRUE(day.servers[0]->standing.empty());
 }
@@ -110,11 +110,11 @@
     VirtualDay day(1);
     for (int n = 1; n <= 3; ++n) day.ask(n, "talk", "t" + std::to_string(n));
     day.run(kSecond);
-    day.nodes[0]->standStill();
+    day.nodes[0]->pause();
     day.run(8 * kSecond);
     for (int n = 1; n <= 3; ++n) EXPECT_EQ(day.said(n), "+ 41") << n;
     EXPECT_EQ(day.servers[0]->standing.size(), 3u);
-    day.nodes[0]->goOn();
+    day.nodes[0]->resume();
     day.run(3 * kSecond);
     EXPECT_TRUE(day.servers[0]->standing.empty());
 }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -52,7 +52,7 @@
         for (unsigned i = 0; i < 5; ++i) {
             std::vector<fakes::PlatformLog::Box> boxes(chance() % 4);
             for (auto& box : boxes)
-                box = {static_cast<std::uint32_t>(chance() % 1000), *net::endpointOf("127.0.0.1:9"),
+                box = {static_cast<std::uint32_t>(chance() % 1000), *net::parseEndpoint("127.0.0.1:9"),
                        static_cast<int>(chance() % 3)};
             const int kind = boxes.empty() ? 0 : 1 + static_cast<int>(chance() % 2);
             bytes += fakes::PlatformLog::frame(i + 1, kind, boxes);
@@ -182,7 +182,7 @@
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    day.nodes[0]->standStill();
+    day.nodes[0]->pause();
     day.run(2 * kSecond);
     EXPECT_EQ(day.said(1), "+");  // a pause is no loss
     day.run(6 * kSecond);
@@ -436,7 +436,7 @@
     other.last = 1;
     day.front->reread("{ not JSON");  // passed over
     Json all = Json::parse(day.configuration());
-    all["changelog"] = net::text(other.at());
+    all["changelog"] = net::toString(other.at());
     day.front->reread(all.dump());
     day.run(500'000);
     ASSERT_EQ(other.asked, std::vector<std::uint64_t>{1});
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -15,28 +15,28 @@
 using namespace nodetest;
 
 // Reads only when it is told to.
-struct LateReader final : net::StreamUser {
+struct LateReader final : net::StreamHandler {
     LateReader(net::Net& net, const net::Endpoint& at) : stream(net.connect(at, *this)) {}
-    void connected() override {
+    void onConnected() override {
         ready = true;
-        writable();
+        onWritable();
     }
-    void readable() override {}
-    void writable() override {
+    void onReadable() override {}
+    void onWritable() override {
         if (ready) out.erase(0, stream->write(out).bytes);
     }
     void say(const std::string& bytes) {
         out += bytes;
-        writable();
+        onWritable();
     }
     // False once nothing more comes.
     bool readOn() {
         std::array<char, 4096> buffer;
         for (;;) {
-            const net::Moved now = stream->read(buffer);
-            if (now.then != net::Moved::Then::More) {
-                broken = now.then == net::Moved::Then::Broken;
-                return now.then == net::Moved::Then::Again;
+            const net::IoResult now = stream->read(buffer);
+            if (now.status != net::IoResult::Status::Ready) {
+                broken = now.status == net::IoResult::Status::Broken;
+                return now.status == net::IoResult::Status::WouldBlock;
             }
             got.append(buffer.data(), now.bytes);
         }
@@ -159,11 +159,11 @@
     const std::string whole = VirtualDay::start(2, "talk", "u").dump() + "\n";
     half->bytes(whole.substr(0, 100));
     day.run(1'500'000);
-    day.nodes[11]->standStill();
+    day.nodes[11]->pause();
     silent->say(VirtualDay::start(1));
     half->bytes(whole.substr(100));
     day.run(kSecond);
-    day.nodes[11]->goOn();
+    day.nodes[11]->resume();
     day.run(500'000);
     EXPECT_EQ(day.said(1), "+");
     EXPECT_EQ(day.said(2), "+");
@@ -340,7 +340,7 @@
 // The same front with other settings, instead of the day's own.
 void restart(VirtualDay& day, const std::function<void(Json&)>& change) {
     Json all = Json::parse(day.configuration());
-    all["listen"] = net::text(Virtual::place(15));
+    all["listen"] = net::toString(Virtual::place(15));
     change(all);
     day.front = std::make_unique<node::Node>(day.machine(15), "config.json", all.dump(), day.record);
     day.viewers = day.line();
@@ -353,11 +353,11 @@
         VirtualDay day;
         Ending end(day);
         end.until(550'000);
-        day.nodes[11]->standStill();
+        day.nodes[11]->pause();
         if (newConnection) day.viewers = day.line();
         day.ask(1);
         end.until(750'000);
-        day.nodes[11]->goOn();
+        day.nodes[11]->resume();
         end.until(2 * kSecond);
         EXPECT_EQ(day.said(1), "+");
     }
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -105,7 +105,7 @@
 TEST(SipMessage, AnswersCopyWhatTheyMustAndNothingEndsALine) {
     const auto p = sip::parse(invite("Record-Route: <sip:p@127.0.0.1;lr>\r\n"));
     ASSERT_TRUE(p.got);
-    const auto peer = *net::endpointOf("127.0.0.9:6000");
+    const auto peer = *net::parseEndpoint("127.0.0.9:6000");
     const std::string text = sip::response(*p.got, 503, "tt", {{"Retry-After", "3\r\nX: y"}}, "", &peer);
     EXPECT_NE(text.find("received=127.0.0.9"), std::string::npos);
     EXPECT_NE(text.find("rport=6000"), std::string::npos);
@@ -129,7 +129,7 @@
     EXPECT_TRUE(read->hasVideo && read->wantsVideo);
     EXPECT_EQ(read->mostBits, 700'000u);
     EXPECT_EQ(read->videoPort, 4002);
-    const std::string answer = sip::writeAnswer(*read, *net::endpointOf("127.0.0.1:9001"), 224'000, 5, 1);
+    const std::string answer = sip::writeAnswer(*read, *net::parseEndpoint("127.0.0.1:9001"), 224'000, 5, 1);
     EXPECT_NE(answer.find("m=audio 0 RTP/AVP 0\r\n"), std::string::npos);
     EXPECT_NE(answer.find("m=video 9001 RTP/AVP 96 97\r\nb=AS:224\r\nb=TIAS:224000\r\na=sendonly\r\n"),
               std::string::npos);
@@ -168,16 +168,16 @@
     EXPECT_FALSE(small.feed("b"));
 }
 
-struct Sends : sip::TransactionUser {
+struct Sends : sip::TransactionHandler {
     std::vector<std::string> sent, unheard;
-    void sendOn(const sip::Way&, const std::string& bytes) override { sent.push_back(bytes); }
-    void neverAcknowledged(const std::string& key) override { unheard.push_back(key); }
+    void sendTo(const sip::ReplyRoute&, const std::string& bytes) override { sent.push_back(bytes); }
+    void onAckTimeout(const std::string& key) override { unheard.push_back(key); }
 };
 struct TransactionRig {
     HandNet net;
     Sends user;
     sip::Transactions all{net, {}, 3, user};
-    sip::Way way{false, 0, *net::endpointOf("127.0.0.1:5071")};
+    sip::ReplyRoute way{false, 0, *net::parseEndpoint("127.0.0.1:5071")};
     Message ask = *sip::parse(invite()).got;
     Message ack = *sip::parse(invite("", "", "z9hG4bKa1", "ACK")).got;
     std::string key = sip::Transactions::keyOf(ask);
@@ -185,9 +185,9 @@
 
 TEST(Transactions, ARetransmissionCostsAtMostTheLastAnswer) {
     TransactionRig rig;
-    using Came = sip::Transactions::Came;
-    EXPECT_EQ(rig.all.request(rig.ask, rig.way), Came::New);
-    EXPECT_EQ(rig.all.request(rig.ask, rig.way), Came::Absorbed);
+    using RequestDisposition = sip::Transactions::RequestDisposition;
+    EXPECT_EQ(rig.all.request(rig.ask, rig.way), RequestDisposition::New);
+    EXPECT_EQ(rig.all.request(rig.ask, rig.way), RequestDisposition::Absorbed);
     EXPECT_TRUE(rig.user.sent.empty()) << "nothing was answered yet";
     rig.all.answer(rig.key, 100, "trying");
     rig.all.request(rig.ask, rig.way);
@@ -232,8 +232,8 @@
     TransactionRig rig;
     for (int i = 0; i < 3; ++i)
         EXPECT_EQ(rig.all.request(*sip::parse(invite("", "", "z9hG4bK" + std::to_string(i))).got, rig.way),
-                  sip::Transactions::Came::New);
-    EXPECT_EQ(rig.all.request(rig.ask, rig.way), sip::Transactions::Came::Full);
+                  sip::Transactions::RequestDisposition::New);
+    EXPECT_EQ(rig.all.request(rig.ask, rig.way), sip::Transactions::RequestDisposition::Full);
     Message cancel = *sip::parse(invite("", "", "z9hG4bKa1", "CANCEL")).got;
     EXPECT_NE(sip::Transactions::keyOf(cancel), rig.key) << "a CANCEL is a transaction of its own";
     Message old = rig.ask;
@@ -244,7 +244,7 @@
 // The loss law against a plain model of a server: offered load far over what it serves must settle near what
 // it serves, and go back to none when the load does.
 TEST(Overload, SettlesUnderAFloodAndLetsGoAfterIt) {
-    sip::OverloadTerms terms;
+    sip::OverloadSettings terms;
     sip::Overload control(terms);
     std::mt19937 chance(3);
     std::uniform_real_distribution<double> draw(0, 1);
@@ -282,14 +282,14 @@
     EXPECT_FALSE(control.shed(0, false, true, 5)) << "an emergency is never shed";
 }
 
-TEST(Glance, SeesWhatTheWholeReaderSeesOrNothing) {
+TEST(PrefilteredRequest, SeesWhatTheWholeReaderSeesOrNothing) {
     std::mt19937_64 chance(5);
     int seen = 0;
     for (int i = 0; i < 2'000; ++i) {
         std::string text = invite("Subject: s" + std::to_string(chance() % 100) + "\r\n", "abc");
         if (i % 2)  // one byte made another, anywhere in it
             text[chance() % text.size()] = static_cast<char>(chance() % 256);
-        const auto g = sip::glance(text);
+        const auto g = sip::prefilter(text);
         if (!g) continue;
         ++seen;
         const auto p = sip::parse(text);
@@ -300,7 +300,7 @@
         EXPECT_EQ(g->callId, p.got->callId) << text;
         EXPECT_EQ(g->toHasTag, !p.got->to.tag.empty()) << text;
         EXPECT_EQ(g->inviteKey(), sip::Transactions::keyOf(*p.got)) << text;
-        const auto peer = *net::endpointOf("127.0.0.9:6000");
+        const auto peer = *net::parseEndpoint("127.0.0.9:6000");
         const auto back = sip::parse(sip::refusal(*g, "503 Service Unavailable", "tt", ";oc=5", 3, peer));
         ASSERT_TRUE(back.got) << back.why;
         EXPECT_EQ(back.got->status, 503);
@@ -310,18 +310,18 @@
     EXPECT_GT(seen, 1'000);
 }
 
-TEST(Glance, LeavesTheUncommonToTheWholeReader) {
-    EXPECT_TRUE(sip::glance(invite("")));
-    EXPECT_FALSE(sip::glance(invite("v: SIP/2.0/UDP 127.0.0.2;branch=z9hG4bK1\r\n"))) << "compact";
-    EXPECT_FALSE(sip::glance(invite("Subject: a\r\n b\r\n"))) << "folded";
-    EXPECT_FALSE(sip::glance(invite("Resource-Priority: ets.0\r\n"))) << "an emergency";
-    EXPECT_FALSE(sip::glance(invite("Via: SIP/2.0/UDP 127.0.0.2;branch=z9hG4bK1\r\n"))) << "by a proxy";
-    EXPECT_FALSE(sip::glance("OPTIONS sip:a SIP/2.0\r\n\r\n"));
-    EXPECT_FALSE(sip::glance(""));
+TEST(PrefilteredRequest, LeavesTheUncommonToTheWholeReader) {
+    EXPECT_TRUE(sip::prefilter(invite("")));
+    EXPECT_FALSE(sip::prefilter(invite("v: SIP/2.0/UDP 127.0.0.2;branch=z9hG4bK1\r\n"))) << "compact";
+    EXPECT_FALSE(sip::prefilter(invite("Subject: a\r\n b\r\n"))) << "folded";
+    EXPECT_FALSE(sip::prefilter(invite("Resource-Priority: ets.0\r\n"))) << "an emergency";
+    EXPECT_FALSE(sip::prefilter(invite("Via: SIP/2.0/UDP 127.0.0.2;branch=z9hG4bK1\r\n"))) << "by a proxy";
+    EXPECT_FALSE(sip::prefilter("OPTIONS sip:a SIP/2.0\r\n\r\n"));
+    EXPECT_FALSE(sip::prefilter(""));
 }
 
 TEST(Refused, RemembersWhatItTurnedAwayInABoundedTable) {
-    sip::Refused refused(100);
+    sip::RefusedRequests refused(100);
     for (std::uint64_t i = 1; i <= 128; ++i) refused.remember(i * 0x9e3779b97f4a7c15ull);
     EXPECT_TRUE(refused.knows(128 * 0x9e3779b97f4a7c15ull));
     EXPECT_FALSE(refused.knows(12'345));
