--- a/fuzz/kdl.cpp
+++ b/fuzz/kdl.cpp
@@ -10,7 +10,7 @@
         const auto nodes = parseKdl("f", std::string_view(reinterpret_cast<const char*>(data), size));
         const std::string once = printKdl(nodes);
         if (printKdl(parseKdl("f", once)) != once) std::abort();
-    } catch (const Wrong&) {
+    } catch (const SettingsError&) {
     }
     return 0;
 }
--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -15,7 +15,7 @@
         const ServerList list = parseServerList("f", text, {"k"}, {});
         if (parseServerList("f", formatServerList(list, {"k"}), {"k"}, {}).boxes.size() != list.boxes.size())
             std::abort();
-    } catch (const valekeel::settings::Wrong&) {
+    } catch (const valekeel::settings::SettingsError&) {
     }
     return 0;
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -38,15 +38,15 @@
     net::raiseDescriptorLimit();
     const std::uint64_t used = seed ? seed : someSeed();
     net::EpollNet real(used);
-    const front::OtherDecide other =
-        decisions.empty() ? front::OtherDecide{} : simulation::baseline(decisions);
+    const front::ModuleOverride other =
+        decisions.empty() ? front::ModuleOverride{} : simulation::baseline(decisions);
     front::Front front(real, document, used, static_cast<std::uint64_t>(real.wallNow() / 1000), other);
     std::fprintf(stderr, "valekeel: serving on http://%s\n", net::toString(front.http()).c_str());
     if (!portFile.empty()) {
         {
             std::ofstream out(portFile + ".new");
             out << net::toString(front.http()) << "\n";
-            if (front.sip()) out << net::toString(front.sip()->at()) << "\n";
+            if (front.sipFrontend()) out << net::toString(front.sipFrontend()->at()) << "\n";
         }
         std::filesystem::rename(portFile + ".new", portFile);
     }
@@ -64,14 +64,14 @@
 int node(const std::string& level) {
     const char* path = std::getenv("BALANCER_CONFIG");
     if (!path) throw std::invalid_argument("BALANCER_CONFIG names no file");
-    const std::string text = settings::textOfFile(path);
+    const std::string text = settings::readFile(path);
     net::EpollNet real(node::seedOf(node::readConfiguration(path, text)));
-    logging::Log log("-", logging::levelOf(level), 5);
+    logging::Log log("-", logging::parseLevel(level), 5);
     node::Node front(real, path, text, log);
     real.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int which) {
         if (which != SIGHUP) return front.stop([&] { real.stop(); });
         try {
-            front.reread(settings::textOfFile(path));
+            front.reread(settings::readFile(path));
         } catch (const std::exception& e) {  // half way through being replaced: the one held applies
             std::fprintf(stderr, "valekeel: %s\n", e.what());
         }
@@ -86,7 +86,7 @@
     const auto document = settings::Document::fromFile(file);
     front::Front::check(document);
     if (print)
-        std::cout << document.inForce();
+        std::cout << document.effectiveText();
     else
         std::cout << file << ": in order\n";
     return kDone;
@@ -96,7 +96,7 @@
 int boxes(const std::string& site, int count, int firstPort, double linkKb, const std::string& listFile,
           const std::string& ledgerFile, Micros length) {
     const auto document = settings::Document::fromFile(site);
-    settings::Cursor top(document);
+    settings::NodeReader top(document);
     const Ladder ladder = settings::readLadder(top);
     const settings::RoomTypes rooms = settings::readRoomTypes(top, ladder);
     const settings::Machines machines = settings::readMachines(top);
@@ -149,10 +149,10 @@
         if (text.str() == last || text.str().empty()) return;
         last = text.str();
         const auto document = settings::Document::fromText(file, last);
-        settings::Cursor top(document);
+        settings::NodeReader top(document);
         top.one("version");
         std::vector<fakes::ListedBox> all;
-        for (settings::Cursor& node : top.each("box")) {
+        for (settings::NodeReader& node : top.each("box")) {
             fakes::ListedBox box;
             box.id = static_cast<int>(node.numbers("a box's number", 0, 1e9).front());
             box.at = node.text("at", "");
@@ -228,7 +228,7 @@
 int playDay(const Played& how) {
     const auto& [file, decisions, given, ledgerFile, jsonFile, sets, seed, real, quiet] = how;
     std::string folder = given;
-    const std::string text = settings::textOfFile(file);
+    const std::string text = settings::readFile(file);
     std::vector<std::pair<std::string, std::string>> changes;
     for (const std::string& one : sets) {
         const auto equals = one.find('=');
@@ -282,7 +282,7 @@
     ways.terminal = ::isatty(STDERR_FILENO) == 1;
     const int failed = reportOnly ? 0 : experiment::carryOut(plan, ways);
     experiment::report(plan, ways);
-    std::cout << settings::textOfFile(ways.out + "/report.md");
+    std::cout << settings::readFile(ways.out + "/report.md");
     return failed ? kFound : kDone;
 }
 
@@ -491,7 +491,7 @@
     }
     try {
         return chosen();
-    } catch (const settings::Wrong& e) {
+    } catch (const settings::SettingsError& e) {
         std::cerr << e.what() << "\n";
         return kWrongCall;
     } catch (const std::invalid_argument& e) {
--- a/src/discovery/list_follower.cpp
+++ b/src/discovery/list_follower.cpp
@@ -48,7 +48,7 @@
             }
             version_ = list.version;
             user_.onList(list.boxes, false);
-        } catch (const settings::Wrong& wrong) {
+        } catch (const settings::SettingsError& wrong) {
             user_.onListAnomaly(wrong.brief);  // half written, or mistaken: the one held still applies
         }
     }
@@ -151,7 +151,7 @@
             } else {
                 user_.onListChange(list.boxes);
             }
-        } catch (const settings::Wrong& wrong) {
+        } catch (const settings::SettingsError& wrong) {
             user_.onListAnomaly(wrong.brief);
             if (!whole) gap_ = true;  // what it should have changed is not known
         }
@@ -198,7 +198,7 @@
 }
 
 void saveServerList(const std::string& path, const ServerList& list, const ListNames& names) {
-    settings::keepText(path, formatServerList(list, names));
+    settings::writeFileAtomically(path, formatServerList(list, names));
 }
 
 }  // namespace valekeel::discovery
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -41,7 +41,7 @@
     const settings::Document document = settings::Document::fromText(file, text);
     if (text.size() > limits.bytes)
         document.wrong({}, "the list is longer than " + std::to_string(limits.bytes) + " bytes");
-    settings::Cursor top(document);
+    settings::NodeReader top(document);
     ServerList out;
     if (auto version = top.one("version")) {
         const auto number = version->numbers("the version", 0, 9e15);
@@ -49,11 +49,12 @@
         version->finish();
     }
     std::set<std::uint32_t> seen;
-    const auto placeOf = [](settings::Cursor& box, const char* what, const std::vector<std::string>& known,
+    const auto placeOf = [](settings::NodeReader& box, const char* what,
+                            const std::vector<std::string>& known,
                             const char* title) {  // the first if the line does not say
         return box.placeOf(what, known, known.empty() ? "" : known.front(), title, "in the settings");
     };
-    for (settings::Cursor& box : top.each("box")) {
+    for (settings::NodeReader& box : top.each("box")) {
         if (out.boxes.size() >= limits.boxes)
             box.wrong("the list names more than " + std::to_string(limits.boxes) + " boxes");
         ServerListEntry line;
--- a/src/evidence/evidence_file.cpp
+++ b/src/evidence/evidence_file.cpp
@@ -15,15 +15,15 @@
 
 EvidenceFile parseEvidenceFile(const std::string& file, const std::string& text, std::size_t most) {
     const settings::Document document = settings::Document::fromText(file, text);
-    settings::Cursor top(document);
+    settings::NodeReader top(document);
     EvidenceFile out;
-    settings::Cursor head = top.need("learnt");
+    settings::NodeReader head = top.need("learnt");
     const auto version = head.numbers("the version", 0, 1e9);
     if (version.size() != 1 || version[0] != 1) head.wrong("version 1 is expected");
     out.savedAt = head.whole("saved-us", 0, 4'000'000'000'000'000);
     head.finish();
     std::set<std::uint32_t> seen;
-    for (settings::Cursor& box : top.each("box")) {
+    for (settings::NodeReader& box : top.each("box")) {
         if (out.boxes.size() >= most) box.wrong("more than " + std::to_string(most) + " boxes");
         const auto id = box.numbers("a box's number", 0, 4294967295.0);
         if (id.size() != 1 || id[0] != static_cast<double>(static_cast<std::uint32_t>(id[0])) ||
@@ -61,7 +61,7 @@
 }
 
 void saveEvidenceFile(const std::string& path, const EvidenceFile& kept) {
-    settings::keepText(path, formatEvidenceFile(kept));
+    settings::writeFileAtomically(path, formatEvidenceFile(kept));
 }
 
 }  // namespace valekeel::evidence
--- a/src/experiment/experiment.cpp
+++ b/src/experiment/experiment.cpp
@@ -66,7 +66,7 @@
 
 int carryOut(const Plan& plan, const Ways& ways) {
     Store store(ways.store);
-    const std::string program = hashOf(settings::textOfFile(ways.program));
+    const std::string program = hashOf(settings::readFile(ways.program));
     const std::vector<Case> cases = plan.cases();
     const std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("valekeel-experiment-" + hashOf(ways.store + program));
@@ -83,8 +83,8 @@
     for (const Run& run : plan.runs()) {
         const Case& c = cases[run.of];
         Job job;
-        const std::string day = simulation::withSettings(
-            c.day, settings::textOfFile(ways.folder + "/" + c.day), plan.settingsOf(c));
+        const std::string day = simulation::withSettings(c.day, settings::readFile(ways.folder + "/" + c.day),
+                                                         plan.settingsOf(c));
         job.kept.plan = plan.name;
         job.kept.caseName = plan.nameOf(c);
         job.kept.seed = run.seed;
@@ -130,7 +130,7 @@
             ++done;
             ++fresh;
             if (std::filesystem::exists(it->json)) {
-                it->kept.result = settings::textOfFile(it->json);
+                it->kept.result = settings::readFile(it->json);
                 it->kept.load = loadNow();
                 it->kept.seconds = seconds(net.now() - it->begun);
                 store.keep(it->kept);
--- a/src/experiment/plan.cpp
+++ b/src/experiment/plan.cpp
@@ -4,20 +4,20 @@
 
 namespace valekeel::experiment {
 
-using settings::Cursor;
+using settings::NodeReader;
 
 namespace {
 
-Factor readFactor(Cursor& node) {
+Factor readFactor(NodeReader& node) {
     Factor f;
     f.name = node.argument("its name");
     if (node.has("set")) f.sets.push_back(node.text("set"));
-    for (Cursor& one : node.each("set")) {
+    for (NodeReader& one : node.each("set")) {
         f.sets.push_back(one.argument("a setting, as \"audience@rate\""));
         one.finish();
     }
     if (f.sets.empty()) node.wrong("a factor is expected to set something: set=\"audience@rate\"");
-    for (Cursor& one : node.each("level")) {
+    for (NodeReader& one : node.each("level")) {
         Level level;
         level.name = one.text("as", "");
         level.values = one.asWritten();
@@ -37,21 +37,21 @@
 
 Plan readPlan(const settings::Document& document) {
     Plan p;
-    Cursor top(document);
-    Cursor head = top.need("experiment");
+    NodeReader top(document);
+    NodeReader head = top.need("experiment");
     p.name = head.argument("its name");
     if (p.name.empty() || p.name.find('/') != std::string::npos) head.wrong("a name without '/' is expected");
     p.atOnce = static_cast<int>(head.whole("at-once", 1, 64, 1));
     p.real = head.flag("real", false);
     p.decisions = head.choice("decisions", {"", "random", "least-load"}, "");
     head.finish();
-    for (Cursor& node : top.each("day")) {
+    for (NodeReader& node : top.each("day")) {
         p.days.push_back(node.argument("a day's file"));
         node.finish();
     }
     if (p.days.empty()) top.wrong("at least one 'day' is expected");
-    for (Cursor& node : top.each("factor")) p.factors.push_back(readFactor(node));
-    Cursor seeds = top.need("seeds");
+    for (NodeReader& node : top.each("factor")) p.factors.push_back(readFactor(node));
+    NodeReader seeds = top.need("seeds");
     for (const double s : seeds.numbers("seeds", 0, 1e9)) p.seeds.push_back(static_cast<std::uint64_t>(s));
     if (p.seeds.empty()) seeds.wrong("at least one seed is expected");
     seeds.finish();
@@ -59,7 +59,7 @@
         p.shows = node->texts("measures");
         node->finish();
     }
-    for (Cursor& node : top.each("chart")) {
+    for (NodeReader& node : top.each("chart")) {
         ChartWanted c;
         c.over = node.text("over");
         c.measures = node.texts("measures");
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -13,7 +13,7 @@
 namespace valekeel::front {
 namespace {
 
-using settings::Cursor;
+using settings::NodeReader;
 
 constexpr Micros kHour = 3'600 * kSecond;
 
@@ -31,10 +31,10 @@
     settings::Talks talks;
     net::Endpoint http;
     std::optional<net::Endpoint> sip;
-    frontends::SipTerms sipTerms;
+    frontends::SipFrontendSettings sipTerms;
     http::HttpLimits wire;
     hints::HintLimits hints;
-    frontends::HttpTerms terms;
+    frontends::HttpFrontendSettings terms;
     upstream::UpstreamLimits boxes;
     core::CoreLimits core;
     Micros deliveryWindow = kSecond;
@@ -56,7 +56,7 @@
     Micros stopWithin = 10 * kSecond;
 };
 
-void readWire(Cursor& top, Told& t) {
+void readWire(NodeReader& top, Told& t) {
     if (auto node = top.one("http")) {
         t.http = node->address("listen");
         http::HttpLimits& w = t.wire;
@@ -74,15 +74,15 @@
         top.wrong("a node 'http' is expected: http listen=\"127.0.0.1:8080\"");
     }
     {
-        Cursor node = top.here("hints");
+        NodeReader node = top.here("hints");
         t.hints.fieldBytes = static_cast<std::size_t>(node.whole("field-bytes", 64, 100'000, 4'096));
         t.hints.keys = static_cast<std::size_t>(node.whole("keys", 1, 1'000, 64));
         t.hints.customBytes = static_cast<std::size_t>(node.whole("custom-bytes", 1, 10'000, 128));
         node.finish();
     }
     {
-        Cursor node = top.here("viewers");
-        frontends::HttpTerms& v = t.terms;
+        NodeReader node = top.here("viewers");
+        frontends::HttpFrontendSettings& v = t.terms;
         v.window.ahead = node.time("ahead", 0, kHour, v.window.ahead);
         v.window.behind = node.time("behind", 0, kHour, v.window.behind);
         v.silentAfter = node.time("silent-after", 100'000, kHour, v.silentAfter);
@@ -102,7 +102,7 @@
         if (timeout <= 2 * t.core.answerMargin)
             top.wrong("a client timeout of a room type is expected to be over twice viewers answer-margin=");
     {
-        Cursor node = top.here("boxes");
+        NodeReader node = top.here("boxes");
         upstream::UpstreamLimits& b = t.boxes;
         b.connections = static_cast<std::size_t>(node.whole("connections", 1, 100'000, 256));
         b.waiting = static_cast<std::size_t>(node.whole("waiting", 0, 1'000'000, 1'024));
@@ -116,11 +116,11 @@
     t.core.reportEvery = t.tidings.every;
 }
 
-void readSip(Cursor& top, Told& t) {
+void readSip(NodeReader& top, Told& t) {
     auto node = top.one("sip");
     if (!node) return;
     t.sip = node->address("listen");
-    frontends::SipTerms& s = t.sipTerms;
+    frontends::SipFrontendSettings& s = t.sipTerms;
     s.limits.bytes = static_cast<std::size_t>(node->whole("message-bytes", 1'024, 65'535, 65'535));
     s.limits.headers = static_cast<std::size_t>(node->whole("headers", 16, 10'000, 100));
     s.transactions = static_cast<std::size_t>(node->whole("transactions", 1, 10'000'000, 20'000));
@@ -144,8 +144,8 @@
     node->finish();
 }
 
-void readList(Cursor& top, Told& t) {
-    Cursor node = top.need("list");
+void readList(NodeReader& top, Told& t) {
+    NodeReader node = top.need("list");
     t.listFile = node.text("file", "");
     if (node.has("stream")) t.listAt = node.address("stream");
     t.listPath = node.text("path", "/boxes");
@@ -160,8 +160,8 @@
     node.finish();
 }
 
-void readAdmission(Cursor& top, Told& t) {
-    Cursor node = top.here("admission");
+void readAdmission(NodeReader& top, Told& t) {
+    NodeReader node = top.here("admission");
     t.gateBound.most = static_cast<std::size_t>(node.whole("waiting", 1, 1'000'000, 1'000));
     t.gateBound.least = static_cast<std::size_t>(node.whole("waiting-least", 1, 1'000'000, 64));
     t.gateBound.target = node.time("target-wait", 0, kHour, t.gateBound.target);
@@ -177,7 +177,7 @@
     t.gateConnections = static_cast<std::size_t>(node.whole("connections-each", 1, 1'000'000, 2'000));
     t.prefix4 = static_cast<int>(node.whole("prefix4", 1, 32, 24));
     t.prefix6 = static_cast<int>(node.whole("prefix6", 1, 128, 56));
-    for (Cursor& network : node.each("network")) {
+    for (NodeReader& network : node.each("network")) {
         const std::string text = network.argument("its prefix");
         const auto prefix = admission::prefixOf(text);
         if (!prefix)
@@ -192,8 +192,8 @@
 
 Told readAll(const settings::Document& document) {
     Told t;
-    Cursor top(document);
-    Cursor front = top.need("front");
+    NodeReader top(document);
+    NodeReader front = top.need("front");
     t.name = front.argument("its name");
     if (t.name.empty() || t.name.size() > 64 ||
         t.name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
@@ -207,26 +207,26 @@
     t.machines.fleet.zone =
         ZoneId{front.placeOf("zone", t.machines.zones, "", "a zone", "among those of 'fleet'")};
     front.finish();
-    t.cold = settings::readColdTerms(top);
+    t.cold = settings::readColdStartLimits(top);
     t.budget = settings::readJoinBudget(top);
-    t.tidings = settings::readTidings(top);
-    t.allowed = settings::readAllowed(top);
-    t.prices = settings::readPrices(top);
+    t.tidings = settings::readReportTiming(top);
+    t.allowed = settings::readSubscriptionLimits(top);
+    t.prices = settings::readServingCosts(top);
     t.talks = settings::readTalks(top, t.machines.fleet);
     readWire(top, t);
     readSip(top, t);
     readList(top, t);
     readAdmission(top, t);
     {
-        Cursor node = top.here("learnt");
+        NodeReader node = top.here("learnt");
         t.learntFile = node.text("file", "");
         t.learntEvery = node.time("every", 100'000, kHour, t.learntEvery);
         t.learntFor = node.time("keep-for", 0, kHour, t.learntFor);
         node.finish();
     }
-    Cursor log = top.here("log");
+    NodeReader log = top.here("log");
     t.logFile = log.text("file", "-");
-    t.logLevel = logging::levelOf(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
+    t.logLevel = logging::parseLevel(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
     t.logWarnings = static_cast<int>(log.whole("warnings-a-second", 1, 100'000, 20));
     log.finish();
     top.finish();
@@ -244,8 +244,8 @@
     upstream::JoinClient joins;
     admission::AdmissionController gate;
     std::unique_ptr<core::Core> core;
-    std::unique_ptr<frontends::HttpFace> face;
-    std::unique_ptr<frontends::SipFace> sip;
+    std::unique_ptr<frontends::HttpFrontend> face;
+    std::unique_ptr<frontends::SipFrontend> sip;
     std::unique_ptr<discovery::ListFollower> follower;
     discovery::ServerList held;
     evidence::EvidenceFile earlier;  // what an earlier life had learnt, until the list has come
@@ -253,7 +253,7 @@
     std::function<void()> stopped;
     Micros stopBy = 0;
 
-    Parts(net::Net& net, Told given, std::uint64_t seed, std::uint64_t epoch, const OtherDecide& other)
+    Parts(net::Net& net, Told given, std::uint64_t seed, std::uint64_t epoch, const ModuleOverride& other)
         : net(net),
           told(std::move(given)),
           log(told.logFile, told.logLevel, told.logWarnings),
@@ -294,10 +294,11 @@
         joins.connect(*core);
         readLearnt();
         readKept();
-        const frontends::Surroundings around{net,  told.name, told.talks, told.rooms, told.ladder,
-                                             gate, *core,     boxes,      joins,      log};
-        face = std::make_unique<frontends::HttpFace>(around, told.http, told.wire, told.terms, told.hints);
-        if (told.sip) sip = std::make_unique<frontends::SipFace>(around, *told.sip, told.sipTerms, seed);
+        const frontends::FrontendContext around{net,  told.name, told.talks, told.rooms, told.ladder,
+                                                gate, *core,     boxes,      joins,      log};
+        face =
+            std::make_unique<frontends::HttpFrontend>(around, told.http, told.wire, told.terms, told.hints);
+        if (told.sip) sip = std::make_unique<frontends::SipFrontend>(around, *told.sip, told.sipTerms, seed);
         flushing.after(kSecond);
         if (!told.learntFile.empty()) keeping.after(told.learntEvery);
         line(logging::Level::Info, "started",
@@ -305,7 +306,7 @@
     }
 
     void line(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
-        log.line(level, net.now(), net.wallNow(), what, std::move(fields));
+        log.write(level, net.now(), net.wallNow(), what, std::move(fields));
     }
 
     discovery::ListNames names() const { return {told.machines.kinds, told.machines.zones}; }
@@ -433,7 +434,7 @@
         try {
             if (!std::filesystem::exists(told.learntFile)) throw std::runtime_error("there is none");
             evidence::EvidenceFile kept = evidence::parseEvidenceFile(
-                told.learntFile, settings::textOfFile(told.learntFile), told.listLimits.boxes);
+                told.learntFile, settings::readFile(told.learntFile), told.listLimits.boxes);
             const Micros since = net.wallNow() - kept.savedAt;
             if (since < 0 || since > told.learntFor) throw std::runtime_error("it is of another time");
             for (evidence::EvidenceEntry& b : kept.boxes) b.what.age += since;
@@ -477,7 +478,7 @@
     void readKept() {
         if (told.listKept.empty() || !std::filesystem::exists(told.listKept)) return;
         try {
-            held = discovery::parseServerList(told.listKept, settings::textOfFile(told.listKept), names(),
+            held = discovery::parseServerList(told.listKept, settings::readFile(told.listKept), names(),
                                               told.listLimits);
             onList(held.boxes, true);
         } catch (const std::exception& e) {
@@ -507,7 +508,7 @@
 };
 
 Front::Front(net::Net& net, const settings::Document& document, std::uint64_t seed, std::uint64_t epoch,
-             const OtherDecide& other)
+             const ModuleOverride& other)
     : parts_(std::make_unique<Parts>(net, readAll(document), seed, epoch, other)) {}
 Front::~Front() {
     if (parts_) {
@@ -520,10 +521,10 @@
 net::Endpoint Front::http() const {
     return parts_->face->at();
 }
-frontends::HttpFace& Front::face() {
+frontends::HttpFrontend& Front::httpFrontend() {
     return *parts_->face;
 }
-frontends::SipFace* Front::sip() {
+frontends::SipFrontend* Front::sipFrontend() {
     return parts_->sip.get();
 }
 core::Core& Front::core() {
@@ -531,8 +532,8 @@
 }
 void Front::stop(Micros playOn, std::function<void()> done) {
     parts_->line(logging::Level::Info, "stopping", {{"play_on_us", playOn}});
-    parts_->face->stopTaking();
-    if (parts_->sip) parts_->sip->stopTaking();
+    parts_->face->stopAccepting();
+    if (parts_->sip) parts_->sip->stopAccepting();
     parts_->stopped = std::move(done);
     parts_->stopBy = parts_->net.now() + playOn;
     parts_->stopping.after(0);
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -16,7 +16,7 @@
 namespace valekeel::front {
 
 // What may be put in the place of the module: a baseline in the drill, a broken one in tests.
-using OtherDecide = std::function<std::unique_ptr<core::DecisionModule>(
+using ModuleOverride = std::function<std::unique_ptr<core::DecisionModule>(
     Host&, Micros now, std::uint64_t seed, const std::vector<RoomType>&, const Fleet&, const Ladder&,
     const SubscriptionLimits&)>;
 
@@ -25,12 +25,12 @@
     // Throws settings::Wrong or std::runtime_error before anything is started. `epoch` sets this life apart
     // from earlier ones of the same name.
     Front(net::Net&, const settings::Document&, std::uint64_t seed, std::uint64_t epoch,
-          const OtherDecide& other = {});
+          const ModuleOverride& other = {});
     ~Front();
 
     net::Endpoint http() const;
-    frontends::HttpFace& face();
-    frontends::SipFace* sip();  // nothing where the settings name none
+    frontends::HttpFrontend& httpFrontend();
+    frontends::SipFrontend* sipFrontend();  // nothing where the settings name none
     core::Core& core();
     // Nothing new is taken; what was taken is answered; what plays goes on for `playOn`, then ends. Calls
     // back once all is said.
--- a/src/frontends/frontend_context.hpp
+++ b/src/frontends/frontend_context.hpp
@@ -14,7 +14,7 @@
 
 // What each face of a front stands among: the talks and room types that it may be asked for, and the one
 // gate, core and record that it shares with the others. All of it outlives the faces.
-struct Surroundings {
+struct FrontendContext {
     net::Net& net_;
     std::string name_;  // of the front
     const settings::Talks& talks_;
@@ -28,13 +28,14 @@
 };
 
 // Whole seconds, rounded up, one at least: as Retry-After and the SIP timers' headers want them.
-inline std::string wholeSecondsUp(Micros t) {
+inline std::string ceilToSeconds(Micros t) {
     return std::to_string(std::max<Micros>(1, (t + kSecond - 1) / kSecond));
 }
 
 // For a viewer that can use so many kbit/s: the best rung under that, never under the room type's floor.
-inline SubscriptionRequest wishFor(RoomTypeId room, const std::string& title, const settings::Talk& talk,
-                                   const Ladder& ladder, const RoomType& type, double kbits) {
+inline SubscriptionRequest subscriptionRequestFor(RoomTypeId room, const std::string& title,
+                                                  const settings::Talk& talk, const Ladder& ladder,
+                                                  const RoomType& type, double kbits) {
     SubscriptionRequest wish;
     wish.room = room;
     wish.title = TitleId{title};
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-struct HttpFace::Viewer {
+struct HttpFrontend::Viewer {
     std::string token, sidKey, title;
     SubId sub;
     RoomTypeId room;
@@ -24,18 +24,18 @@
     int rung = 0, rungSeen = 0;
     Micros startedAt = 0;
     std::optional<Micros> delivered;  // kbit/s, of the last segment
-    Window window;
+    PlaylistWindow window;
     std::vector<std::unique_ptr<Waiter>> waiters;
     std::size_t fetches = 0;
     std::uint64_t segments = 0, bytes = 0;
     std::unique_ptr<net::Timer> silence;
-    Viewer(const WindowTerms& terms) : window(terms) {}
+    Viewer(const PlaylistWindowSettings& terms) : window(terms) {}
 };
 
 // A request that waits for its subscription's answer.
-class HttpFace::Waiter final : public http::ExchangeHandler {
+class HttpFrontend::Waiter final : public http::ExchangeHandler {
   public:
-    Waiter(HttpFace& face, std::string token, http::Exchange& exchange)
+    Waiter(HttpFrontend& face, std::string token, http::Exchange& exchange)
         : face_(face), token_(std::move(token)), exchange_(&exchange) {
         exchange.setHandler(this);
     }
@@ -50,16 +50,16 @@
         // Once the last connection that waits is lost, the viewer may still come back by its sid.
         if (Viewer* viewer = face_.byToken(token_)) viewer->silence->after(face_.terms_.closedAfter);
     }
-    HttpFace& face_;
+    HttpFrontend& face_;
     std::string token_;
     http::Exchange* exchange_;
 };
 
 // One fetch from a box for a viewer: the playlist first, where it isn't known, then what was asked for.
-class HttpFace::Relay final : public upstream::UpstreamRequestHandler, public http::ExchangeHandler {
+class HttpFrontend::Relay final : public upstream::UpstreamRequestHandler, public http::ExchangeHandler {
   public:
-    enum class What { Window, Init, Segment };
-    Relay(HttpFace& face, std::uint64_t key, Viewer& viewer, http::Exchange& exchange, What what,
+    enum class What { PlaylistWindow, Init, Segment };
+    Relay(HttpFrontend& face, std::uint64_t key, Viewer& viewer, http::Exchange& exchange, What what,
           std::uint64_t no, int rung)
         : face_(face),
           key_(key),
@@ -95,7 +95,7 @@
         }
         Cached& cached = known->second;
         cached.usedAt = ++face_.cacheUse_;
-        if (what_ == What::Window) {
+        if (what_ == What::PlaylistWindow) {
             http::Exchange* exchange = std::exchange(exchange_, nullptr);
             over();
             exchange->setHandler(nullptr);
@@ -280,7 +280,7 @@
 
     void lost(upstream::RequestResult how) {
         const SubId sub = sub_;
-        HttpFace& face = face_;
+        HttpFrontend& face = face_;
         end(how == upstream::RequestResult::TimedOutOut ? 504 : 502, upstream::meaningOf(how).name);
         face.core_.onPlaybackEnded(sub, how == upstream::RequestResult::BrokenAnswer
                                             ? JoinResult::Reset
@@ -296,7 +296,7 @@
     void end(int status, std::string_view why) {
         if (begun_) return cutShort();
         http::Exchange* exchange = std::exchange(exchange_, nullptr);
-        HttpFace& face = face_;
+        HttpFrontend& face = face_;
         over();
         if (!exchange) return;
         exchange->setHandler(nullptr);
@@ -310,7 +310,7 @@
         face_.relays_.erase(it);
     }
 
-    HttpFace& face_;
+    HttpFrontend& face_;
     std::uint64_t key_;
     std::string token_;
     SubId sub_;
@@ -328,58 +328,59 @@
     Micros playTime_ = 0, sentAt_ = 0, toHead_ = 0;
 };
 
-HttpFace::HttpFace(const Surroundings& around, const net::Endpoint& at, const http::HttpLimits& limits,
-                   const HttpTerms& terms, const hints::HintLimits& hintLimits)
-    : Surroundings(around), terms_(terms), hintLimits_(hintLimits), bury_(net_, [this] {
+HttpFrontend::HttpFrontend(const FrontendContext& around, const net::Endpoint& at,
+                           const http::HttpLimits& limits, const HttpFrontendSettings& terms,
+                           const hints::HintLimits& hintLimits)
+    : FrontendContext(around), terms_(terms), hintLimits_(hintLimits), bury_(net_, [this] {
           dead_.clear();
           deadViewers_.clear();
       }) {
     server_ = std::make_unique<http::Server>(net_, at, limits, *this);
 }
 
-HttpFace::~HttpFace() {
+HttpFrontend::~HttpFrontend() {
     relays_.clear();
     dead_.clear();
     viewers_.clear();
     deadViewers_.clear();
 }
 
-HttpFace::Viewer* HttpFace::byToken(const std::string& token) {
+HttpFrontend::Viewer* HttpFrontend::byToken(const std::string& token) {
     const auto it = viewers_.find(token);
     return it == viewers_.end() ? nullptr : it->second.get();
 }
-HttpFace::Viewer* HttpFace::bySub(SubId id) {
+HttpFrontend::Viewer* HttpFrontend::bySub(SubId id) {
     const auto it = subs_.find(id);
     return it == subs_.end() ? nullptr : it->second;
 }
-const logging::TraceContext* HttpFace::traceOf(SubId id) const {
+const logging::TraceContext* HttpFrontend::traceOf(SubId id) const {
     const auto it = subs_.find(id);
     return it == subs_.end() ? nullptr : &it->second->trace;
 }
-void HttpFace::bury(std::unique_ptr<Relay> relay) {
+void HttpFrontend::bury(std::unique_ptr<Relay> relay) {
     dead_.push_back(std::move(relay));
     bury_.soon();
 }
 
 // ================= requests =================
 
-bool HttpFace::acceptsConnection(const net::Endpoint& peer) {
+bool HttpFrontend::acceptsConnection(const net::Endpoint& peer) {
     if (gate_.openConnection(gate_.networkOf(peer.ip))) return true;
     ++turnedAway_;
     return false;
 }
-void HttpFace::onConnectionClosed(const net::Endpoint& peer) {
+void HttpFrontend::onConnectionClosed(const net::Endpoint& peer) {
     gate_.closeConnection(gate_.networkOf(peer.ip));
 }
-void HttpFace::onMalformedRequest(const net::Endpoint& peer, int status, const std::string& why) {
+void HttpFrontend::onMalformedRequest(const net::Endpoint& peer, int status, const std::string& why) {
     ++badRequests_;
-    log_.line(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-request",
-              {{"peer", net::toString(peer)}, {"status", status}, {"why", why}});
+    log_.write(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-request",
+               {{"peer", net::toString(peer)}, {"status", status}, {"why", why}});
 }
 
-void HttpFace::refuse(http::Exchange& exchange, int status, std::string_view why, Micros retryAfter) {
+void HttpFrontend::refuse(http::Exchange& exchange, int status, std::string_view why, Micros retryAfter) {
     http::Fields fields;
-    if (retryAfter > 0) fields.add("Retry-After", wholeSecondsUp(retryAfter));
+    if (retryAfter > 0) fields.add("Retry-After", ceilToSeconds(retryAfter));
     fields.add("Content-Type", "text/plain; charset=utf-8");
     fields.add("Cache-Control", "no-store");
     if (const auto* dynamic = exchange.head().fields.find("traceparent");
@@ -388,7 +389,7 @@
     exchange.respond(status, fields, std::string(why) + "\n");
 }
 
-void HttpFace::onRequest(http::Exchange& exchange) {
+void HttpFrontend::onRequest(http::Exchange& exchange) {
     const http::RequestHead& head = exchange.head();
     const std::string path = head.path();
     if (head.method == "POST" && path == "/cmcd") return takeJson(exchange);
@@ -420,11 +421,11 @@
     refuse(exchange, 404, "nothing lies here");
 }
 
-void HttpFace::countDropped(const hints::CmcdReader& reader) {
+void HttpFrontend::countDropped(const hints::CmcdReader& reader) {
     for (std::size_t i = 0; i < hints::kDroppedKinds; ++i) hintsDropped_[i] += reader.dropped()[i];
 }
 
-hints::Cmcd HttpFace::hintsOf(const http::RequestHead& head) {
+hints::Cmcd HttpFrontend::hintsOf(const http::RequestHead& head) {
     hints::CmcdReader reader(hintLimits_);
     for (std::size_t i = 0; i < hints::kCmcdHeaders.size(); ++i)
         if (const auto value = head.fields.joined(hints::kCmcdHeaders[i])) reader.header(i, *value);
@@ -434,7 +435,7 @@
     return out;
 }
 
-void HttpFace::takeJson(http::Exchange& exchange) {
+void HttpFrontend::takeJson(http::Exchange& exchange) {
     hints::CmcdReader reader(hintLimits_);
     reader.json(exchange.body());
     const hints::Cmcd got = reader.done();
@@ -445,7 +446,7 @@
     exchange.respond(204, {}, "");
 }
 
-void HttpFace::heardFrom(Viewer& viewer, const hints::Cmcd& got) {
+void HttpFrontend::heardFrom(Viewer& viewer, const hints::Cmcd& got) {
     if (got.starved.value_or(false)) ++starved_;
     if (got.pr) viewer.paused = got.pr->thousandths == 0;
     // What identifies it stays; what tells of now is replaced.
@@ -459,7 +460,7 @@
     viewer.silence->after(viewer.paused ? terms_.pausedAfter : terms_.silentAfter);
 }
 
-void HttpFace::askTalk(http::Exchange& exchange, const std::string& title) {
+void HttpFrontend::askTalk(http::Exchange& exchange, const std::string& title) {
     const http::RequestHead& head = exchange.head();
     const auto talk = talks_.find(title);
     if (talk == talks_.end()) return refuse(exchange, 404, "no such talk");
@@ -498,7 +499,7 @@
     if (hint.rtp && *hint.rtp > 0) kbits = std::min(kbits, static_cast<double>(*hint.rtp));
     if (hint.mtp && *hint.mtp > 0) kbits = std::min(kbits, 1.5 * static_cast<double>(*hint.mtp));
     if (gate_.isLimitedToLowestRung(network)) kbits = 0;
-    SubscriptionRequest wish = wishFor(*room, title, talk->second, ladder_, type, kbits);
+    SubscriptionRequest wish = subscriptionRequestFor(*room, title, talk->second, ladder_, type, kbits);
     for (const auto& [key, value] : hint.custom) {
         if (key != "org.valekeel-watch") continue;
         if (const auto* whole = std::get_if<std::int64_t>(&value); whole && *whole > 0 && *whole < 100'000)
@@ -546,21 +547,21 @@
                                   {"max_rung", wish.maxRung},
                                   {"network", gate_.nameOf(network)}};
     if (hint.sid) fields["sid"] = *hint.sid;
-    log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "asked", std::move(fields));
+    log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "asked", std::move(fields));
     viewers_.emplace(viewer.token, std::move(made));
     core_.start(*id);
 }
 
-void HttpFace::askMedia(http::Exchange& exchange, Viewer& viewer) {
+void HttpFrontend::askMedia(http::Exchange& exchange, Viewer& viewer) {
     if (cache_.count({viewer.title, viewer.rung})) return sendWindow(exchange, viewer);
     if (viewer.fetches >= terms_.fetchesEach) return refuse(exchange, 429, "too many fetches at once");
     const std::uint64_t key = nextFetch_++;
     auto& relay = relays_[key] =
-        std::make_unique<Relay>(*this, key, viewer, exchange, Relay::What::Window, 0, viewer.rung);
+        std::make_unique<Relay>(*this, key, viewer, exchange, Relay::What::PlaylistWindow, 0, viewer.rung);
     relay->start();
 }
 
-void HttpFace::sendWindow(http::Exchange& exchange, Viewer& viewer) {
+void HttpFrontend::sendWindow(http::Exchange& exchange, Viewer& viewer) {
     const auto known = cache_.find({viewer.title, viewer.rung});
     if (known == cache_.end()) return refuse(exchange, 502, "no playlist");
     known->second.usedAt = ++cacheUse_;
@@ -572,7 +573,7 @@
     exchange.respond(200, fields, hls::write(viewer.window.playlist(durations)));
 }
 
-void HttpFace::askSegment(http::Exchange& exchange, Viewer& viewer, std::string_view file) {
+void HttpFrontend::askSegment(http::Exchange& exchange, Viewer& viewer, std::string_view file) {
     auto what = Relay::What::Segment;
     constexpr std::string_view kInit = "init-";
     std::string_view number = file;
@@ -594,7 +595,7 @@
         if (value >= ladder_.kb.size()) return refuse(exchange, 404, "nothing lies here");
         rung = static_cast<int>(value);
     } else {
-        const Window::Listed* listed = viewer.window.find(value);
+        const PlaylistWindow::Listed* listed = viewer.window.find(value);
         if (!listed) return refuse(exchange, 404, "this segment is not listed");
         rung = listed->rung;
     }
@@ -609,9 +610,9 @@
     relay->start();
 }
 
-http::Fields HttpFace::cmsdFields(const Viewer& viewer, std::string_view standingStatic,
-                                  std::string_view standingDynamic, std::string_view objectType,
-                                  std::optional<Micros> toHead) const {
+http::Fields HttpFrontend::cmsdFields(const Viewer& viewer, std::string_view standingStatic,
+                                      std::string_view standingDynamic, std::string_view objectType,
+                                      std::optional<Micros> toHead) const {
     http::Fields fields;
     if (!standingStatic.empty() && hints::parseCmsdStatic(standingStatic)) {
         fields.add("CMSD-Static", standingStatic);
@@ -638,7 +639,7 @@
 
 // ================= answers =================
 
-void HttpFace::answerWaiters(Viewer& viewer, const std::function<void(http::Exchange&)>& how) {
+void HttpFrontend::answerWaiters(Viewer& viewer, const std::function<void(http::Exchange&)>& how) {
     if (std::exchange(viewer.inGate, false)) gate_.onAnswered(viewer.network);
     std::vector<std::unique_ptr<Waiter>> waiters;
     waiters.swap(viewer.waiters);
@@ -650,7 +651,7 @@
     }
 }
 
-void HttpFace::onPlaying(SubId id, SfuId at, int rung) {
+void HttpFrontend::onPlaying(SubId id, SfuId at, int rung) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     viewer->playing = true;
@@ -664,7 +665,7 @@
     });
 }
 
-void HttpFace::answerPlaying(Viewer& viewer, http::Exchange& exchange) {
+void HttpFrontend::answerPlaying(Viewer& viewer, http::Exchange& exchange) {
     const upstream::JoinResponse* answer = joins_.responseOf(viewer.sub);
     if (!answer) return refuse(exchange, 410, "the subscription is over");
     // One variant: which rung plays is the front's to say, and the window's maps carry each change.
@@ -680,7 +681,7 @@
     exchange.respond(200, fields, hls::write(hls::Multivariant{{best}}));
 }
 
-void HttpFace::onThrottled(SubId id, Micros retryAfter) {
+void HttpFrontend::onThrottled(SubId id, Micros retryAfter) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     const Micros told = retryAfter > 0 ? gate_.retryAfter(net_.now(), retryAfter) : 0;
@@ -688,7 +689,7 @@
     endViewer(*viewer, false);
 }
 
-void HttpFace::onTerminated(SubId id, core::TerminationReason how) {
+void HttpFrontend::onTerminated(SubId id, core::TerminationReason how) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     answerWaiters(*viewer, [&](http::Exchange& e) {
@@ -697,21 +698,21 @@
     endViewer(*viewer, false);
 }
 
-void HttpFace::onRungChanged(SubId id, int rung) {
+void HttpFrontend::onRungChanged(SubId id, int rung) {
     if (Viewer* viewer = bySub(id)) viewer->rung = rung;
 }
 
-void HttpFace::onServerLost(SubId id) {
+void HttpFrontend::onServerLost(SubId id) {
     if (Viewer* viewer = bySub(id)) endViewer(*viewer, false);
 }
 
-void HttpFace::endViewer(Viewer& viewer, bool tellCore) {
+void HttpFrontend::endViewer(Viewer& viewer, bool tellCore) {
     const SubId id = viewer.sub;
-    log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
-              {{"trace", viewer.trace.trace},
-               {"sub", id.v},
-               {"segments", viewer.segments},
-               {"bytes", viewer.bytes}});
+    log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
+               {{"trace", viewer.trace.trace},
+                {"sub", id.v},
+                {"segments", viewer.segments},
+                {"bytes", viewer.bytes}});
     if (std::exchange(viewer.inGate, false)) gate_.onAnswered(viewer.network);
     viewer.silence->cancel();
     subs_.erase(id);
@@ -727,7 +728,7 @@
     joins_.forget(id);
 }
 
-upstream::JoinRequest HttpFace::joinRequestFor(SubId id, int) {
+upstream::JoinRequest HttpFrontend::joinRequestFor(SubId id, int) {
     upstream::JoinRequest words;
     const Viewer* viewer = bySub(id);
     if (!viewer) return words;
@@ -746,7 +747,7 @@
     return words;
 }
 
-void HttpFace::finishUp(std::function<void()> done) {
+void HttpFrontend::finishUp(std::function<void()> done) {
     stopping_ = true;
     std::vector<Viewer*> all;
     for (auto& [token, viewer] : viewers_) all.push_back(viewer.get());
@@ -754,7 +755,7 @@
     server_->finishUp(std::move(done));
 }
 
-std::string HttpFace::statusText() const {
+std::string HttpFrontend::statusText() const {
     const core::CoreCounts& c = core_.counts();
     nlohmann::ordered_json out{{"front", name_},
                                {"asked", c.asked},
--- a/src/frontends/http/http_frontend.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -22,8 +22,8 @@
 
 namespace valekeel::frontends {
 
-struct HttpTerms {
-    WindowTerms window;
+struct HttpFrontendSettings {
+    PlaylistWindowSettings window;
     Micros silentAfter = 20'000'000;  // without a fetch, a viewer is taken to have left
     Micros closedAfter = 3'000'000;   // the same, once its last connection is closed
     Micros pausedAfter = 60'000'000;  // the same, while its hints say that it is paused (pr=0)
@@ -34,18 +34,18 @@
     Micros retryWhenFull = 1'000'000;   // named to those that admission turns away
 };
 
-class HttpFace final : public core::SubscriptionHandler,
-                       public http::Handler,
-                       public upstream::JoinRequestSource,
-                       Surroundings {
+class HttpFrontend final : public core::SubscriptionHandler,
+                           public http::Handler,
+                           public upstream::JoinRequestSource,
+                           FrontendContext {
   public:
-    HttpFace(const Surroundings&, const net::Endpoint&, const http::HttpLimits&, const HttpTerms&,
-             const hints::HintLimits&);
-    ~HttpFace() override;
+    HttpFrontend(const FrontendContext&, const net::Endpoint&, const http::HttpLimits&,
+                 const HttpFrontendSettings&, const hints::HintLimits&);
+    ~HttpFrontend() override;
 
     net::Endpoint at() const { return server_->at(); }
     // Nothing new is taken from now on; what plays goes on.
-    void stopTaking() { stopping_ = true; }
+    void stopAccepting() { stopping_ = true; }
     // Ends what plays, and calls back when all is said.
     void finishUp(std::function<void()> done);
     std::size_t viewers() const { return viewers_.size(); }
@@ -96,7 +96,7 @@
     void answerWaiters(Viewer&, const std::function<void(http::Exchange&)>&);
     void bury(std::unique_ptr<Relay>);
 
-    HttpTerms terms_;
+    HttpFrontendSettings terms_;
     hints::HintLimits hintLimits_;
     std::unique_ptr<http::Server> server_;
     std::map<std::string, std::unique_ptr<Viewer>> viewers_;  // by token
--- a/src/frontends/http/playlist_window.cpp
+++ b/src/frontends/http/playlist_window.cpp
@@ -5,7 +5,7 @@
 
 namespace valekeel::frontends {
 
-void Window::extend(Micros played, int rung, const std::vector<Micros>& durations) {
+void PlaylistWindow::extend(Micros played, int rung, const std::vector<Micros>& durations) {
     while (next_ < durations.size() && nextAt_ <= played + terms_.ahead) {
         listed_.push_back({next_, rung});
         nextAt_ += durations[next_];
@@ -19,12 +19,12 @@
     }
 }
 
-const Window::Listed* Window::find(std::uint64_t no) const {
+const PlaylistWindow::Listed* PlaylistWindow::find(std::uint64_t no) const {
     if (listed_.empty() || no < listed_.front().no || no > listed_.back().no) return nullptr;
     return &listed_[no - listed_.front().no];
 }
 
-hls::MediaPlaylist Window::playlist(const std::vector<Micros>& durations) const {
+hls::MediaPlaylist PlaylistWindow::playlist(const std::vector<Micros>& durations) const {
     hls::MediaPlaylist out;
     std::map<int, int> maps;
     for (const Micros d : durations) out.target = std::max(out.target, d);
--- a/src/frontends/http/playlist_window.hpp
+++ b/src/frontends/http/playlist_window.hpp
@@ -12,14 +12,14 @@
 
 namespace valekeel::frontends {
 
-struct WindowTerms {
+struct PlaylistWindowSettings {
     Micros ahead = 8'000'000;    // of playing, that a viewer may fetch and keep
     Micros behind = 12'000'000;  // that stays listed
 };
 
-class Window {
+class PlaylistWindow {
   public:
-    explicit Window(const WindowTerms& terms) : terms_(terms) {}
+    explicit PlaylistWindow(const PlaylistWindowSettings& terms) : terms_(terms) {}
     struct Listed {
         std::uint64_t no;
         int rung;
@@ -38,7 +38,7 @@
     std::uint64_t next() const { return next_; }
 
   private:
-    WindowTerms terms_;
+    PlaylistWindowSettings terms_;
     std::deque<Listed> listed_;
     std::uint64_t next_ = 0, seen_ = 0;
     Micros nextAt_ = 0, firstAt_ = 0;  // where in the talk the next and the first listed one begin
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-struct SipFace::Call {
+struct SipFrontend::Call {
     SubId sub;
     std::string key, dialog, localTag, title;
     sip::ReplyRoute way;
@@ -47,14 +47,14 @@
 };
 
 // A request of our own within a dialog: sent again until it is answered (timers E and F).
-struct SipFace::Out {
-    SipFace& face;
+struct SipFrontend::Out {
+    SipFrontend& face;
     std::string branch, method, bytes;
     SubId sub;
     sip::ReplyRoute way;
     Micros wait;
     net::Timer again, end;
-    Out(SipFace& face, std::string branch, std::string method, std::string bytes, SubId sub,
+    Out(SipFrontend& face, std::string branch, std::string method, std::string bytes, SubId sub,
         const sip::ReplyRoute& way)
         : face(face),
           branch(std::move(branch)),
@@ -76,7 +76,7 @@
     void over(int status) {
         again.cancel();
         end.cancel();
-        SipFace& f = face;
+        SipFrontend& f = face;
         const SubId id = sub;
         const bool update = method != "BYE";
         const auto it = f.out_.find(branch);
@@ -99,9 +99,9 @@
 };
 
 // A stream of messages: framed by Content-Length, given up on when it loses its place.
-class SipFace::Stream final : public net::StreamHandler {
+class SipFrontend::Stream final : public net::StreamHandler {
   public:
-    Stream(SipFace& face, std::uint64_t key, std::unique_ptr<net::Stream> s)
+    Stream(SipFrontend& face, std::uint64_t key, std::unique_ptr<net::Stream> s)
         : face_(face),
           stream_(std::move(s)),
           way_{true, key, stream_->peer()},
@@ -151,7 +151,7 @@
         out_.erase(0, put.bytes);
         if (put.status == net::IoResult::Status::Broken) close();
     }
-    SipFace& face_;
+    SipFrontend& face_;
     std::unique_ptr<net::Stream> stream_;
     sip::ReplyRoute way_;
     sip::Framer framer_;
@@ -160,9 +160,9 @@
 };
 
 // Asks the box whether it still holds what plays.
-class SipFace::Hold final : public upstream::UpstreamRequestHandler {
+class SipFrontend::Hold final : public upstream::UpstreamRequestHandler {
   public:
-    Hold(SipFace& face, SubId sub) : face_(face), sub_(sub) {}
+    Hold(SipFrontend& face, SubId sub) : face_(face), sub_(sub) {}
     std::unique_ptr<upstream::UpstreamRequest> request;
 
   private:
@@ -188,15 +188,15 @@
         }
         face_.core_.onPlaybackEnded(sub_, upstream::meaningOf(how).end);
     }
-    SipFace& face_;
+    SipFrontend& face_;
     SubId sub_;
     int status_ = 0;
     LoadReport load_;
 };
 
-SipFace::SipFace(const Surroundings& around, const net::Endpoint& at, const SipTerms& terms,
-                 std::uint64_t seed)
-    : Surroundings(around),
+SipFrontend::SipFrontend(const FrontendContext& around, const net::Endpoint& at,
+                         const SipFrontendSettings& terms, std::uint64_t seed)
+    : FrontendContext(around),
       terms_(terms),
       salt_(seed),
       transactions_(net_, terms.times, terms.transactions, *this),
@@ -221,13 +221,13 @@
     }
     look_.after(terms_.overload.every);
 }
-SipFace::~SipFace() {
+SipFrontend::~SipFrontend() {
     calls_.clear();
     out_.clear();
     streams_.clear();
 }
 
-void SipFace::look() {
+void SipFrontend::look() {
     const double fill = gate_.fillRatio();
     while (!mergedUntil_.empty() && mergedUntil_.front().first <= net_.now()) {
         std::string key = std::move(mergedUntil_.front().second);
@@ -245,22 +245,22 @@
     look_.after(terms_.overload.every);
 }
 
-SipFace::Call* SipFace::bySub(SubId id) {
+SipFrontend::Call* SipFrontend::bySub(SubId id) {
     const auto it = calls_.find(id);
     return it == calls_.end() ? nullptr : it->second.get();
 }
-SipFace::Call* SipFace::byDialog(const sip::Message& m) {
+SipFrontend::Call* SipFrontend::byDialog(const sip::Message& m) {
     const auto it = byDialog_.find(m.callId + "|" + m.to.tag + "|" + m.from.tag);
     return it == byDialog_.end() ? nullptr : it->second;
 }
-const logging::TraceContext* SipFace::traceOf(SubId id) const {
+const logging::TraceContext* SipFrontend::traceOf(SubId id) const {
     const auto it = calls_.find(id);
     return it == calls_.end() ? nullptr : &it->second->trace;
 }
 
 // ================= bytes in and out =================
 
-void SipFace::onDatagram(const net::Endpoint& from, std::string_view bytes) {
+void SipFrontend::onDatagram(const net::Endpoint& from, std::string_view bytes) {
     unreadSum_ += datagrams_->queueingDelay();
     ++unreadOf_;
     const sip::ReplyRoute way{false, 0, from};
@@ -268,7 +268,7 @@
     heard(bytes, way);
 }
 
-void SipFace::onAccepted(std::unique_ptr<net::Stream> stream) {
+void SipFrontend::onAccepted(std::unique_ptr<net::Stream> stream) {
     if (streams_.size() >= terms_.streams) {
         stream->reset();
         return;
@@ -277,7 +277,7 @@
     streams_[key] = std::make_unique<Stream>(*this, key, std::move(stream));
 }
 
-void SipFace::sendTo(const sip::ReplyRoute& way, const std::string& bytes) {
+void SipFrontend::sendTo(const sip::ReplyRoute& way, const std::string& bytes) {
     if (!way.stream) {
         datagrams_->send(way.peer, bytes);
         return;
@@ -286,14 +286,14 @@
     if (it != streams_.end()) it->second->send(bytes);
 }
 
-void SipFace::heard(std::string_view bytes, const sip::ReplyRoute& way) {
+void SipFrontend::heard(std::string_view bytes, const sip::ReplyRoute& way) {
     if (bytes.find_first_not_of("\r\n \t") == std::string_view::npos) return;  // keeps a NAT open
     ++counts_.messages;
     sip::Parsed parsed = sip::parse(bytes, terms_.limits);
     if (!parsed.got) {
         ++counts_.malformed;
-        log_.line(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
-                  {{"peer", net::toString(way.peer)}, {"status", parsed.status}, {"why", parsed.why}});
+        log_.write(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
+                   {{"peer", net::toString(way.peer)}, {"status", parsed.status}, {"why", parsed.why}});
         if (parsed.enough && parsed.status) replyStateless(*parsed.enough, way, parsed.status);
         return;
     }
@@ -304,7 +304,7 @@
 }
 
 // To one that offered overload control, its topmost Via says what is asked of it.
-sip::Message SipFace::withControl(sip::Message m) const {
+sip::Message SipFrontend::withControl(sip::Message m) const {
     sip::Via& via = m.vias.front();
     if (!via.params.count("oc")) return m;
     const auto algo = via.params.find("oc-algo");
@@ -313,17 +313,17 @@
 }
 
 // Refused without keeping anything: what a flood may cost at most.
-void SipFace::replyStateless(const sip::Message& m, const sip::ReplyRoute& way, int status,
-                             Micros retryAfter) {
+void SipFrontend::replyStateless(const sip::Message& m, const sip::ReplyRoute& way, int status,
+                                 Micros retryAfter) {
     std::vector<std::pair<std::string, std::string>> more;
-    if (retryAfter > 0) more.emplace_back("Retry-After", wholeSecondsUp(retryAfter));
+    if (retryAfter > 0) more.emplace_back("Retry-After", ceilToSeconds(retryAfter));
     sendTo(way, sip::response(withControl(m), status,
                               logging::hex64(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more,
                               "", &way.peer));
 }
 
-void SipFace::reply(const std::string& key, const sip::Message& m, int status,
-                    std::vector<std::pair<std::string, std::string>> more, const std::string& body) {
+void SipFrontend::reply(const std::string& key, const sip::Message& m, int status,
+                        std::vector<std::pair<std::string, std::string>> more, const std::string& body) {
     const auto call = byKey_.find(key);
     const std::string tag = call != byKey_.end() ? call->second->localTag : logging::hex64(net_.randomBits());
     const net::Endpoint* from = call != byKey_.end() ? &call->second->way.peer : nullptr;
@@ -332,7 +332,7 @@
 
 // ================= requests =================
 
-void SipFace::onRequest(sip::Message m, const sip::ReplyRoute& way) {
+void SipFrontend::onRequest(sip::Message m, const sip::ReplyRoute& way) {
     if (m.method == "ACK") {
         if (transactions_.ack(m)) return;
         Call* call = byDialog(m);
@@ -387,7 +387,7 @@
 
 // Before a transaction is made: overload control, and the gate where it would refuse anyway. What was refused
 // once stays refused: a copy that comes when there is room again must not get a second final answer.
-bool SipFace::turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::ReplyRoute& way) {
+bool SipFrontend::turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::ReplyRoute& way) {
     if (refused_.knows(name)) return true;
     const double draw = static_cast<double>(name >> 11) / 9007199254740992.0;
     const bool away =
@@ -398,7 +398,7 @@
 }
 
 // What a flood costs at most: no message is read whole, nothing is kept but its name.
-bool SipFace::turnedAwayAtAGlance(const sip::PrefilteredRequest& g, const sip::ReplyRoute& way) {
+bool SipFrontend::turnedAwayAtAGlance(const sip::PrefilteredRequest& g, const sip::ReplyRoute& way) {
     const std::uint64_t name = nameOf(g.branch, g.callId, salt_);
     if (g.method == "ACK") return refused_.knows(name);
     if (g.toHasTag || transactions_.knows(g.inviteKey())) return false;
@@ -421,7 +421,7 @@
     return true;
 }
 
-void SipFace::onInvite(sip::Message m, const sip::ReplyRoute& way) {
+void SipFrontend::onInvite(sip::Message m, const sip::ReplyRoute& way) {
     const std::string key = sip::Transactions::keyOf(m);
     // The same call by another way (section 8.2.2.2): forked upstream, or sent from a second port.
     const std::string mergeKey = m.callId + "|" + m.from.tag + "|" + std::to_string(m.cseq);
@@ -448,25 +448,26 @@
         offer = *read;
     }
     if (m.sessionExpires && static_cast<Micros>(*m.sessionExpires) * kSecond < terms_.minSe)
-        return reply(key, m, 422, {{"Min-SE", wholeSecondsUp(terms_.minSe)}});
+        return reply(key, m, 422, {{"Min-SE", ceilToSeconds(terms_.minSe)}});
 
     if (calls_.size() >= terms_.calls)
-        return reply(key, m, 503, {{"Retry-After", wholeSecondsUp(terms_.retryWhenFull)}});
+        return reply(key, m, 503, {{"Retry-After", ceilToSeconds(terms_.retryWhenFull)}});
     const std::uint32_t network = gate_.networkOf(way.peer.ip);
     if (gate_.admit(net_.now(), network) != admission::AdmissionController::Decision::Admitted)
         return reply(key, m, 503,
-                     {{"Retry-After", wholeSecondsUp(gate_.retryAfter(net_.now(), terms_.retryWhenFull))}});
+                     {{"Retry-After", ceilToSeconds(gate_.retryAfter(net_.now(), terms_.retryWhenFull))}});
 
     const RoomType& type = rooms_.types[room->v];
     double kbits = offer.mostBits ? static_cast<double>(*offer.mostBits) / 1'000 : 1e18;
     if (gate_.isLimitedToLowestRung(network)) kbits = 0;
-    const SubscriptionRequest wish = wishFor(*room, m.user, talk->second, ladder_, type, kbits);
+    const SubscriptionRequest wish =
+        subscriptionRequestFor(*room, m.user, talk->second, ladder_, type, kbits);
     Micros timeout = rooms_.clientTimeouts[room->v];
     if (m.expires && *m.expires > 0) timeout = std::min(timeout, static_cast<Micros>(*m.expires) * kSecond);
     const auto id = core_.subscribe(*this, wish, timeout);
     if (!id) {
         gate_.onAnswered(network);
-        return reply(key, m, 503, {{"Retry-After", wholeSecondsUp(terms_.retryWhenFull)}});
+        return reply(key, m, 503, {{"Retry-After", ceilToSeconds(terms_.retryWhenFull)}});
     }
     auto made = std::make_unique<Call>();
     Call& call = *made;
@@ -512,19 +513,19 @@
     mergedUntil_.emplace_back(net_.now() + 65 * terms_.times.t1, mergeKey);
     calls_[*id] = std::move(made);
     joins_.setRequestSource(*id, *this);
-    log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "asked",
-              {{"trace", call.trace.trace},
-               {"sub", id->v},
-               {"title", call.title},
-               {"room", type.name},
-               {"face", "sip"},
-               {"call", call.invite.callId},
-               {"network", gate_.nameOf(network)}});
+    log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "asked",
+               {{"trace", call.trace.trace},
+                {"sub", id->v},
+                {"title", call.title},
+                {"room", type.name},
+                {"face", "sip"},
+                {"call", call.invite.callId},
+                {"network", gate_.nameOf(network)}});
     reply(key, call.invite, 100);
     core_.start(*id);
 }
 
-void SipFace::onCancel(const sip::Message& m, const std::string& key) {
+void SipFrontend::onCancel(const sip::Message& m, const std::string& key) {
     std::string invite = key.substr(0, key.size() - 7);  // less "|CANCEL"
     const auto it = byKey_.find(invite);
     reply(key, m, transactions_.knows(invite) ? 200 : 481);
@@ -536,7 +537,7 @@
     forget(call, true);
 }
 
-void SipFace::inDialog(Call& call, const sip::Message& m, const std::string& key) {
+void SipFrontend::inDialog(Call& call, const sip::Message& m, const std::string& key) {
     if (m.cseq <= call.heardCseq && m.method != "CANCEL") return reply(key, m, 500);  // out of order (12.2.2)
     call.heardCseq = m.cseq;
     if (m.method == "BYE") {
@@ -565,7 +566,7 @@
     reply(key, m, 200, dialogFields(call), body);
 }
 
-void SipFace::onAnswer(const sip::Message& m) {
+void SipFrontend::onAnswer(const sip::Message& m) {
     const auto it = out_.find(m.vias.front().branch);
     if (it == out_.end() || m.status < 200 || it->second->method != m.method) return;
     it->second->over(m.status);
@@ -573,7 +574,7 @@
 
 // ================= what the core says =================
 
-std::string SipFace::answerBody(const Call& call) const {
+std::string SipFrontend::answerBody(const Call& call) const {
     const net::Endpoint* at = boxes_.addressOf(call.at);
     const RoomType& type = rooms_.types[call.room.v];
     const double kb = ladder_.kb[static_cast<std::size_t>(call.rung)] * type.rateFactor;
@@ -581,15 +582,15 @@
                             static_cast<std::uint64_t>(std::llround(kb * 8'000)), call.session, call.version);
 }
 
-std::vector<std::pair<std::string, std::string>> SipFace::dialogFields(const Call& call) const {
+std::vector<std::pair<std::string, std::string>> SipFrontend::dialogFields(const Call& call) const {
     return {{"Contact", "<sip:" + name_ + "@" + net::toString(datagrams_->at()) + ">"},
             {"Allow", kAllow},
             {"Supported", "timer"},
             {"Session-Expires",
-             wholeSecondsUp(call.expires) + (call.callerRefreshes ? ";refresher=uac" : ";refresher=uas")}};
+             ceilToSeconds(call.expires) + (call.callerRefreshes ? ";refresher=uac" : ";refresher=uas")}};
 }
 
-void SipFace::onPlaying(SubId id, SfuId at, int rung) {
+void SipFrontend::onPlaying(SubId id, SfuId at, int rung) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
@@ -605,18 +606,18 @@
     reply(call->key, call->invite, 200, std::move(more), answerBody(*call));
 }
 
-void SipFace::onThrottled(SubId id, Micros retryAfter) {
+void SipFrontend::onThrottled(SubId id, Micros retryAfter) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
     std::vector<std::pair<std::string, std::string>> more;
     if (retryAfter > 0)
-        more.emplace_back("Retry-After", wholeSecondsUp(gate_.retryAfter(net_.now(), retryAfter)));
+        more.emplace_back("Retry-After", ceilToSeconds(gate_.retryAfter(net_.now(), retryAfter)));
     reply(call->key, call->invite, 486, std::move(more));
     forget(*call, false);
 }
 
-void SipFace::onTerminated(SubId id, core::TerminationReason how) {
+void SipFrontend::onTerminated(SubId id, core::TerminationReason how) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
@@ -624,7 +625,7 @@
     forget(*call, false);
 }
 
-void SipFace::onRungChanged(SubId id, int rung) {
+void SipFrontend::onRungChanged(SubId id, int rung) {
     Call* call = bySub(id);
     if (!call || call->rung == rung) return;
     call->rung = rung;
@@ -635,11 +636,11 @@
     if (!call->updateOut) call->updateTimer->after(0);
 }
 
-void SipFace::onServerLost(SubId id) {
+void SipFrontend::onServerLost(SubId id) {
     if (Call* call = bySub(id)) hangUp(*call, false);
 }
 
-void SipFace::onAckTimeout(const std::string& key) {
+void SipFrontend::onAckTimeout(const std::string& key) {
     const auto it = byKey_.find(key);
     if (it == byKey_.end()) return;
     ++counts_.unacknowledged;
@@ -648,7 +649,7 @@
 
 // ================= within a dialog =================
 
-void SipFace::sendInDialog(Call& call, const char* method, const std::string& body) {
+void SipFrontend::sendInDialog(Call& call, const char* method, const std::string& body) {
     const std::string branch = "z9hG4bK" + logging::hex64(net_.randomBits());
     const sip::Message& m = call.invite;
     std::string text = std::string(method) + " " + sip::headerSafe(call.target) +
@@ -667,7 +668,7 @@
     out_[branch] = std::make_unique<Out>(*this, branch, method, text, call.sub, call.way);
 }
 
-void SipFace::sendUpdate(Call& call) {
+void SipFrontend::sendUpdate(Call& call) {
     if (call.updateOut) return;
     call.updateDue = false;
     call.updateOut = true;
@@ -678,15 +679,15 @@
     sendInDialog(call, may ? "UPDATE" : "OPTIONS", may ? answerBody(call) : "");
 }
 
-void SipFace::hangUp(Call& call, bool tellCore) {
+void SipFrontend::hangUp(Call& call, bool tellCore) {
     sendInDialog(call, "BYE", "");
     forget(call, tellCore);
 }
 
-void SipFace::forget(Call& call, bool tellCore) {
+void SipFrontend::forget(Call& call, bool tellCore) {
     const SubId id = call.sub;
-    log_.line(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
-              {{"trace", call.trace.trace}, {"sub", id.v}, {"face", "sip"}});
+    log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
+               {{"trace", call.trace.trace}, {"sub", id.v}, {"face", "sip"}});
     if (std::exchange(call.inGate, false)) gate_.onAnswered(call.network);
     transactions_.acknowledged(call.key);  // whatever became of its 200, it is sent no more
     byKey_.erase(call.key);
@@ -703,13 +704,13 @@
 }
 
 // A caller that refreshes is given up on a little before its time is over, as RFC 4028, section 10, asks.
-void SipFace::armSession(Call& call) {
+void SipFrontend::armSession(Call& call) {
     const Micros wait = call.callerRefreshes ? call.expires - std::min<Micros>(32 * kSecond, call.expires / 3)
                                              : call.expires / 2;
     call.sessionTimer->after(wait);
 }
 
-void SipFace::askHold(Call& call) {
+void SipFrontend::askHold(Call& call) {
     if (call.hold) deadHolds_.push_back(std::move(call.hold));
     bury_.soon();
     call.hold = std::make_unique<Hold>(*this, call.sub);
@@ -717,7 +718,7 @@
                                      terms_.holdWithin, *call.hold);
 }
 
-upstream::JoinRequest SipFace::joinRequestFor(SubId id, int) {
+upstream::JoinRequest SipFrontend::joinRequestFor(SubId id, int) {
     upstream::JoinRequest words;
     const Call* call = bySub(id);
     if (!call) return words;
@@ -732,7 +733,7 @@
     return words;
 }
 
-void SipFace::finishUp() {
+void SipFrontend::finishUp() {
     stopping_ = true;
     std::vector<Call*> all;
     for (auto& [id, call] : calls_) all.push_back(call.get());
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -24,7 +24,7 @@
 
 namespace valekeel::frontends {
 
-struct SipTerms {
+struct SipFrontendSettings {
     sip::SipTimes times;
     sip::SipLimits limits;
     sip::OverloadSettings overload;
@@ -42,18 +42,18 @@
                   unacknowledged = 0, expired = 0, updates = 0;
 };
 
-class SipFace final : public core::SubscriptionHandler,
-                      public upstream::JoinRequestSource,
-                      sip::TransactionHandler,
-                      net::DatagramHandler,
-                      net::ListenerHandler,
-                      Surroundings {
+class SipFrontend final : public core::SubscriptionHandler,
+                          public upstream::JoinRequestSource,
+                          sip::TransactionHandler,
+                          net::DatagramHandler,
+                          net::ListenerHandler,
+                          FrontendContext {
   public:
     // Listens for datagrams and streams at the same place.
-    SipFace(const Surroundings&, const net::Endpoint&, const SipTerms&, std::uint64_t seed);
-    ~SipFace() override;
+    SipFrontend(const FrontendContext&, const net::Endpoint&, const SipFrontendSettings&, std::uint64_t seed);
+    ~SipFrontend() override;
     net::Endpoint at() const { return datagrams_->at(); }
-    void stopTaking() { stopping_ = true; }
+    void stopAccepting() { stopping_ = true; }
     void finishUp();  // BYE to all that play
     std::size_t calls() const { return calls_.size(); }
     std::size_t transactions() const { return transactions_.size(); }
@@ -105,7 +105,7 @@
     Call* byDialog(const sip::Message&);
     void look();
 
-    SipTerms terms_;
+    SipFrontendSettings terms_;
     std::uint64_t salt_;
     sip::Transactions transactions_;
     sip::Overload overload_;
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -7,7 +7,7 @@
 
 namespace valekeel::logging {
 
-Level levelOf(const std::string& name) {
+Level parseLevel(const std::string& name) {
     if (name == "debug") return Level::Debug;
     if (name == "warning") return Level::Warning;
     if (name == "error") return Level::Error;
@@ -35,7 +35,7 @@
     return level >= least_;
 }
 
-void Log::line(Level level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields) {
+void Log::write(Level level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields) {
     if (!wants(level)) return;
     if (level == Level::Warning) {
         auto it = kinds_.find(what);
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -27,7 +27,7 @@
     ~Log();
     bool wants(Level) const;
     // `now` on the front's own clock; `wall` since 1970. Both go into the line.
-    void line(Level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields);
+    void write(Level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields);
     void flush();
 
   private:
@@ -42,6 +42,6 @@
     std::map<std::string, Kind, std::less<>> kinds_;
 };
 
-Level levelOf(const std::string& name);  // "debug", "info", "warning", "error"
+Level parseLevel(const std::string& name);  // "debug", "info", "warning", "error"
 
 }  // namespace valekeel::logging
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -270,7 +270,7 @@
     }
 
     void say(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
-        log.line(level, net.now(), net.wallNow(), what, std::move(fields));
+        log.write(level, net.now(), net.wallNow(), what, std::move(fields));
     }
     void tellStatus() {
         status.after(kStatusEvery);
--- a/src/settings/document.cpp
+++ b/src/settings/document.cpp
@@ -56,7 +56,7 @@
     return best;
 }
 
-std::string orNearest(std::string_view to, const std::set<std::string, std::less<>>& among) {
+std::string suggestionFor(std::string_view to, const std::set<std::string, std::less<>>& among) {
     const std::string near = nearest(to, among);
     return near.empty() ? "" : "; did you mean '" + near + "'?";
 }
@@ -84,7 +84,7 @@
     return out;
 }
 
-void keepText(const std::string& path, const std::string& text) {
+void writeFileAtomically(const std::string& path, const std::string& text) {
     const std::string beside = path + ".new";
     {
         std::ofstream out(beside, std::ios::binary | std::ios::trunc);
@@ -95,7 +95,7 @@
     std::filesystem::rename(beside, path);
 }
 
-std::string textOfFile(const std::string& path) {
+std::string readFile(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     if (!in) throw std::runtime_error(path + ": cannot be read");
     std::ostringstream text;
@@ -104,11 +104,11 @@
 }
 
 Document Document::fromFile(const std::string& path) {
-    return fromText(path, textOfFile(path));
+    return fromText(path, readFile(path));
 }
 
-void Document::wrong(Place at, const std::string& what) const {
-    throw Wrong(file_, text_, at, what);
+void Document::wrong(SourcePosition at, const std::string& what) const {
+    throw SettingsError(file_, text_, at, what);
 }
 
 Node Document::withDefaults(const Node& node) const {
@@ -120,59 +120,59 @@
     return out;
 }
 
-std::string Document::inForce() const {
+std::string Document::effectiveText() const {
     std::vector<Node> all;
     for (const Node& node : nodes_) all.push_back(withDefaults(node));
     for (const Node& node : taken_->absent) all.push_back(withDefaults(node));
     return printKdl(all);
 }
 
-Cursor::Cursor(const Document& document) : document_(&document) {}
-Cursor::Cursor(const Document& document, const Node& node) : document_(&document), node_(&node) {}
+NodeReader::NodeReader(const Document& document) : document_(&document) {}
+NodeReader::NodeReader(const Document& document, const Node& node) : document_(&document), node_(&node) {}
 
-const std::vector<Node>& Cursor::children() const {
+const std::vector<Node>& NodeReader::children() const {
     return node_ ? node_->children : document_->nodes();
 }
-const std::string& Cursor::name() const {
+const std::string& NodeReader::name() const {
     static const std::string kTop = "the document";
     return node_ ? node_->name : kTop;
 }
 
-void Cursor::wrong(const std::string& what) const {
-    document_->wrong(node_ ? node_->at : Place{}, what);
+void NodeReader::wrong(const std::string& what) const {
+    document_->wrong(node_ ? node_->at : SourcePosition{}, what);
 }
-void Cursor::wrongOf(std::string_view property, const std::string& what) const {
+void NodeReader::wrongOf(std::string_view property, const std::string& what) const {
     if (node_)
         for (const auto& [name, value] : node_->properties)
             if (name == property) document_->wrong(value.at, what);
     wrong(what);
 }
 
-std::vector<Cursor> Cursor::each(std::string_view name) {
+std::vector<NodeReader> NodeReader::each(std::string_view name) {
     askedNodes_.emplace(name);
-    std::vector<Cursor> out;
+    std::vector<NodeReader> out;
     for (const Node& child : children())
         if (child.name == name) out.emplace_back(*document_, child);
     return out;
 }
 
-std::unique_ptr<Cursor> Cursor::one(std::string_view name) {
-    std::vector<Cursor> all = each(name);
+std::unique_ptr<NodeReader> NodeReader::one(std::string_view name) {
+    std::vector<NodeReader> all = each(name);
     if (all.empty()) return nullptr;
     if (all.size() > 1)
         all[1].wrong("'" + std::string(name) + "' stands here a second time; one is expected");
-    return std::make_unique<Cursor>(std::move(all.front()));
+    return std::make_unique<NodeReader>(std::move(all.front()));
 }
 
-Cursor Cursor::here(std::string_view name) {
+NodeReader NodeReader::here(std::string_view name) {
     if (auto found = one(name)) return std::move(*found);
     Node& node = document_->taken_->absent.emplace_back();
     node.name = name;
     if (node_) node.at = node_->at;
-    return Cursor(*document_, node);
+    return NodeReader(*document_, node);
 }
 
-void Cursor::defaulted(std::string_view name, decltype(Value::is) is) const {
+void NodeReader::defaulted(std::string_view name, decltype(Value::is) is) const {
     if (!node_) return;
     auto& all = document_->taken_->defaults[node_];
     for (const auto& [known, value] : all)
@@ -180,46 +180,46 @@
     all.emplace_back(name, Value{std::nullopt, std::move(is), {}});
 }
 
-Cursor Cursor::need(std::string_view name) {
+NodeReader NodeReader::need(std::string_view name) {
     auto found = one(name);
     if (!found)
         wrong("in " + this->name() + " a node '" + std::string(name) + "' is expected, and there is none");
     return std::move(*found);
 }
 
-const Value* Cursor::find(std::string_view name) {
+const Value* NodeReader::find(std::string_view name) {
     askedProperties_.emplace(name);
     if (!node_) return nullptr;
     for (const auto& [key, value] : node_->properties)
         if (key == name) return &value;
     return nullptr;
 }
-bool Cursor::has(std::string_view property) const {
+bool NodeReader::has(std::string_view property) const {
     if (node_)
         for (const auto& [key, value] : node_->properties)
             if (key == property) return true;
     return false;
 }
 
-const Value& Cursor::needed(std::string_view name) {
+const Value& NodeReader::needed(std::string_view name) {
     const Value* v = find(name);
     if (!v) wrong("'" + this->name() + "' needs " + std::string(name) + "=");
     return *v;
 }
 
-std::string Cursor::text(std::string_view name) {
+std::string NodeReader::text(std::string_view name) {
     const Value& v = needed(name);
     const auto* s = std::get_if<std::string>(&v.is);
     if (!s) document_->wrong(v.at, std::string(name) + " is expected to be a string, and is " + kindOf(v));
     return *s;
 }
-std::string Cursor::text(std::string_view name, std::string otherwise) {
+std::string NodeReader::text(std::string_view name, std::string otherwise) {
     if (find(name)) return text(name);
     defaulted(name, otherwise);
     return otherwise;
 }
 
-double Cursor::number(std::string_view name, double least, double most) {
+double NodeReader::number(std::string_view name, double least, double most) {
     const Value& v = needed(name);
     const auto* n = std::get_if<Number>(&v.is);
     if (!n) document_->wrong(v.at, std::string(name) + " is expected to be a number, and is " + kindOf(v));
@@ -228,13 +228,13 @@
                          std::string(name) + " is expected between " + plain(least) + " and " + plain(most));
     return n->value;
 }
-double Cursor::number(std::string_view name, double least, double most, double otherwise) {
+double NodeReader::number(std::string_view name, double least, double most, double otherwise) {
     if (find(name)) return number(name, least, most);
     defaulted(name, Number{plain(otherwise), otherwise, {}});
     return otherwise;
 }
 
-std::int64_t Cursor::whole(std::string_view name, std::int64_t least, std::int64_t most) {
+std::int64_t NodeReader::whole(std::string_view name, std::int64_t least, std::int64_t most) {
     const Value& v = needed(name);
     const auto* n = std::get_if<Number>(&v.is);
     if (!n || !n->whole) document_->wrong(v.at, std::string(name) + " is expected to be a whole number");
@@ -243,14 +243,14 @@
                                    std::to_string(most));
     return *n->whole;
 }
-std::int64_t Cursor::whole(std::string_view name, std::int64_t least, std::int64_t most,
-                           std::int64_t otherwise) {
+std::int64_t NodeReader::whole(std::string_view name, std::int64_t least, std::int64_t most,
+                               std::int64_t otherwise) {
     if (find(name)) return whole(name, least, most);
     defaulted(name, Number{std::to_string(otherwise), static_cast<double>(otherwise), otherwise});
     return otherwise;
 }
 
-bool Cursor::flag(std::string_view name, bool otherwise) {
+bool NodeReader::flag(std::string_view name, bool otherwise) {
     const Value* v = find(name);
     if (!v) {
         defaulted(name, otherwise);
@@ -261,7 +261,7 @@
     return *b;
 }
 
-Micros Cursor::time(std::string_view name, Micros least, Micros most) {
+Micros NodeReader::time(std::string_view name, Micros least, Micros most) {
     const Value& v = needed(name);
     const auto* s = std::get_if<std::string>(&v.is);
     const auto t = s ? timeOf(*s) : std::nullopt;
@@ -274,13 +274,13 @@
             v.at, std::string(name) + " is expected between " + shownTime(least) + " and " + shownTime(most));
     return *t;
 }
-Micros Cursor::time(std::string_view name, Micros least, Micros most, Micros otherwise) {
+Micros NodeReader::time(std::string_view name, Micros least, Micros most, Micros otherwise) {
     if (find(name)) return time(name, least, most);
     defaulted(name, shownTime(otherwise));
     return otherwise;
 }
 
-net::Endpoint Cursor::address(std::string_view name) {
+net::Endpoint NodeReader::address(std::string_view name) {
     const Value& v = needed(name);
     const auto* s = std::get_if<std::string>(&v.is);
     const auto at = s ? net::parseEndpoint(*s) : std::nullopt;
@@ -291,8 +291,8 @@
     return *at;
 }
 
-std::string Cursor::choice(std::string_view name, const std::vector<std::string>& among,
-                           const std::string& otherwise) {
+std::string NodeReader::choice(std::string_view name, const std::vector<std::string>& among,
+                               const std::string& otherwise) {
     const Value* v = find(name);
     if (!v) {
         defaulted(name, otherwise);
@@ -305,18 +305,18 @@
     document_->wrong(v->at, std::string(name) + " is expected to be one of " + all);
 }
 
-std::uint32_t Cursor::placeOf(std::string_view property, const std::vector<std::string>& among,
-                              const std::string& otherwise, const std::string& title,
-                              const std::string& where) {
+std::uint32_t NodeReader::placeOf(std::string_view property, const std::vector<std::string>& among,
+                                  const std::string& otherwise, const std::string& title,
+                                  const std::string& where) {
     const std::string name = text(property, otherwise);
     const auto place = std::find(among.begin(), among.end(), name);
     if (place != among.end()) return static_cast<std::uint32_t>(place - among.begin());
     if (name.empty() && otherwise.empty()) return 0;
     wrongOf(property,
-            title + " '" + name + "' is not " + where + orNearest(name, {among.begin(), among.end()}));
+            title + " '" + name + "' is not " + where + suggestionFor(name, {among.begin(), among.end()}));
 }
 
-std::string Cursor::argument(std::string_view what) {
+std::string NodeReader::argument(std::string_view what) {
     askedArguments_ = true;
     if (!node_ || node_->arguments.size() != 1)
         wrong("'" + name() + "' is followed by one value: " + std::string(what));
@@ -325,7 +325,7 @@
     return *s;
 }
 
-std::vector<double> Cursor::numbers(std::string_view what, double least, double most) {
+std::vector<double> NodeReader::numbers(std::string_view what, double least, double most) {
     askedArguments_ = true;
     std::vector<double> out;
     if (!node_ || node_->arguments.empty())
@@ -340,7 +340,7 @@
     return out;
 }
 
-std::vector<std::string> Cursor::texts(std::string_view what) {
+std::vector<std::string> NodeReader::texts(std::string_view what) {
     askedArguments_ = true;
     std::vector<std::string> out;
     if (!node_) return out;
@@ -352,7 +352,7 @@
     return out;
 }
 
-std::vector<std::string> Cursor::asWritten() {
+std::vector<std::string> NodeReader::asWritten() {
     askedArguments_ = true;
     std::vector<std::string> out;
     if (!node_) return out;
@@ -363,16 +363,16 @@
     return out;
 }
 
-void Cursor::finish() {
+void NodeReader::finish() {
     for (const Node& child : children())
         if (!askedNodes_.count(child.name))
             document_->wrong(child.at, "a node '" + child.name + "' is not known in " + name() +
-                                           orNearest(child.name, askedNodes_));
+                                           suggestionFor(child.name, askedNodes_));
     if (!node_) return;
     for (const auto& [key, value] : node_->properties)
         if (!askedProperties_.count(key))
-            document_->wrong(value.at,
-                             "'" + name() + "' knows no '" + key + "='" + orNearest(key, askedProperties_));
+            document_->wrong(
+                value.at, "'" + name() + "' knows no '" + key + "='" + suggestionFor(key, askedProperties_));
     if (!askedArguments_ && !node_->arguments.empty())
         document_->wrong(node_->arguments[0].at, "'" + name() + "' takes no value here, only name=value");
 }
--- a/src/settings/document.hpp
+++ b/src/settings/document.hpp
@@ -18,9 +18,9 @@
 namespace valekeel::settings {
 
 // All that a file holds. Throws std::runtime_error, naming it.
-std::string textOfFile(const std::string& path);
+std::string readFile(const std::string& path);
 // Written beside, then renamed: a reader finds the old one or the new one, whole. Throws std::runtime_error.
-void keepText(const std::string& path, const std::string& text);
+void writeFileAtomically(const std::string& path, const std::string& text);
 
 // A whole file, kept for its lines in errors.
 class Document {
@@ -29,12 +29,12 @@
     static Document fromFile(const std::string& path);  // also std::runtime_error if it can't be read
     const std::vector<Node>& nodes() const { return nodes_; }
     const std::string& file() const { return file_; }
-    [[noreturn]] void wrong(Place, const std::string& what) const;
+    [[noreturn]] void wrong(SourcePosition, const std::string& what) const;
     // What is in force once all of it was read: what stands there, and each default that was taken beside it.
-    std::string inForce() const;
+    std::string effectiveText() const;
 
   private:
-    friend class Cursor;
+    friend class NodeReader;
     struct Taken {                // by reading, which is const for all else
         std::deque<Node> absent;  // nodes that were read and do not stand there
         std::map<const Node*, std::vector<std::pair<std::string, Value>>> defaults;
@@ -47,17 +47,17 @@
 
 // One node, or the top of the document. `finish()` refuses what was not asked for; it is called for children
 // by whoever reads them.
-class Cursor {
+class NodeReader {
   public:
-    explicit Cursor(const Document&);
-    Cursor(const Document&, const Node&);
+    explicit NodeReader(const Document&);
+    NodeReader(const Document&, const Node&);
 
     // Children by name. one(): none or one; a second is refused.
-    std::unique_ptr<Cursor> one(std::string_view name);
+    std::unique_ptr<NodeReader> one(std::string_view name);
     // The same of one that may be left out: then all of it is read as its defaults.
-    Cursor here(std::string_view name);
-    Cursor need(std::string_view name);
-    std::vector<Cursor> each(std::string_view name);
+    NodeReader here(std::string_view name);
+    NodeReader need(std::string_view name);
+    std::vector<NodeReader> each(std::string_view name);
 
     // Properties of this node. The first form refuses if it is missing.
     std::string text(std::string_view name);
@@ -105,7 +105,7 @@
 // The nearest of some names, if it is near enough to be meant.
 std::string nearest(std::string_view to, const std::set<std::string, std::less<>>& among);
 // The same for the end of a complaint: "; did you mean 'NAME'?", or nothing.
-std::string orNearest(std::string_view to, const std::set<std::string, std::less<>>& among);
+std::string suggestionFor(std::string_view to, const std::set<std::string, std::less<>>& among);
 
 // "1500us", "20ms", "2s", "1.5min", "1h". Nothing if it is none.
 std::optional<Micros> timeOf(std::string_view text);
--- a/src/settings/kdl.cpp
+++ b/src/settings/kdl.cpp
@@ -117,8 +117,10 @@
     void step(std::size_t count) {
         for (std::size_t i = 0; i < count; ++i) step();
     }
-    [[noreturn]] void wrong(const std::string& what) { throw Wrong(file_, text_, place_, what); }
-    [[noreturn]] void wrongAt(Place at, const std::string& what) { throw Wrong(file_, text_, at, what); }
+    [[noreturn]] void wrong(const std::string& what) { throw SettingsError(file_, text_, place_, what); }
+    [[noreturn]] void wrongAt(SourcePosition at, const std::string& what) {
+        throw SettingsError(file_, text_, at, what);
+    }
     std::string shown() {
         const Rune c = peek();
         if (c == kEnd) return "the end of the text";
@@ -147,7 +149,7 @@
         while (pos_ <= i) step();
     }
     void blockComment(int depth) {
-        const Place began = place_;
+        const SourcePosition began = place_;
         if (depth > limits_.depth) wrong("comments are nested too deeply");
         step(2);
         for (;;) {
@@ -266,7 +268,7 @@
             }
             if (peek() == '{') {
                 if (childrenSeen && !dropped) wrong("a node has one block of children");
-                const Place began = place_;
+                const SourcePosition began = place_;
                 step();
                 std::vector<Node> children = nodes(depth + 1);
                 if (peek() != '}') wrongAt(began, "this block of children is never closed by }");
@@ -287,7 +289,7 @@
     }
 
     void entry(Node& out, bool dropped) {
-        const Place at = place_;
+        const SourcePosition at = place_;
         if (peek() != '(' && stringAhead()) {
             std::string word = string();
             // Space may stand around the equals sign of a property.
@@ -347,7 +349,7 @@
     }
 
     void keyword(Value& out) {
-        const Place at = place_;
+        const SourcePosition at = place_;
         std::size_t end = pos_ + 1;
         while (end < text_.size() &&
                (std::isalpha(static_cast<unsigned char>(text_[end])) || text_[end] == '-'))
@@ -377,7 +379,7 @@
     }
 
     void number(Value& out) {
-        const Place at = place_;
+        const SourcePosition at = place_;
         const std::size_t start = pos_;
         std::string digits;  // without the underscores
         if (peek() == '+' || peek() == '-') {
@@ -470,7 +472,7 @@
         return identifier();
     }
     std::string identifier() {
-        const Place at = place_;
+        const SourcePosition at = place_;
         const std::size_t start = pos_;
         while (!atEnd() && identifierRune(peek())) step();
         const std::string word(text_.substr(start, pos_ - start));
@@ -486,7 +488,7 @@
     }
     // Behind the backslash. Nothing if it was space, which is left out.
     std::optional<Rune> escape() {
-        const Place at = place_;
+        const SourcePosition at = place_;
         const Rune c = peek();
         if (c == kEnd) wrong("the text ends within a string");
         if (spaceRune(c) || newlineRune(c)) {
@@ -533,7 +535,7 @@
         return value;
     }
     std::string quoted() {
-        const Place began = place_;
+        const SourcePosition began = place_;
         step();
         std::string out;
         for (;;) {
@@ -554,7 +556,7 @@
         }
     }
     std::string raw() {
-        const Place began = place_;
+        const SourcePosition began = place_;
         std::size_t hashes = 0;
         while (peek() == '#') {
             step();
@@ -578,7 +580,7 @@
     // Section 3.10: lines between the quotes, less the indent of the last. Newlines become LF. An escaped
     // newline joins lines before the indent is looked at.
     std::string multiline(std::size_t hashes) {
-        const Place began = place_;
+        const SourcePosition began = place_;
         step(3);
         if (atEnd() || !newlineRune(peek())) wrong("after \"\"\" the line must end");
         step();
@@ -587,7 +589,7 @@
             std::string text;    // with escapes still as they stand
             std::string indent;  // literal space at its start
             bool onlySpace = true;
-            Place at;
+            SourcePosition at;
         };
         std::vector<Line> lines(1);
         lines.back().at = place_;
@@ -639,7 +641,7 @@
 
     struct Mark {
         std::size_t pos;
-        Place place;
+        SourcePosition place;
     };
     Mark save() const { return {pos_, place_}; }
     void restore(const Mark& m) {
@@ -651,7 +653,7 @@
     std::string_view text_;
     KdlLimits limits_;
     std::size_t pos_ = 0;
-    Place place_;
+    SourcePosition place_;
 };
 
 bool bareWord(const std::string& s) {
@@ -723,7 +725,8 @@
 
 }  // namespace
 
-Wrong::Wrong(const std::string& file, std::string_view text, Place at, const std::string& what)
+SettingsError::SettingsError(const std::string& file, std::string_view text, SourcePosition at,
+                             const std::string& what)
     : std::runtime_error(
           file + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + what + "\n    " +
           lineOf(text, at.line) + "\n    " +
--- a/src/settings/kdl.hpp
+++ b/src/settings/kdl.hpp
@@ -13,7 +13,7 @@
 
 namespace valekeel::settings {
 
-struct Place {  // both start at 1; a column counts code points
+struct SourcePosition {  // both start at 1; a column counts code points
     int line = 1, column = 1;
 };
 
@@ -31,13 +31,13 @@
 struct Value {
     std::optional<std::string> type;
     std::variant<Null, bool, Number, std::string> is;
-    Place at;
+    SourcePosition at;
 };
 
 struct Node {
     std::optional<std::string> type;
     std::string name;
-    Place at;
+    SourcePosition at;
     std::vector<Value> arguments;
     std::vector<std::pair<std::string, Value>> properties;  // the last of a name wins, in its first place
     std::vector<Node> children;
@@ -45,10 +45,10 @@
 };
 
 // "FILE:LINE:COLUMN: what", then the line and a caret under the place.
-class Wrong : public std::runtime_error {
+class SettingsError : public std::runtime_error {
   public:
-    Wrong(const std::string& file, std::string_view text, Place, const std::string& what);
-    Place at;
+    SettingsError(const std::string& file, std::string_view text, SourcePosition, const std::string& what);
+    SourcePosition at;
     std::string brief;  // the first line alone
 };
 
--- a/src/settings/site_settings.cpp
+++ b/src/settings/site_settings.cpp
@@ -9,13 +9,13 @@
 
 }  // namespace
 
-Ladder readLadder(Cursor& top) {
-    Cursor node = top.need("ladder");
+Ladder readLadder(NodeReader& top) {
+    NodeReader node = top.need("ladder");
     Ladder ladder;
     ladder.stallLoss = node.number("stall-loss", 0, 1'000, 5);
     ladder.switchSeconds = seconds(node.time("switch", 0, 60 * kSecond, 500'000));
     ladder.joinPart = node.number("join", 0, 1, 1);
-    for (Cursor& rung : node.each("rung")) {
+    for (NodeReader& rung : node.each("rung")) {
         const double kb = rung.number("kb", 0.01, 1e7), worth = rung.number("worth", 0, 1);
         if (!ladder.kb.empty() && kb <= ladder.kb.back())
             rung.wrongOf("kb", "rungs are expected to rise in kb");
@@ -37,10 +37,10 @@
     return std::nullopt;
 }
 
-RoomTypes readRoomTypes(Cursor& top, const Ladder& ladder) {
+RoomTypes readRoomTypes(NodeReader& top, const Ladder& ladder) {
     RoomTypes out;
     const auto last = static_cast<std::int64_t>(ladder.kb.size()) - 1;
-    for (Cursor& node : top.each("room-type")) {
+    for (NodeReader& node : top.each("room-type")) {
         RoomType room;
         room.name = node.argument("its name");
         if (room.name.empty() || out.find(room.name)) node.wrong("a room type needs a name of its own");
@@ -66,9 +66,9 @@
     return out;
 }
 
-Machines readMachines(Cursor& top) {
+Machines readMachines(NodeReader& top) {
     Machines out;
-    Cursor node = top.need("fleet");
+    NodeReader node = top.need("fleet");
     Fleet& fleet = out.fleet;
     fleet.cells = static_cast<int>(node.whole("cells", 1, 100'000));
     fleet.racks = static_cast<int>(node.whole("racks", 1, 10'000, 1));
@@ -78,7 +78,7 @@
     fleet.sizesTold = fleet.linkKbPerSize > 0;
     fleet.listAsked = true;
     fleet.fullFrom = node.number("full-from", 0, 100, 0);
-    for (Cursor& zone : node.each("zone")) {
+    for (NodeReader& zone : node.each("zone")) {
         const std::string name = zone.argument("its name");
         if (name.empty() || std::find(out.zones.begin(), out.zones.end(), name) != out.zones.end())
             zone.wrong("a zone needs a name of its own");
@@ -86,7 +86,7 @@
         out.zones.push_back(name);
         zone.finish();
     }
-    for (Cursor& kind : node.each("kind")) {
+    for (NodeReader& kind : node.each("kind")) {
         out.kinds.push_back(kind.argument("its name"));
         fleet.places.push_back(static_cast<int>(kind.whole("places", 1, 1'000'000)));
         kind.finish();
@@ -97,7 +97,7 @@
     return out;
 }
 
-ColdStartLimits readColdTerms(Cursor& top) {
+ColdStartLimits readColdStartLimits(NodeReader& top) {
     ColdStartLimits out;
     auto node = top.one("cold");
     if (!node) return out;
@@ -109,7 +109,7 @@
     return out;
 }
 
-std::optional<JoinBudget> readJoinBudget(Cursor& top) {
+std::optional<JoinBudget> readJoinBudget(NodeReader& top) {
     auto node = top.one("join-budget");
     if (!node) return std::nullopt;
     JoinBudget out;
@@ -120,9 +120,9 @@
     return out;
 }
 
-ReportTiming readTidings(Cursor& top) {
+ReportTiming readReportTiming(NodeReader& top) {
     ReportTiming out;
-    Cursor node = top.here("tidings");
+    NodeReader node = top.here("tidings");
     out.late = 100'000;
     out.every = kSecond;
     out.late = node.time("late", 0, 60 * kSecond, out.late);
@@ -133,20 +133,20 @@
     return out;
 }
 
-ServingCosts readPrices(Cursor& top) {
+ServingCosts readServingCosts(NodeReader& top) {
     ServingCosts out;
-    Cursor node = top.here("prices");
+    NodeReader node = top.here("prices");
     out.crossZone = node.number("cross-zone", 0, 1, 0);
     node.finish();
     return out;
 }
 
-SubscriptionLimits readAllowed(Cursor& top) {
+SubscriptionLimits readSubscriptionLimits(NodeReader& top) {
     SubscriptionLimits out;
     out.maxJoins = 3;
     out.retryAfter = true;
     out.maxRetryAfter = 2 * kSecond;
-    Cursor node = top.here("allowed");
+    NodeReader node = top.here("allowed");
     out.maxJoins = static_cast<int>(node.whole("joins", 1, 100, out.maxJoins));
     out.maxRetryAfter = node.time("come-back-at-most", 0, kLong, out.maxRetryAfter);
     out.retryAfter = out.maxRetryAfter > 0;
@@ -154,9 +154,9 @@
     return out;
 }
 
-Talks readTalks(Cursor& top, const Fleet& fleet) {
+Talks readTalks(NodeReader& top, const Fleet& fleet) {
     Talks out;
-    for (Cursor& node : top.each("talk")) {
+    for (NodeReader& node : top.each("talk")) {
         const std::string name = node.argument("its title");
         if (name.empty() || name.find('/') != std::string::npos || out.count(name))
             node.wrong("a talk needs a title of its own, without '/'");
--- a/src/settings/site_settings.hpp
+++ b/src/settings/site_settings.hpp
@@ -11,32 +11,32 @@
 
 namespace valekeel::settings {
 
-Ladder readLadder(Cursor& top);
+Ladder readLadder(NodeReader& top);
 
 struct RoomTypes {
     std::vector<RoomType> types;
     std::vector<Micros> clientTimeouts;  // of each
     std::optional<RoomTypeId> find(std::string_view name) const;
 };
-RoomTypes readRoomTypes(Cursor& top, const Ladder&);
+RoomTypes readRoomTypes(NodeReader& top, const Ladder&);
 
 struct Machines {
     Fleet fleet;
     std::vector<std::string> kinds, zones;  // no zone is named where there is one only
 };
-Machines readMachines(Cursor& top);
+Machines readMachines(NodeReader& top);
 
-ColdStartLimits readColdTerms(Cursor& top);
-std::optional<JoinBudget> readJoinBudget(Cursor& top);
-ServingCosts readPrices(Cursor& top);
-ReportTiming readTidings(Cursor& top);
-SubscriptionLimits readAllowed(Cursor& top);
+ColdStartLimits readColdStartLimits(NodeReader& top);
+std::optional<JoinBudget> readJoinBudget(NodeReader& top);
+ServingCosts readServingCosts(NodeReader& top);
+ReportTiming readReportTiming(NodeReader& top);
+SubscriptionLimits readSubscriptionLimits(NodeReader& top);
 
 struct Talk {  // where its holders begin, and how many there are
     Cell firstCell;
     int holders = 1;
 };
 using Talks = std::map<std::string, Talk, std::less<>>;
-Talks readTalks(Cursor& top, const Fleet&);
+Talks readTalks(NodeReader& top, const Fleet&);
 
 }  // namespace valekeel::settings
--- a/src/simulation/baselines.cpp
+++ b/src/simulation/baselines.cpp
@@ -128,7 +128,7 @@
 
 }  // namespace
 
-front::OtherDecide baseline(const std::string& name) {
+front::ModuleOverride baseline(const std::string& name) {
     if (name != "random" && name != "least-load") throw std::invalid_argument("no such baseline: " + name);
     return [byLoad = name == "least-load"](Host& host, Micros, std::uint64_t seed,
                                            const std::vector<RoomType>& rooms, const Fleet& fleet,
--- a/src/simulation/baselines.hpp
+++ b/src/simulation/baselines.hpp
@@ -11,6 +11,6 @@
 namespace valekeel::simulation {
 
 // "random" or "least-load"; throws std::invalid_argument for any other.
-front::OtherDecide baseline(const std::string& name);
+front::ModuleOverride baseline(const std::string& name);
 
 }  // namespace valekeel::simulation
--- a/src/simulation/environment.cpp
+++ b/src/simulation/environment.cpp
@@ -88,7 +88,7 @@
     ~VirtualFront() override { kill(); }
     void start(const std::string& settings, std::uint64_t seed, const std::string& decisions) override {
         kill();
-        const front::OtherDecide other = decisions.empty() ? front::OtherDecide{} : baseline(decisions);
+        const front::ModuleOverride other = decisions.empty() ? front::ModuleOverride{} : baseline(decisions);
         front_ = std::make_unique<front::Front>(node_, settings::Document::fromText(base_ + ".kdl", settings),
                                                 seed, ++life_, other);
         stopped_ = false;
@@ -113,7 +113,7 @@
         return front_ ? std::optional(front_->http()) : std::nullopt;
     }
     std::optional<net::Endpoint> sip() override {
-        return front_ && front_->sip() ? std::optional(front_->sip()->at()) : std::nullopt;
+        return front_ && front_->sipFrontend() ? std::optional(front_->sipFrontend()->at()) : std::nullopt;
     }
 
   private:
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -7,7 +7,7 @@
 
 namespace valekeel::simulation {
 
-using settings::Cursor;
+using settings::NodeReader;
 
 const std::vector<TroubleKind>& troubleKinds() {
     static const std::vector<TroubleKind> kKinds = {
@@ -62,18 +62,18 @@
 
 constexpr Micros kDay = 86'400 * kSecond;
 
-std::vector<int> numbersOf(Cursor& node, const char* name, int most) {
+std::vector<int> numbersOf(NodeReader& node, const char* name, int most) {
     std::vector<int> out;
-    for (Cursor& child : node.each(name)) {
+    for (NodeReader& child : node.each(name)) {
         for (const double v : child.numbers(name, 0, most - 1)) out.push_back(static_cast<int>(v));
         child.finish();
     }
     return out;
 }
 
-std::vector<std::pair<double, fakes::PlayerRoom>> roomsOf(Cursor& node, const Day& day) {
+std::vector<std::pair<double, fakes::PlayerRoom>> roomsOf(NodeReader& node, const Day& day) {
     std::vector<std::pair<double, fakes::PlayerRoom>> out;
-    for (Cursor& room : node.each("room")) {
+    for (NodeReader& room : node.each("room")) {
         const std::string name = room.argument("a room type");
         const auto id = day.rooms.find(name);
         if (!id) room.wrong("room type '" + name + "' is not among the site's");
@@ -87,14 +87,14 @@
 }
 
 // Wanted by a Zipf law, in the order of their names.
-std::vector<std::pair<double, std::string>> titlesOf(Cursor& node, const settings::Talks& talks) {
+std::vector<std::pair<double, std::string>> titlesOf(NodeReader& node, const settings::Talks& talks) {
     const workload::Zipf wanted(talks.size(), node.number("zipf", 0, 5, 0.8), 0);
     std::vector<std::pair<double, std::string>> out;
     for (const auto& [title, talk] : talks) out.emplace_back(wanted.part(out.size()), title);
     return out;
 }
 
-int memberNamed(Cursor& node, const Day& day) {
+int memberNamed(NodeReader& node, const Day& day) {
     const std::string member = node.text("member");
     const auto it = std::find_if(day.members.begin(), day.members.end(),
                                  [&](const Member& m) { return m.name == member; });
@@ -102,7 +102,7 @@
     return static_cast<int>(it - day.members.begin());
 }
 
-Audience readAudience(Cursor& node, const Day& day, const settings::Talks& talks) {
+Audience readAudience(NodeReader& node, const Day& day, const settings::Talks& talks) {
     Audience a;
     node.asWritten();  // a name, for who changes its settings
     const double rate = node.number("rate", 0, 1e6), swing = node.number("swing", 0, 1, 0);
@@ -128,12 +128,12 @@
     a.rooms = roomsOf(node, day);
     for (const auto& [title, talk] : talks) a.titles.push_back(title);
     std::vector<workload::Flash> flashes;
-    for (Cursor& one : node.each("flash")) {
+    for (NodeReader& one : node.each("flash")) {
         flashes.push_back({one.time("at", 0, kDay), one.time("for", 1, kDay), one.number("times", 0, 1e4)});
         one.finish();
     }
     a.stream = workload::Arrivals(rate, from, until, swing, period, std::move(flashes));
-    for (Cursor& one : node.each("train")) {
+    for (NodeReader& one : node.each("train")) {
         Audience::Train t;
         t.viewers = static_cast<int>(one.whole("viewers", 0, 1'000'000));
         t.at = one.time("at", 0, kDay);
@@ -203,8 +203,8 @@
 
 Day readDay(const settings::Document& document) {
     Day day;
-    Cursor top(document);
-    Cursor head = top.need("day");
+    NodeReader top(document);
+    NodeReader head = top.need("day");
     day.name = head.argument("its name");
     day.length = head.time("length", kSecond, kDay);
     day.seed = static_cast<std::uint64_t>(head.whole("seed", 0, 1'000'000'000, 1));
@@ -213,15 +213,15 @@
     day.linkKb = head.number("link-kb", 0.1, 1e9);
     head.finish();
 
-    Cursor site = top.need("site");
+    NodeReader site = top.need("site");
     day.siteNodes = site.node()->children;
     day.ladder = settings::readLadder(site);
     day.rooms = settings::readRoomTypes(site, day.ladder);
     day.machines = settings::readMachines(site);
-    const ColdStartLimits cold = settings::readColdTerms(site);
+    const ColdStartLimits cold = settings::readColdStartLimits(site);
     const auto budget = settings::readJoinBudget(site);
-    settings::readTidings(site);
-    settings::readAllowed(site);
+    settings::readReportTiming(site);
+    settings::readSubscriptionLimits(site);
     const settings::Talks talks = settings::readTalks(site, day.machines.fleet);
     for (const char* passed : {"viewers", "boxes", "hints", "admission"})
         site.one(passed);  // a front reads them
@@ -257,7 +257,7 @@
         day.terms.budgetWindow = budget->window;
     }
 
-    for (Cursor& node : top.each("crowd")) {
+    for (NodeReader& node : top.each("crowd")) {
         Crowd crowd;
         crowd.players = static_cast<int>(node.whole("players", 0, 1'000'000));
         crowd.at = node.time("at", 0, kDay, 0);
@@ -275,7 +275,7 @@
     }
 
     if (auto node = top.one("members")) {
-        for (Cursor& one : node->each("member")) {
+        for (NodeReader& one : node->each("member")) {
             Member m;
             m.name = one.argument("its name");
             m.linkKb = one.number("link-kb", 0.1, 1e9);
@@ -285,9 +285,9 @@
         }
         node->finish();
     }
-    for (Cursor& node : top.each("audience")) day.audiences.push_back(readAudience(node, day, talks));
+    for (NodeReader& node : top.each("audience")) day.audiences.push_back(readAudience(node, day, talks));
 
-    for (Cursor& node : top.each("callers")) {
+    for (NodeReader& node : top.each("callers")) {
         Callers c;
         c.callers = static_cast<int>(node.whole("callers", 0, 1'000'000));
         c.at = node.time("at", 0, kDay, 0);
@@ -307,11 +307,11 @@
 
     std::set<std::string, std::less<>> names;
     for (const TroubleKind& k : troubleKinds()) names.insert(k.name);
-    for (Cursor& node : top.each("trouble")) {
+    for (NodeReader& node : top.each("trouble")) {
         DayTrouble t;
         t.kind = node.argument("its kind");
         if (!names.count(t.kind))
-            node.wrong("'" + t.kind + "' is no kind of trouble" + settings::orNearest(t.kind, names));
+            node.wrong("'" + t.kind + "' is no kind of trouble" + settings::suggestionFor(t.kind, names));
         t.at = node.time("at", 0, day.length);
         t.lasts = node.time("for", 0, kDay, 0);
         t.size = node.number("size", 0, 1e6, 1);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -26,7 +26,7 @@
     try {
         parseServerList("t", "box 1 at=\"127.0.0.1:1\" zone=\"wets\"", names, {});
         ADD_FAILURE();
-    } catch (const settings::Wrong& e) {
+    } catch (const settings::SettingsError& e) {
         EXPECT_NE(
             std::string(e.what()).find("t:1:29: a zone 'wets' is not in the settings; did you mean 'west'?"),
             std::string::npos)
@@ -57,10 +57,10 @@
          {"box", "box 1", "box 1 at=\"x\"", "box 1.5 at=\"127.0.0.1:1\"", "box -1 at=\"127.0.0.1:1\"",
           "box 1 at=\"127.0.0.1:1\"\nbox 1 at=\"127.0.0.1:2\"", "box 1 at=\"127.0.0.1:1\" kind=\"lage\"",
           "box 1 at=\"127.0.0.1:1\" launched=\"yesterday\"", "bix 1", "box 1 at=\"127.0.0.1:1\" x=1"})
-        EXPECT_THROW(parseServerList("t", bad, kKinds, {}), settings::Wrong) << bad;
+        EXPECT_THROW(parseServerList("t", bad, kKinds, {}), settings::SettingsError) << bad;
     EXPECT_THROW(
         parseServerList("t", "box 1 at=\"127.0.0.1:1\"\nbox 2 at=\"127.0.0.1:1\"", kKinds, {1, 1'000}),
-        settings::Wrong);
+        settings::SettingsError);
 }
 
 TEST(Events, FollowTheStandard) {
--- a/tests/evidence_test.cpp
+++ b/tests/evidence_test.cpp
@@ -29,8 +29,8 @@
           "learnt 1 saved-us=1\nbox 3 link-use=-1", "learnt 1 saved-us=1\nbox 3 link-use=#nan",
           "learnt 1 saved-us=1\nbox 3 evidence=1e9", "learnt 1 saved-us=1\nbox 3\nbox 3",
           "learnt 1 saved-us=1\nbox 3 evid"})
-        EXPECT_THROW(parseEvidenceFile("f", bad, 10), settings::Wrong) << bad;
-    EXPECT_THROW(parseEvidenceFile("f", "learnt 1 saved-us=1\nbox 1\nbox 2", 1), settings::Wrong);
+        EXPECT_THROW(parseEvidenceFile("f", bad, 10), settings::SettingsError) << bad;
+    EXPECT_THROW(parseEvidenceFile("f", "learnt 1 saved-us=1\nbox 1\nbox 2", 1), settings::SettingsError);
 }
 
 }  // namespace
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -262,7 +262,8 @@
           "experiment \"x\"\nday \"d\"\nseeds",
           "experiment \"x\"\nday \"d\"\nseeds 1\nchart \"m\" over=\"no\"",
           "experiment \"x\"\nday \"d\"\nseeds 1\nfactor \"f\" set=\"a@b\" { level 1 2; }"})
-        EXPECT_THROW(experiment::readPlan(settings::Document::fromText("p.kdl", wrong)), settings::Wrong)
+        EXPECT_THROW(experiment::readPlan(settings::Document::fromText("p.kdl", wrong)),
+                     settings::SettingsError)
             << wrong;
 }
 
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -85,7 +85,7 @@
         b.launchedWall = launchedWall;
         list.put({b});
     }
-    void startFront(const std::string& more = "", const front::OtherDecide& other = {},
+    void startFront(const std::string& more = "", const front::ModuleOverride& other = {},
                     const std::string& ofFront = "") {
         const std::string text = "front \"a\"" + ofFront + "\nlist stream=\"" + net::toString(list.at()) +
                                  "\" path=\"/boxes?front=a\" keep=\"" + (folder / "kept.kdl").string() +
@@ -154,7 +154,7 @@
     EXPECT_EQ(rig.count("charged"), 1);
     ASSERT_TRUE(rig.until([&] { return rig.count("release") == 1; }))
         << "its place is given back once it is silent";
-    EXPECT_EQ(rig.front->face().viewers(), 0u);
+    EXPECT_EQ(rig.front->httpFrontend().viewers(), 0u);
     rig.expectRules();
 }
 
@@ -188,7 +188,7 @@
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_EQ(rig.count("answer", 200), 7);
     EXPECT_EQ(rig.count("segment-lost"), 0);
-    const auto& dropped = rig.front->face().hintsDropped();
+    const auto& dropped = rig.front->httpFrontend().hintsDropped();
     for (const auto why : {hints::Dropped::Malformed, hints::Dropped::Twice, hints::Dropped::TooLong,
                            hints::Dropped::Contradicts, hints::Dropped::OutOfRange})
         EXPECT_GT(dropped[static_cast<std::size_t>(why)], 0u) << hints::nameOf(why);
@@ -287,7 +287,7 @@
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_EQ(rig.count("answer", 200), 3);
     EXPECT_EQ(rig.count("answer", 503), 5);
-    ASSERT_TRUE(rig.until([&] { return rig.front->face().viewers() == 0; }));
+    ASSERT_TRUE(rig.until([&] { return rig.front->httpFrontend().viewers() == 0; }));
     rig.play("paid", 300'000);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_EQ(rig.count("answer", 200), 4);
@@ -1115,7 +1115,7 @@
     // A wrong level is found before anything runs.
     auto wrong = planOf("3");
     wrong.factors[0].levels[1].values[0] = "many";
-    EXPECT_THROW(experiment::carryOut(wrong, ways), settings::Wrong);
+    EXPECT_THROW(experiment::carryOut(wrong, ways), settings::SettingsError);
     EXPECT_EQ(experiment::Store(ways.store).of("t").size(), 4u);
 }
 
--- a/tests/hls_test.cpp
+++ b/tests/hls_test.cpp
@@ -57,13 +57,13 @@
 }
 
 // Whatever the rungs do and whenever it is asked: what was listed stays, without gaps, at the rung it had.
-TEST(Window, ChangesOfRungNeverTouchWhatWasListed) {
+TEST(PlaylistWindow, ChangesOfRungNeverTouchWhatWasListed) {
     for (unsigned seed = 1; seed <= 50; ++seed) {
         std::mt19937 chance(seed);
         const auto pick = [&](int lo, int hi) { return std::uniform_int_distribution<int>(lo, hi)(chance); };
         std::vector<Micros> durations;
         for (int i = pick(1, 80); i > 0; --i) durations.push_back(pick(200, 3'000) * 1'000);
-        frontends::Window window({5 * kSecond, 3 * kSecond});
+        frontends::PlaylistWindow window({5 * kSecond, 3 * kSecond});
         std::map<std::uint64_t, int> listed;
         Micros played = 0;
         std::uint64_t lastFirst = 0, fetched = 0;
--- a/tests/kdl_test.cpp
+++ b/tests/kdl_test.cpp
@@ -15,7 +15,7 @@
 std::string wrongAt(const std::string& text) {
     try {
         parseKdl("t", text);
-    } catch (const Wrong& w) {
+    } catch (const SettingsError& w) {
         return std::to_string(w.at.line) + ":" + std::to_string(w.at.column);
     }
     return "fine";
@@ -81,7 +81,7 @@
     try {
         parseKdl("site.kdl", "one\ntwo \"x\" 3z\n");
         FAIL();
-    } catch (const Wrong& w) {
+    } catch (const SettingsError& w) {
         EXPECT_STREQ(w.what(),
                      "site.kdl:2:9: this begins like a number and does not end like one\n    two \"x\" 3z\n  "
                      "          ^");
@@ -118,7 +118,7 @@
             const auto nodes = parseKdl("t", bytes);
             const std::string once = printKdl(nodes);
             RC_ASSERT(again(once) == once);
-        } catch (const Wrong&) {
+        } catch (const SettingsError&) {
         }
     });
 }
@@ -126,7 +126,7 @@
 std::string complaint(const std::string& text) {
     try {
         front::Front::check(Document::fromText("site.kdl", text));
-    } catch (const Wrong& w) {
+    } catch (const SettingsError& w) {
         return w.brief;
     }
     return "in order";
@@ -204,7 +204,7 @@
 TEST(Settings, WhatIsInForceNamesEachDefaultAndIsInOrderItself) {
     const auto document = Document::fromText("site.kdl", kSite);
     front::Front::check(document);
-    const std::string all = document.inForce();
+    const std::string all = document.effectiveText();
     for (const char* part : {"silent-after=\"20s\"", "answer-margin=\"120ms\"", "waiting=1000", "level=info",
                              "rung kb=10 worth=0.5", "room-type r client-timeout=\"3s\"", "set-up=free"})
         EXPECT_NE(all.find(part), std::string::npos) << part << "\n" << all;
