--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -309,7 +309,7 @@
     net::raiseDescriptorLimit();
     net::EpollNet net(3);
     fakes::Ledger ledger;
-    fakes::BoxMake make;
+    fakes::BoxConfig make;
     make.rungKb = {10};
     make.rateFactors = {{"open", 1}, {"paid", 1}};
     make.setUp = 300'000;
@@ -358,8 +358,8 @@
         if (i % 7 == 0) plan.cancelAfter = std::uniform_int_distribution<Micros>(1, 2 * kSecond)(chance);
         ++active;
         callers.push_back(std::make_unique<fakes::Caller>(net, i, front.sip()->at(), "a", plan,
-                                                          fakes::Weather{0.1, 0.05, 800'000}, chance(),
-                                                          ledger, [&] { --active; }));
+                                                          fakes::NetworkConditions{0.1, 0.05, 800'000},
+                                                          chance(), ledger, [&] { --active; }));
         callers.back()->start();
         turnUntil([] { return false; }, 25'000);
     }
--- a/bench/front_fixture.hpp
+++ b/bench/front_fixture.hpp
@@ -17,7 +17,7 @@
 struct Stage {
     net::EpollNet net{1};
     fakes::Ledger ledger;
-    fakes::BoxMake make;
+    fakes::BoxConfig make;
     std::unique_ptr<fakes::BoxFleet> fleet;
     std::unique_ptr<fakes::ListServer> list;
     std::filesystem::path folder;
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -19,8 +19,8 @@
 }  // namespace
 
 // Rule 1. What counts is what came out of the player's own socket.
-std::vector<Breach> oneAnswer(const Ledger& ledger, const Terms& terms, const Down& down) {
-    std::vector<Breach> out;
+std::vector<RuleViolation> oneAnswer(const Ledger& ledger, const Terms& terms, const Down& down) {
+    std::vector<RuleViolation> out;
     struct Ask {
         const Line* asked = nullptr;
         int answers = 0;
@@ -83,8 +83,8 @@
 }
 
 // Rule 2. The trace id of an ask stands on each of its joins; a box writes "charged" when a set-up has begun.
-std::vector<Breach> noSetUpTwice(const Ledger& ledger, const Terms& terms) {
-    std::vector<Breach> out;
+std::vector<RuleViolation> noSetUpTwice(const Ledger& ledger, const Terms& terms) {
+    std::vector<RuleViolation> out;
     struct Way {
         int charged = 0;
         std::map<int, Micros>
@@ -126,8 +126,8 @@
 }
 
 // Rule 3. Counted from when the list's line went out to that very front.
-std::vector<Breach> drainsKept(const Ledger& ledger, const Terms& terms) {
-    std::vector<Breach> out;
+std::vector<RuleViolation> drainsKept(const Ledger& ledger, const Terms& terms) {
+    std::vector<RuleViolation> out;
     std::map<std::pair<std::string, int>, Micros> off;  // front and box: told so, at
     for (const Line& l : ledger.lines()) {
         if (l.what == "told") {
@@ -148,8 +148,8 @@
 }
 
 // Rule 4. All fronts together, in any span: what arrives at a box that is still cold.
-std::vector<Breach> coldSpared(const Ledger& ledger, const Terms& terms) {
-    std::vector<Breach> out;
+std::vector<RuleViolation> coldSpared(const Ledger& ledger, const Terms& terms) {
+    std::vector<RuleViolation> out;
     struct Box {
         Micros started = 0;
         double places = 0;
@@ -185,8 +185,8 @@
 }
 
 // Rule 5. A seat is taken from the join's arrival until the box is told, or knows, that it is over.
-std::vector<Breach> termsKept(const Ledger& ledger, const Terms& terms) {
-    std::vector<Breach> out;
+std::vector<RuleViolation> termsKept(const Ledger& ledger, const Terms& terms) {
+    std::vector<RuleViolation> out;
     struct Holding {
         std::set<std::string> subs;
         Micros overSince = 0;
@@ -219,8 +219,8 @@
 }
 
 // Rule 6. A front's joins with a number over 0 are its further ones; what it took is what players asked it.
-std::vector<Breach> budgetKept(const Ledger& ledger, const Terms& terms) {
-    std::vector<Breach> out;
+std::vector<RuleViolation> budgetKept(const Ledger& ledger, const Terms& terms) {
+    std::vector<RuleViolation> out;
     if (!terms.budgeted) return out;
     struct Front {
         std::deque<Micros> asked, further;
@@ -249,9 +249,11 @@
     return out;
 }
 
-std::vector<Breach> all(const Ledger& ledger, const Terms& terms, const Down& down) {
-    std::vector<Breach> out;
-    const auto put = [&](std::vector<Breach> some) { out.insert(out.end(), some.begin(), some.end()); };
+std::vector<RuleViolation> all(const Ledger& ledger, const Terms& terms, const Down& down) {
+    std::vector<RuleViolation> out;
+    const auto put = [&](std::vector<RuleViolation> some) {
+        out.insert(out.end(), some.begin(), some.end());
+    };
     put(oneAnswer(ledger, terms, down));
     put(noSetUpTwice(ledger, terms));
     put(drainsKept(ledger, terms));
--- a/src/audit/audit.hpp
+++ b/src/audit/audit.hpp
@@ -30,7 +30,7 @@
     Micros onTheWay = 100'000;
 };
 
-struct Breach {
+struct RuleViolation {
     int rule = 0;
     std::string what;  // with the trace ids that show it
 };
@@ -38,12 +38,12 @@
 // `down`: when a front was not running, killed or standing still, by name: from and until.
 using Down = std::multimap<std::string, std::pair<Micros, Micros>>;
 
-std::vector<Breach> oneAnswer(const fakes::Ledger&, const Terms&, const Down&);
-std::vector<Breach> noSetUpTwice(const fakes::Ledger&, const Terms&);
-std::vector<Breach> drainsKept(const fakes::Ledger&, const Terms&);
-std::vector<Breach> coldSpared(const fakes::Ledger&, const Terms&);
-std::vector<Breach> termsKept(const fakes::Ledger&, const Terms&);
-std::vector<Breach> budgetKept(const fakes::Ledger&, const Terms&);
-std::vector<Breach> all(const fakes::Ledger&, const Terms&, const Down&);
+std::vector<RuleViolation> oneAnswer(const fakes::Ledger&, const Terms&, const Down&);
+std::vector<RuleViolation> noSetUpTwice(const fakes::Ledger&, const Terms&);
+std::vector<RuleViolation> drainsKept(const fakes::Ledger&, const Terms&);
+std::vector<RuleViolation> coldSpared(const fakes::Ledger&, const Terms&);
+std::vector<RuleViolation> termsKept(const fakes::Ledger&, const Terms&);
+std::vector<RuleViolation> budgetKept(const fakes::Ledger&, const Terms&);
+std::vector<RuleViolation> all(const fakes::Ledger&, const Terms&, const Down&);
 
 }  // namespace valekeel::audit
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -103,7 +103,7 @@
     net::raiseDescriptorLimit();
     net::EpollNet net(7);
     fakes::Ledger ledger;
-    fakes::BoxMake make;
+    fakes::BoxConfig make;
     make.rungKb = ladder.kb;
     for (const RoomType& r : rooms.types) make.rateFactors[r.name] = r.rateFactor;
     fakes::BoxFleet fleet(net, make, machines.fleet.racks, machines.fleet.uplinkKb, 7, ledger);
@@ -237,7 +237,7 @@
     }
     const auto document = settings::Document::fromText(
         file, changes.empty() ? text : simulation::withSettings(file, text, changes));
-    simulation::Day day = simulation::readDay(document);
+    simulation::Scenario day = simulation::readScenario(document);
     if (seed) day.seed = seed;
     const bool own = folder.empty();
     if (own)
@@ -246,7 +246,7 @@
                    std::to_string(std::chrono::steady_clock::now().time_since_epoch().count())))
                      .string();
     std::filesystem::create_directories(folder);
-    simulation::DrillWays ways;
+    simulation::DrillOptions ways;
     ways.real = real;
     ways.program = net::ownProgram();
     ways.folder = folder;
@@ -273,7 +273,7 @@
 int experimentPlan(const std::string& file, std::string store, std::string out, bool reportOnly) {
     const auto plan = experiment::readPlan(settings::Document::fromFile(file));
     const std::filesystem::path place(file);
-    experiment::Ways ways;
+    experiment::ExperimentOptions ways;
     ways.program = net::ownProgram();
     ways.folder = place.has_parent_path() ? place.parent_path().string() : ".";
     ways.out = out.empty() ? plan.name + "-report" : out;
@@ -298,7 +298,7 @@
 }
 
 int listTroubles() {
-    for (const simulation::TroubleKind& k : simulation::troubleKinds()) {
+    for (const simulation::FaultKind& k : simulation::faultKinds()) {
         std::string takes;
         for (const std::string& t : k.takes) takes += (takes.empty() ? "" : " ") + t;
         std::printf("%-17s %s\n%-17s takes: %s%s\n", k.name.c_str(), k.what.c_str(), "",
--- a/src/experiment/experiment.cpp
+++ b/src/experiment/experiment.cpp
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-int carryOut(const Plan& plan, const Ways& ways) {
+int carryOut(const Plan& plan, const ExperimentOptions& ways) {
     Store store(ways.store);
     const std::string program = hashOf(settings::readFile(ways.program));
     const std::vector<Case> cases = plan.cases();
@@ -97,7 +97,7 @@
             continue;
         }
         // Checked before anything starts: a wrong level must not be found after an hour.
-        simulation::readDay(settings::Document::fromText(c.day, day));
+        simulation::readScenario(settings::Document::fromText(c.day, day));
         job.day = (folder / (job.kept.key + ".kdl")).string();
         job.json = (folder / (job.kept.key + ".json")).string();
         std::ofstream(job.day) << day;
@@ -149,7 +149,7 @@
     return failed;
 }
 
-void report(const Plan& plan, const Ways& ways) {
+void report(const Plan& plan, const ExperimentOptions& ways) {
     const Store store(ways.store);
     const std::vector<Kept> kept = store.of(plan.name);
     const Measures all = measuresOf(kept);
--- a/src/experiment/experiment.hpp
+++ b/src/experiment/experiment.hpp
@@ -11,7 +11,7 @@
 
 namespace valekeel::experiment {
 
-struct Ways {
+struct ExperimentOptions {
     std::string program;     // that rehearses
     std::string folder;      // of the plan, where its days lie
     std::string store, out;  // the file of results, and the folder of the report
@@ -20,10 +20,10 @@
 };
 
 // Tells how many runs failed; each failure is said on the way. Throws std::runtime_error.
-int carryOut(const Plan&, const Ways&);
+int carryOut(const Plan&, const ExperimentOptions&);
 
 // Into `ways.out`: runs.csv, report.md, and an SVG for each chart.
-void report(const Plan&, const Ways&);
+void report(const Plan&, const ExperimentOptions&);
 
 // What two cases, or one case in two stores, differ in: a line for each measure, those that differ first.
 std::string compared(const Measures& a, const std::string& caseA, const Measures& b,
--- a/src/fakes/box.cpp
+++ b/src/fakes/box.cpp
@@ -162,7 +162,7 @@
 
 double Box::warmShare() const {
     const Micros age = fleet_.net_.now() - startedAt_;
-    const BoxMake& m = fleet_.make_;
+    const BoxConfig& m = fleet_.make_;
     if (!cold_ || m.warmUp <= 0 || age >= m.warmUp) return 1;
     return m.firstShare + (1 - m.firstShare) * seconds(age) / seconds(m.warmUp);
 }
@@ -283,7 +283,7 @@
 }
 
 void Box::setUp(http::Exchange& exchange, const std::string& title, const std::string& query) {
-    const BoxMake& make = fleet_.make_;
+    const BoxConfig& make = fleet_.make_;
     const Micros now = fleet_.net_.now();
     Line l = line("arrive");
     l.trace = traceOf(exchange.head());
@@ -370,7 +370,7 @@
         exchange->abort();
         return;
     }
-    const BoxMake& make = fleet_.make_;
+    const BoxConfig& make = fleet_.make_;
     const auto factor = make.rateFactors.find(l.room);
     const int rung = std::clamp(l.rung, 0, static_cast<int>(make.rungKb.size()) - 1);
     Sub& sub = subs_[l.sub];
@@ -390,7 +390,7 @@
 
 void Box::segment(http::Exchange& exchange, const std::string&, int rung, const std::string& file,
                   const std::string& query) {
-    const BoxMake& make = fleet_.make_;
+    const BoxConfig& make = fleet_.make_;
     const std::string key = http::queryValue(query, "sub").value_or("");
     const auto it = subs_.find(key);
     if (it == subs_.end()) return exchange.respond(410, fields("m", 0, false), "");
@@ -545,7 +545,7 @@
     }
 }
 
-BoxFleet::BoxFleet(net::Net& net, const BoxMake& make, int racks, double uplinkKb, std::uint64_t seed,
+BoxFleet::BoxFleet(net::Net& net, const BoxConfig& make, int racks, double uplinkKb, std::uint64_t seed,
                    Ledger& ledger)
     : uplinkFactor(static_cast<std::size_t>(racks), 1.0),
       net_(net),
--- a/src/fakes/box.hpp
+++ b/src/fakes/box.hpp
@@ -23,7 +23,7 @@
 
 namespace valekeel::fakes {
 
-struct BoxMake {  // of all boxes of a fleet
+struct BoxConfig {  // of all boxes of a fleet
     std::vector<double> rungKb;
     std::map<std::string, double> rateFactors;  // by room type
     std::map<std::string, int> floors;
@@ -38,7 +38,7 @@
     bool byteRanges = false;
 };
 
-struct Trouble {  // what a script may set, at any time
+struct BoxFaults {  // what a script may set, at any time
     double failPart = 0, losePart = 0, linkFactor = 1, setUpFactor = 1;
     bool liesIdle = false, silent = false, draining = false;
     Micros reportsLate = 0, answersLate = 0, pausedUntil = 0;
@@ -56,7 +56,7 @@
     double linkKb() const { return linkKb_; }
     int places() const { return places_; }
     net::Endpoint at() const { return at_; }
-    Trouble trouble;
+    BoxFaults trouble;
     bool unpaced = false;  // segments come as fast as the socket takes them
     bool up() const { return server_ != nullptr; }
     Micros startedAt() const { return startedAt_; }
@@ -116,7 +116,7 @@
 
 class BoxFleet {
   public:
-    BoxFleet(net::Net&, const BoxMake&, int racks, double uplinkKb, std::uint64_t seed, Ledger&);
+    BoxFleet(net::Net&, const BoxConfig&, int racks, double uplinkKb, std::uint64_t seed, Ledger&);
     Box& add(int id, int cell, double linkKb, int places, const net::Endpoint&);
     Box& box(int id) { return *boxes_.at(id); }
     std::map<int, std::unique_ptr<Box>>& boxes() { return boxes_; }
@@ -147,7 +147,7 @@
     void capacities();
     net::Net& net_;
     std::unique_ptr<Roads> roads_;
-    BoxMake make_;
+    BoxConfig make_;
     int racks_;
     double uplinkKb_;
     std::mt19937_64 chance_;
--- a/src/fakes/caller.cpp
+++ b/src/fakes/caller.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 Caller::Caller(net::Net& net, int number, const net::Endpoint& front, std::string frontName,
-               const CallPlan& plan, const Weather& weather, std::uint64_t seed, Ledger& ledger,
+               const CallPlan& plan, const NetworkConditions& weather, std::uint64_t seed, Ledger& ledger,
                std::function<void()> done)
     : net_(net),
       number_(number),
--- a/src/fakes/caller.hpp
+++ b/src/fakes/caller.hpp
@@ -15,7 +15,7 @@
 
 namespace valekeel::fakes {
 
-struct Weather {  // each way
+struct NetworkConditions {  // each way
     double lose = 0, twice = 0;
     Micros delayMost = 0;
 };
@@ -34,7 +34,7 @@
 class Caller final : net::DatagramHandler {
   public:
     Caller(net::Net&, int number, const net::Endpoint& front, std::string frontName, const CallPlan&,
-           const Weather&, std::uint64_t seed, Ledger&, std::function<void()> done);
+           const NetworkConditions&, std::uint64_t seed, Ledger&, std::function<void()> done);
     ~Caller() override;
     void start();
     int finals() const { return static_cast<int>(finals_.size()); }
@@ -56,7 +56,7 @@
     net::Endpoint front_;
     std::string frontName_;
     CallPlan plan_;
-    Weather weather_;
+    NetworkConditions weather_;
     std::mt19937_64 chance_;
     Ledger& ledger_;
     std::function<void()> done_;
--- a/src/fakes/platform.cpp
+++ b/src/fakes/platform.cpp
@@ -8,33 +8,33 @@
 
 // ================= lines =================
 
-PlatformLine::PlatformLine(std::unique_ptr<net::Stream> stream, Heard heard)
+PlatformConnection::PlatformConnection(std::unique_ptr<net::Stream> stream, Heard heard)
     : heard_(std::move(heard)), ready_(true), stream_(std::move(stream)) {
     stream_->setHandler(*this);
 }
-PlatformLine::PlatformLine(net::Net& net, const net::Endpoint& to, Heard heard)
+PlatformConnection::PlatformConnection(net::Net& net, const net::Endpoint& to, Heard heard)
     : heard_(std::move(heard)), ready_(false), stream_(net.connect(to, *this)) {}
 
-void PlatformLine::onConnected() {
+void PlatformConnection::onConnected() {
     ready_ = true;
     std::string all;
     all.swap(out_);
     bytes(all);
 }
-void PlatformLine::bytes(const std::string& all) {
+void PlatformConnection::bytes(const std::string& all) {
     if (ended_) return;
     if (!ready_)
         out_ += all;
     else if (!all.empty())
         stream_->write(all);
 }
-void PlatformLine::close(bool hard) {
+void PlatformConnection::close(bool hard) {
     if (hard && !ended_) stream_->reset();
     ended_ = true;
     ready_ = false;
     stream_.reset();
 }
-void PlatformLine::onReadable() {
+void PlatformConnection::onReadable() {
     std::array<char, 4096> buffer;
     while (!ended_ && ready_) {
         const net::IoResult got = stream_->read(buffer);
@@ -57,18 +57,18 @@
 
 void PlatformServer::onAccepted(std::unique_ptr<net::Stream> stream) {
     ++connections;
-    lines_.push_back(std::make_unique<PlatformLine>(
-        std::move(stream), [this](PlatformLine& line, const Json& message) { heard(line, message); }));
+    lines_.push_back(std::make_unique<PlatformConnection>(
+        std::move(stream), [this](PlatformConnection& line, const Json& message) { heard(line, message); }));
 }
 
-void PlatformServer::start(PlatformLine& line, const std::string& tag) {
+void PlatformServer::start(PlatformConnection& line, const std::string& tag) {
     standing.insert(tag);
     by_[tag] = &line;
     if (saysFirst > 0) note(tag, "link_use", saysFirst);
     line.say({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}, {"blob", "words of " + tag}});
 }
 
-void PlatformServer::heard(PlatformLine& line, const Json& message) {
+void PlatformServer::heard(PlatformConnection& line, const Json& message) {
     const std::string verb = message.at("verb"), tag = message.at("tag");
     if (verb == "ECHO") ++tests;
     if (verb == "RATE") rungs.emplace_back(tag, std::stoi(message.at("opts").at("rung").get<std::string>()));
@@ -85,37 +85,37 @@
         line.say({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
     };
     switch (does(tag)) {
-        case Does::Plays:
+        case SetupReaction::Plays:
             return start(line, tag);
-        case Does::Full:
+        case SetupReaction::Full:
             return refuse(34);
-        case Does::Errs:
+        case SetupReaction::Errs:
             return refuse(47);
-        case Does::Resets:
+        case SetupReaction::Resets:
             return line.close(true);
-        case Does::Nothing:
+        case SetupReaction::Nothing:
             return;
-        case Does::Noise:
+        case SetupReaction::Noise:
             standing.insert(tag);
             return line.bytes("\x01\xff{noise\n");
-        case Does::Unfinished:
+        case SetupReaction::Unfinished:
             standing.insert(tag);
             return line.bytes("{\"verb\":\"STARTED\",\"tag\":\"" + tag);
-        case Does::PlaysTwice:
+        case SetupReaction::PlaysTwice:
             start(line, tag);
             return start(line, tag);
-        case Does::UnknownFirst:
+        case SetupReaction::UnknownFirst:
             line.say(
                 {{"verb", "STARTED"}, {"tag", "00000000deadbeef"}, {"opts", Json::object()}, {"blob", "x"}});
             return start(line, tag);
-        case Does::NoWords:
+        case SetupReaction::NoWords:
             standing.insert(tag);
             return line.say({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}});
     }
 }
 
 // On the connection of the set-up, otherwise on any that stands.
-PlatformLine* PlatformServer::lineOf(const std::string& tag) {
+PlatformConnection* PlatformServer::lineOf(const std::string& tag) {
     const auto it = by_.find(tag);
     if (it != by_.end() && !it->second->ended()) return it->second;
     for (const auto& line : lines_)
@@ -124,11 +124,11 @@
 }
 void PlatformServer::end(const std::string& tag, int cause) {
     standing.erase(tag);
-    if (PlatformLine* line = lineOf(tag))
+    if (PlatformConnection* line = lineOf(tag))
         line->say({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
 }
 void PlatformServer::note(const std::string& tag, const std::string& kind, double value) {
-    if (PlatformLine* line = lineOf(tag))
+    if (PlatformConnection* line = lineOf(tag))
         line->say({{"verb", "NOTICE"}, {"tag", tag}, {"opts", {{"note", kind}, {"value", value}}}});
 }
 void PlatformServer::resetAll() {
@@ -142,10 +142,10 @@
 
 // ================= the change log =================
 
-PlatformLog::PlatformLog(net::Net& net, const net::Endpoint& at)
+PlatformChangeLog::PlatformChangeLog(net::Net& net, const net::Endpoint& at)
     : net_(net), listener_(net.listen(at, *this)), beat_(net, [this] { beat(); }) {}
 
-std::string PlatformLog::frame(std::uint64_t number, int kind, const std::vector<Box>& boxes) {
+std::string PlatformChangeLog::frame(std::uint64_t number, int kind, const std::vector<Box>& boxes) {
     std::string body;
     const auto put = [](std::string& to, std::uint64_t value, int bytes) {
         for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8)
@@ -168,14 +168,14 @@
     return all + body;
 }
 
-void PlatformLog::onAccepted(std::unique_ptr<net::Stream> stream) {
+void PlatformChangeLog::onAccepted(std::unique_ptr<net::Stream> stream) {
     stream_ = std::move(stream);
     stream_->setHandler(*this);
     in_.clear();
     following_ = false;
 }
 
-void PlatformLog::onReadable() {
+void PlatformChangeLog::onReadable() {
     std::array<char, 64> buffer;
     while (stream_) {
         const net::IoResult got = stream_->read(buffer);
@@ -194,21 +194,21 @@
     }
 }
 
-void PlatformLog::beat() {
+void PlatformChangeLog::beat() {
     beat_.after(kSecond);
     if (following_ && !silent) bytes(frame(last, 0, {}));
 }
-void PlatformLog::add(const std::vector<Box>& boxes, bool whole) {
+void PlatformChangeLog::add(const std::vector<Box>& boxes, bool whole) {
     ++last;
     events_[last] = frame(last, whole ? 1 : 2, boxes);
     if (!following_ || silent) return;
     bytes(events_[last]);
     if (twice) bytes(events_[last]);
 }
-void PlatformLog::bytes(const std::string& all) {
+void PlatformChangeLog::bytes(const std::string& all) {
     if (stream_) stream_->write(all);
 }
-void PlatformLog::breakOff() {
+void PlatformChangeLog::breakOff() {
     stream_.reset();
     following_ = false;
 }
--- a/src/fakes/platform.hpp
+++ b/src/fakes/platform.hpp
@@ -16,11 +16,11 @@
 namespace valekeel::fakes {
 
 // One connection, cut into lines.
-class PlatformLine final : public net::StreamHandler {
+class PlatformConnection final : public net::StreamHandler {
   public:
-    using Heard = std::function<void(PlatformLine&, const nlohmann::json&)>;
-    PlatformLine(std::unique_ptr<net::Stream>, Heard);     // accepted
-    PlatformLine(net::Net&, const net::Endpoint&, Heard);  // connects
+    using Heard = std::function<void(PlatformConnection&, const nlohmann::json&)>;
+    PlatformConnection(std::unique_ptr<net::Stream>, Heard);     // accepted
+    PlatformConnection(net::Net&, const net::Endpoint&, Heard);  // connects
     void say(const nlohmann::json& message) { bytes(message.dump() + "\n"); }
     void bytes(const std::string&);
     void close(bool hard);
@@ -38,13 +38,26 @@
 };
 
 // What a media server does with a set-up.
-enum class Does { Plays, Full, Errs, Resets, Nothing, Noise, Unfinished, PlaysTwice, UnknownFirst, NoWords };
+enum class SetupReaction {
+    Plays,
+    Full,
+    Errs,
+    Resets,
+    Nothing,
+    Noise,
+    Unfinished,
+    PlaysTwice,
+    UnknownFirst,
+    NoWords
+};
 
 class PlatformServer final : private net::ListenerHandler {
   public:
     PlatformServer(net::Net&, const net::Endpoint&);
     net::Endpoint at() const { return listener_->at(); }
-    std::function<Does(const std::string& tag)> does = [](const std::string&) { return Does::Plays; };
+    std::function<SetupReaction(const std::string& tag)> does = [](const std::string&) {
+        return SetupReaction::Plays;
+    };
     double saysFirst = 0;  // above 0: its link's use, in a note just before each answer
     void end(const std::string& tag, int cause);
     void note(const std::string& tag, const std::string& kind, double value);
@@ -63,19 +76,19 @@
 
   private:
     void onAccepted(std::unique_ptr<net::Stream>) override;
-    void heard(PlatformLine&, const nlohmann::json&);
-    void start(PlatformLine&, const std::string& tag);
-    PlatformLine* lineOf(const std::string& tag);
+    void heard(PlatformConnection&, const nlohmann::json&);
+    void start(PlatformConnection&, const std::string& tag);
+    PlatformConnection* lineOf(const std::string& tag);
     net::Net& net_;
     std::unique_ptr<net::Listener> listener_;
-    std::vector<std::unique_ptr<PlatformLine>> lines_;
-    std::map<std::string, PlatformLine*> by_;
+    std::vector<std::unique_ptr<PlatformConnection>> lines_;
+    std::map<std::string, PlatformConnection*> by_;
 };
 
 // Events as frames; `asked` holds the numbers that it was asked from.
-class PlatformLog final : private net::ListenerHandler, private net::StreamHandler {
+class PlatformChangeLog final : private net::ListenerHandler, private net::StreamHandler {
   public:
-    PlatformLog(net::Net&, const net::Endpoint&);
+    PlatformChangeLog(net::Net&, const net::Endpoint&);
     net::Endpoint at() const { return listener_->at(); }
     struct Box {
         std::uint32_t id;
--- a/src/simulation/drill.cpp
+++ b/src/simulation/drill.cpp
@@ -19,7 +19,7 @@
 // One front under a name that stays over its lives.
 struct FrontHere {
     std::string name;
-    std::unique_ptr<FrontLife> life;
+    std::unique_ptr<FrontProcess> life;
     std::optional<net::Endpoint> at, sip;
     Micros downSince = 0;
     bool down = true;
@@ -28,17 +28,17 @@
 
 class Drill {
   public:
-    Drill(const Day& day, const DrillWays& ways, fakes::Ledger& ledger)
+    Drill(const Scenario& day, const DrillOptions& ways, fakes::Ledger& ledger)
         : day_(day),
           ways_(ways),
           ledger_(ledger),
-          house_(ways.real ? realHouse(ways.program, ways.folder, day.seed)
-                           : virtualHouse(ways.folder, day.seed)),
-          net_(house_->net()),
+          environment_(ways.real ? makeSocketEnvironment(ways.program, ways.folder, day.seed)
+                                 : makeVirtualEnvironment(ways.folder, day.seed)),
+          net_(environment_->net()),
           chance_(day.seed),
           crowdChance_(static_cast<std::knuth_b::result_type>(day.seed + 77)),
           fleet_(net_, day.make, day.machines.fleet.racks, day.machines.fleet.uplinkKb, day.seed + 1, ledger),
-          list_(net_, house_->boxAt(), ledger),
+          list_(net_, environment_->boxAt(), ledger),
           watch_(net_, [this] { watch(); }) {}
 
     DrillResult run() {
@@ -46,7 +46,7 @@
             const double link =
                 day_.machines.fleet.sizesTold ? day_.machines.fleet.linkKbPerSize : day_.linkKb;
             fleet_.add(id, id % day_.machines.fleet.cells, link, day_.machines.fleet.places.front(),
-                       house_->boxAt());
+                       environment_->boxAt());
             tell(id, "on");
         }
         if (!day_.members.empty()) {
@@ -63,14 +63,14 @@
         const Micros limit = net_.now() + 20 * kSecond;
         while (net_.now() < limit &&
                !std::all_of(fronts_.begin(), fronts_.end(), [](const auto& f) { return f.at.has_value(); }))
-            house_->runOnce(20'000);
-        for (Micros settle = net_.now() + 500'000; net_.now() < settle;) house_->runOnce(50'000);
+            environment_->runOnce(20'000);
+        for (Micros settle = net_.now() + 500'000; net_.now() < settle;) environment_->runOnce(50'000);
 
         begun_ = net_.now();
         plan();
         const Micros end = begun_ + day_.length;
         while (net_.now() < end) {
-            house_->runOnce(100'000);
+            environment_->runOnce(100'000);
             const auto second = (net_.now() - begun_) / (5 * kSecond);
             if (second != lastSaid_) {
                 lastSaid_ = second;
@@ -82,12 +82,12 @@
         closing_ = true;
         for (auto& player : players_) player->endSoon();
         const Micros last = net_.now() + (day_.callers.empty() ? 8 : 20) * kSecond;
-        while (net_.now() < last && active_ > 0) house_->runOnce(50'000);
+        while (net_.now() < last && active_ > 0) environment_->runOnce(50'000);
         for (FrontHere& f : fronts_) f.life->requestStop();
         const Micros until = net_.now() + 5 * kSecond;
         while (net_.now() < until &&
                std::any_of(fronts_.begin(), fronts_.end(), [](auto& f) { return f.life->running(); }))
-            house_->runOnce(50'000);
+            environment_->runOnce(50'000);
         DrillResult result;
         result.secondsTaken =
             std::chrono::duration<double>(std::chrono::steady_clock::now() - startedReal_).count();
@@ -106,7 +106,7 @@
             }
         }
         result.breaches = audit::all(ledger_, day_.terms, down_);
-        for (const audit::Breach& b : result.breaches)
+        for (const audit::RuleViolation& b : result.breaches)
             if (b.rule == 1 && b.what.find("no answer") != std::string::npos) ++result.never;
         return result;
     }
@@ -116,9 +116,9 @@
     void startFront(std::size_t i) {
         FrontHere& f = fronts_[i];
         f.name = "front" + std::to_string(i);
-        if (!f.life) f.life = house_->front(static_cast<int>(i), f.name);
+        if (!f.life) f.life = environment_->front(static_cast<int>(i), f.name);
         const std::string base = ways_.folder + "/" + f.name;
-        const std::string here = net::toString(house_->boxAt());
+        const std::string here = net::toString(environment_->boxAt());
         std::ostringstream out;
         out << "front \"" << f.name << "\" fronts=" << day_.fronts << " stop-within=\"2s\"\n"
             << settings::printKdl(day_.siteNodes) << "http listen=\"" << here << "\"\n"
@@ -241,7 +241,7 @@
     }
     void comeOne(const Audience& a, int member) {
         const std::uint64_t seed = crowdChance_();
-        come(house_->netOf(member), planOf(a, member), seed);
+        come(environment_->netOf(member), planOf(a, member), seed);
     }
     void nextOf(const Audience& a, Micros after) {
         const auto when = a.stream.next(after, crowdChance_);
@@ -308,7 +308,7 @@
             for (int i = 0; i < some.callers; ++i)
                 at(some.at + std::uniform_int_distribution<Micros>(0, some.over)(chance_),
                    [this, &some] { callOne(some); });
-        for (const DayTrouble& t : day_.troubles) {
+        for (const ScheduledFault& t : day_.troubles) {
             at(t.at, [this, &t] {
                 ways_.say("trouble: " + t.kind);
                 begin(t);
@@ -318,7 +318,7 @@
     }
 
     template <class Do>
-    void each(const DayTrouble& t, Do&& what) {
+    void each(const ScheduledFault& t, Do&& what) {
         for (const int id : t.boxes) what(fleet_.box(id));
     }
 
@@ -334,7 +334,7 @@
         });
     }
 
-    void begin(const DayTrouble& t) {
+    void begin(const ScheduledFault& t) {
         const std::string& k = t.kind;
         if (k == "box-dies") each(t, [&](auto& b) { takeAway(b.id(), "died"); });
         if (k == "box-silent") each(t, [&](auto& b) { b.trouble.silent = true; });
@@ -415,7 +415,7 @@
         }
     }
 
-    void end(const DayTrouble& t) {
+    void end(const ScheduledFault& t) {
         const std::string& k = t.kind;
         if (k == "box-dies" || k == "box-drains" || k == "boxes-taken")
             each(t, [&](auto& b) { bringBack(b.id()); });
@@ -470,19 +470,19 @@
 
     std::size_t mostAtOnce() const {
         std::size_t most = 0;
-        for (const DayTrouble& t : day_.troubles) {
+        for (const ScheduledFault& t : day_.troubles) {
             std::size_t now = 0;
-            for (const DayTrouble& o : day_.troubles)
+            for (const ScheduledFault& o : day_.troubles)
                 now += o.at <= t.at && t.at < o.at + std::max<Micros>(1, o.lasts);
             most = std::max(most, now);
         }
         return most;
     }
 
-    const Day& day_;
-    const DrillWays& ways_;
+    const Scenario& day_;
+    const DrillOptions& ways_;
     fakes::Ledger& ledger_;
-    std::unique_ptr<House> house_;
+    std::unique_ptr<Environment> environment_;
     net::Net& net_;
     std::mt19937_64 chance_;
     std::knuth_b crowdChance_;
@@ -505,11 +505,11 @@
 
 }  // namespace
 
-DrillResult drill(const Day& day, const DrillWays& ways, fakes::Ledger& ledger) {
+DrillResult drill(const Scenario& day, const DrillOptions& ways, fakes::Ledger& ledger) {
     return Drill(day, ways, ledger).run();
 }
 
-void judge(const Day& day, const fakes::Ledger& ledger, DrillResult& result) {
+void judge(const Scenario& day, const fakes::Ledger& ledger, DrillResult& result) {
     namespace bh = boost::histogram;
     // A log axis from 0.1 ms to 100 s, 40 bins a decade: within 6% of the true value.
     using Histogram =
@@ -699,7 +699,7 @@
     out << "troubles at the same time, at most: " << r.troublesAtOnce << "\n";
     out << (r.breaches.empty() ? "rules: all six kept\n" : "RULES BROKEN:\n");
     std::size_t shown = 0;
-    for (const audit::Breach& b : r.breaches) {
+    for (const audit::RuleViolation& b : r.breaches) {
         if (++shown > 20) {
             out << "  ... " << r.breaches.size() << " in all\n";
             break;
--- a/src/simulation/drill.hpp
+++ b/src/simulation/drill.hpp
@@ -42,12 +42,12 @@
     std::map<std::string, Times> toAnswer;      // by room type
     std::map<int, std::uint64_t> joinsAt;       // by box
     std::uint64_t liedTo = 0, joinsInLies = 0;  // joins to boxes while they lied, and all in that time
-    std::vector<audit::Breach> breaches;
+    std::vector<audit::RuleViolation> breaches;
     double frontCpu = 0;
     std::size_t troublesAtOnce = 0;
 };
 
-struct DrillWays {
+struct DrillOptions {
     bool real = true;       // on sockets and the real clock
     std::string program;    // that serves
     std::string folder;     // for settings, logs and kept lists; must exist
@@ -55,10 +55,10 @@
     std::function<void(const std::string&)> say = [](const std::string&) {};
 };
 
-DrillResult drill(const Day&, const DrillWays&, fakes::Ledger&);
+DrillResult drill(const Scenario&, const DrillOptions&, fakes::Ledger&);
 
 // What the ledger says of answers and service; used by drill().
-void judge(const Day&, const fakes::Ledger&, DrillResult&);
+void judge(const Scenario&, const fakes::Ledger&, DrillResult&);
 std::string told(const DrillResult&);
 // One object, names in our words; what an experiment keeps.
 std::string asJson(const DrillResult&);
--- a/src/simulation/environment.cpp
+++ b/src/simulation/environment.cpp
@@ -16,7 +16,7 @@
 
 // ---- on real sockets ----
 
-class ProcessFront final : public FrontLife {
+class ProcessFront final : public FrontProcess {
   public:
     ProcessFront(std::string program, std::string base)
         : program_(std::move(program)), base_(std::move(base)) {}
@@ -61,7 +61,7 @@
     double cpu_ = 0;
 };
 
-class RealHouse final : public House {
+class RealHouse final : public Environment {
   public:
     RealHouse(std::string program, std::string folder, std::uint64_t seed)
         : program_(std::move(program)), folder_(std::move(folder)), net_(seed) {
@@ -71,7 +71,7 @@
     net::Net& netOf(int) override { return net_; }
     net::Endpoint boxAt() override { return *net::parseEndpoint("127.0.0.1:0"); }
     void runOnce(Micros atMost) override { net_.runOnce(atMost); }
-    std::unique_ptr<FrontLife> front(int, const std::string& name) override {
+    std::unique_ptr<FrontProcess> front(int, const std::string& name) override {
         return std::make_unique<ProcessFront>(program_, folder_ + "/" + name);
     }
 
@@ -82,7 +82,7 @@
 
 // ---- on a virtual clock ----
 
-class VirtualFront final : public FrontLife {
+class VirtualFront final : public FrontProcess {
   public:
     VirtualFront(net::VirtualNode& node, std::string base) : node_(node), base_(std::move(base)) {}
     ~VirtualFront() override { kill(); }
@@ -124,7 +124,7 @@
     bool stopped_ = false;
 };
 
-class VirtualHouse final : public House {
+class VirtualHouse final : public Environment {
   public:
     VirtualHouse(std::string folder, std::uint64_t seed)
         : folder_(std::move(folder)), world_(seed), own_(world_.node("stand-ins", address(0, 0, 1))) {}
@@ -139,7 +139,7 @@
     }
     net::Endpoint boxAt() override { return {address(0, 0, 1), 0}; }
     void runOnce(Micros atMost) override { world_.runUntil(world_.now() + atMost); }
-    std::unique_ptr<FrontLife> front(int number, const std::string& name) override {
+    std::unique_ptr<FrontProcess> front(int number, const std::string& name) override {
         return std::make_unique<VirtualFront>(
             world_.node(name, address(0, 1 + number / 250, 1 + number % 250)), folder_ + "/" + name);
     }
@@ -157,10 +157,11 @@
 
 }  // namespace
 
-std::unique_ptr<House> realHouse(const std::string& program, const std::string& folder, std::uint64_t seed) {
+std::unique_ptr<Environment> makeSocketEnvironment(const std::string& program, const std::string& folder,
+                                                   std::uint64_t seed) {
     return std::make_unique<RealHouse>(program, folder, seed);
 }
-std::unique_ptr<House> virtualHouse(const std::string& folder, std::uint64_t seed) {
+std::unique_ptr<Environment> makeVirtualEnvironment(const std::string& folder, std::uint64_t seed) {
     return std::make_unique<VirtualHouse>(folder, seed);
 }
 
--- a/src/simulation/environment.hpp
+++ b/src/simulation/environment.hpp
@@ -11,9 +11,9 @@
 namespace valekeel::simulation {
 
 // One front, over all its lives.
-class FrontLife {
+class FrontProcess {
   public:
-    virtual ~FrontLife() = default;
+    virtual ~FrontProcess() = default;
     virtual void start(const std::string& settings, std::uint64_t seed, const std::string& decisions) = 0;
     virtual void kill() = 0;
     virtual void requestStop() = 0;  // it answers what it took, then ends
@@ -26,18 +26,19 @@
     virtual std::optional<net::Endpoint> sip() = 0;
 };
 
-class House {
+class Environment {
   public:
-    virtual ~House() = default;
+    virtual ~Environment() = default;
     virtual net::Net& net() = 0;              // of boxes, the list and the script
     virtual net::Net& netOf(int member) = 0;  // of that member's viewers; -1: of those without one
     virtual net::Endpoint boxAt() = 0;        // where the next box is to listen
     virtual void runOnce(Micros atMost) = 0;
-    virtual std::unique_ptr<FrontLife> front(int number, const std::string& name) = 0;
+    virtual std::unique_ptr<FrontProcess> front(int number, const std::string& name) = 0;
 };
 
 // `folder` for settings, logs and kept lists; it must exist.
-std::unique_ptr<House> realHouse(const std::string& program, const std::string& folder, std::uint64_t seed);
-std::unique_ptr<House> virtualHouse(const std::string& folder, std::uint64_t seed);
+std::unique_ptr<Environment> makeSocketEnvironment(const std::string& program, const std::string& folder,
+                                                   std::uint64_t seed);
+std::unique_ptr<Environment> makeVirtualEnvironment(const std::string& folder, std::uint64_t seed);
 
 }  // namespace valekeel::simulation
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -9,8 +9,8 @@
 
 using settings::NodeReader;
 
-const std::vector<TroubleKind>& troubleKinds() {
-    static const std::vector<TroubleKind> kKinds = {
+const std::vector<FaultKind>& faultKinds() {
+    static const std::vector<FaultKind> kKinds = {
         {"box-dies", "boxes die at once and come back cold", "crash", {"box", "for"}},
         {"box-silent", "boxes neither answer nor reset, and come back cold", "vanish", {"box", "for"}},
         {"box-pauses", "boxes stand still, then answer everything at once", "", {"box", "for"}},
@@ -71,7 +71,7 @@
     return out;
 }
 
-std::vector<std::pair<double, fakes::PlayerRoom>> roomsOf(NodeReader& node, const Day& day) {
+std::vector<std::pair<double, fakes::PlayerRoom>> roomsOf(NodeReader& node, const Scenario& day) {
     std::vector<std::pair<double, fakes::PlayerRoom>> out;
     for (NodeReader& room : node.each("room")) {
         const std::string name = room.argument("a room type");
@@ -94,7 +94,7 @@
     return out;
 }
 
-int memberNamed(NodeReader& node, const Day& day) {
+int memberNamed(NodeReader& node, const Scenario& day) {
     const std::string member = node.text("member");
     const auto it = std::find_if(day.members.begin(), day.members.end(),
                                  [&](const Member& m) { return m.name == member; });
@@ -102,7 +102,7 @@
     return static_cast<int>(it - day.members.begin());
 }
 
-Audience readAudience(NodeReader& node, const Day& day, const settings::Talks& talks) {
+Audience readAudience(NodeReader& node, const Scenario& day, const settings::Talks& talks) {
     Audience a;
     node.asWritten();  // a name, for who changes its settings
     const double rate = node.number("rate", 0, 1e6), swing = node.number("swing", 0, 1, 0);
@@ -201,8 +201,8 @@
     return settings::printKdl(nodes);
 }
 
-Day readDay(const settings::Document& document) {
-    Day day;
+Scenario readScenario(const settings::Document& document) {
+    Scenario day;
     NodeReader top(document);
     NodeReader head = top.need("day");
     day.name = head.argument("its name");
@@ -227,7 +227,7 @@
         site.one(passed);  // a front reads them
     site.finish();
 
-    fakes::BoxMake& make = day.make;
+    fakes::BoxConfig& make = day.make;
     if (auto node = top.one("box-make")) {
         make.segment = node->time("segment", 100'000, 60 * kSecond, kSecond);
         make.segments = static_cast<int>(node->whole("segments", 1, 100'000, 600));
@@ -306,9 +306,9 @@
     }
 
     std::set<std::string, std::less<>> names;
-    for (const TroubleKind& k : troubleKinds()) names.insert(k.name);
+    for (const FaultKind& k : faultKinds()) names.insert(k.name);
     for (NodeReader& node : top.each("trouble")) {
-        DayTrouble t;
+        ScheduledFault t;
         t.kind = node.argument("its kind");
         if (!names.count(t.kind))
             node.wrong("'" + t.kind + "' is no kind of trouble" + settings::suggestionFor(t.kind, names));
--- a/src/simulation/scenario.hpp
+++ b/src/simulation/scenario.hpp
@@ -14,14 +14,14 @@
 
 namespace valekeel::simulation {
 
-struct TroubleKind {
+struct FaultKind {
     std::string name, what, benchName;
     std::vector<std::string> takes;
 };
 // Every kind that a day may name, with its counterpart on the bench where it has one.
-const std::vector<TroubleKind>& troubleKinds();
+const std::vector<FaultKind>& faultKinds();
 
-struct DayTrouble {
+struct ScheduledFault {
     std::string kind;
     Micros at = 0, lasts = 0;
     std::vector<int> boxes;  // or racks, or fronts, as the kind has it
@@ -47,7 +47,7 @@
     std::vector<std::pair<double, std::string>> titles;
     Micros talkLeast = 0, talkMost = 0, t1 = 0;
     double cancels = 0;  // the part of them that cancel, within a second
-    fakes::Weather weather;
+    fakes::NetworkConditions weather;
 };
 
 struct Member {
@@ -74,13 +74,13 @@
     Micros startWith = 0, bufferMost = 0;
 };
 
-struct Day {
+struct Scenario {
     std::string name;
     Micros length = 0;
     std::uint64_t seed = 1;
     int fronts = 1, boxes = 1;
     double linkKb = 0;
-    fakes::BoxMake make;
+    fakes::BoxConfig make;
     Ladder ladder;
     settings::RoomTypes rooms;
     settings::Machines machines;
@@ -89,7 +89,7 @@
     std::vector<Callers> callers;
     std::vector<Member> members;
     std::vector<Audience> audiences;
-    std::vector<DayTrouble> troubles;
+    std::vector<ScheduledFault> troubles;
     std::vector<settings::Node> siteNodes;  // handed on to each front's settings as they are
 };
 
@@ -101,6 +101,6 @@
                          const std::vector<std::pair<std::string, std::string>>& changes);
 
 // Throws settings::Wrong.
-Day readDay(const settings::Document&);
+Scenario readScenario(const settings::Document&);
 
 }  // namespace valekeel::simulation
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 using Json = nlohmann::json;
-using fakes::PlatformLog;
+using fakes::PlatformChangeLog;
 
 constexpr Micros kAfterBreak = 2 * kSecond, kAfterSilence = 4 * kSecond, kAfterReload = 4 * kSecond;
 
@@ -102,7 +102,7 @@
         beat_.after(kSecond);
         if (!beats) return;
         for (const auto& link : links)
-            if (link->asked) link->say(PlatformLog::frame(last, 0, {}));
+            if (link->asked) link->say(PlatformChangeLog::frame(last, 0, {}));
     }
     net::Net& net_;
     net::Endpoint place;
@@ -127,7 +127,7 @@
     return *net::parseEndpoint("10.0.1." + std::to_string(n) + ":2379");
 }
 std::string drain(std::uint64_t number) {
-    return PlatformLog::frame(number, 2, {{7, place(9), 1}});
+    return PlatformChangeLog::frame(number, 2, {{7, place(9), 1}});
 }
 
 struct ChangeLogDay : testing::Test {
@@ -262,7 +262,7 @@
 
 // More lay unread on the connection that is left than is read at once, and nobody answers at the new address.
 TEST_F(ChangeLogDay, WhatLiesUnreadWhenAReloadComesIsTaken) {
-    const std::vector<PlatformLog::Box> boxes(4096, {7, place(9)});
+    const std::vector<PlatformChangeLog::Box> boxes(4096, {7, place(9)});
     node::ChangeLogTimes times;
     times.again = 1;  // the move comes before the rest is read
     Heard heard;
@@ -271,7 +271,7 @@
         if (event.number == 2) one.moveTo(place(3));
     };
     log.onAsk = [&](HandLog::Link& link, std::uint64_t) {
-        link.say(PlatformLog::frame(2, 1, boxes) + PlatformLog::frame(3, 1, boxes) + drain(4));
+        link.say(PlatformChangeLog::frame(2, 1, boxes) + PlatformChangeLog::frame(3, 1, boxes) + drain(4));
     };
     one.start();
     run(kSecond);
@@ -302,7 +302,8 @@
     follows.start();
     run(1'500'000);
     log.beats = false;
-    const std::string event = PlatformLog::frame(2, 2, std::vector<PlatformLog::Box>(40, {7, place(9), 1}));
+    const std::string event =
+        PlatformChangeLog::frame(2, 2, std::vector<PlatformChangeLog::Box>(40, {7, place(9), 1}));
     HandLog::Link& first = log.newest();
     log.tells({{2, drain(2)}});
     const Micros from = world.now();
@@ -332,9 +333,9 @@
 
 // A list as long as may be comes through, however slowly, and one that is late with its first word.
 TEST_F(ChangeLogDay, AWholeListThatComesSlowlyIsTaken) {
-    std::vector<PlatformLog::Box> boxes;
+    std::vector<PlatformChangeLog::Box> boxes;
     for (std::uint32_t i = 0; i < 4096; ++i) boxes.push_back({i, place(9)});
-    const std::string all = PlatformLog::frame(2, 1, boxes);
+    const std::string all = PlatformChangeLog::frame(2, 1, boxes);
     log.beats = false;
     follows.start();
     HandLog::Link* to = nullptr;
@@ -431,7 +432,7 @@
 
 TEST_F(ChangeLogDay, WhatIsToldTwiceIsTakenOnce) {
     log.onAsk = [](HandLog::Link& link, std::uint64_t) {
-        link.say(drain(2) + drain(2) + drain(3) + drain(2) + drain(3) + PlatformLog::frame(2, 1, {}) +
+        link.say(drain(2) + drain(2) + drain(3) + drain(2) + drain(3) + PlatformChangeLog::frame(2, 1, {}) +
                  drain(4));
     };
     follows.start();
@@ -467,8 +468,8 @@
 
 TEST_F(ChangeLogDay, AWholeListStandsForAllThatCameBefore) {
     log.onAsk = [&](HandLog::Link& link, std::uint64_t) {
-        link.say(PlatformLog::frame(30, 1, {{7, place(9)}}) + drain(31) + PlatformLog::frame(30, 1, {}) +
-                 drain(32));
+        link.say(PlatformChangeLog::frame(30, 1, {{7, place(9)}}) + drain(31) +
+                 PlatformChangeLog::frame(30, 1, {}) + drain(32));
     };
     follows.start();
     run(500'000);
@@ -537,17 +538,17 @@
         return *node;
     }
     std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
-    std::unique_ptr<PlatformLog> log;
+    std::unique_ptr<PlatformChangeLog> log;
     std::string logFile = testing::TempDir() + "changelog_test." + std::to_string(::getpid()) + ".log";
     logging::Log record{logFile, logging::Level::Info, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<fakes::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformConnection> viewers;
     std::map<std::string, std::string> said;
 
     NodeListDay() {
         for (int i = 0; i < 2; ++i)
             servers.push_back(std::make_unique<fakes::PlatformServer>(machine(i), place(i)));
-        log = std::make_unique<PlatformLog>(machine(10), place(10));
+        log = std::make_unique<PlatformChangeLog>(machine(10), place(10));
         log->last = 1;
     }
     ~NodeListDay() override { std::remove(logFile.c_str()); }
@@ -557,8 +558,8 @@
         run(50'000);
     }
     void connect() {
-        viewers = std::make_unique<fakes::PlatformLine>(
-            machine(12), front->at(), [this](fakes::PlatformLine&, const Json& m) {
+        viewers = std::make_unique<fakes::PlatformConnection>(
+            machine(12), front->at(), [this](fakes::PlatformConnection&, const Json& m) {
                 std::string& all = said[m.value("tag", "")];
                 all += (all.empty() ? "" : " ") +
                        (m["verb"] == "STARTED" ? std::string("+") : std::to_string(m.value("rc", 0)));
@@ -656,7 +657,7 @@
     run(200'000);
     const std::size_t before = servers[0]->setups.size();
     for (const std::uint64_t number : {0u, 1u, 2u})
-        log->bytes(PlatformLog::frame(number, 1, {{0, servers[0]->at(), 0, 0}}));
+        log->bytes(PlatformChangeLog::frame(number, 1, {{0, servers[0]->at(), 0, 0}}));
     play(20, 10);
     EXPECT_EQ(servers[0]->setups.size(), before);
     for (int n = 1; n <= 6; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
@@ -675,7 +676,7 @@
     play(1, 4);
     EXPECT_NE(logged().find("change log lost"), std::string::npos);
     run(7 * kSecond);
-    log = std::make_unique<PlatformLog>(machine(10), place(10));
+    log = std::make_unique<PlatformChangeLog>(machine(10), place(10));
     log->last = 1;
     log->add({{0, servers[0]->at(), 1, 0}});
     run(kAfterBreak / 2);
@@ -717,7 +718,7 @@
 // Reloads while a drain is told, and after SIGTERM: requests still come then, and none may go to who drains.
 TEST_F(NodeListDay, ADrainToldWhereAReloadLeadsCountsAlsoDuringThePlannedEnd) {
     come();
-    PlatformLog other(machine(13), place(13));
+    PlatformChangeLog other(machine(13), place(13));
     other.last = 1;
     bool over = false;
     front->stop([&] { over = true; });
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -39,7 +39,7 @@
 };
 
 struct Rig : core::SubscriptionHandler, core::JoinSender, core::CoreObserver {
-    HandNet net;
+    ManualNet net;
     Scripted* decides = nullptr;
     std::unique_ptr<core::Core> core;
     std::vector<std::string> said, sent;
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using Json = nlohmann::json;
-using fakes::Does;
+using fakes::SetupReaction;
 
 // One class, one attempt, no budget, no wait to name; all times are short.
 Json pierNotices() {
@@ -65,21 +65,21 @@
 struct Day : nodetest::Virtual {
     Json settings;
     std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
-    std::unique_ptr<fakes::PlatformLog> log;
+    std::unique_ptr<fakes::PlatformChangeLog> log;
     logging::Log record{"", logging::Level::Error, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<fakes::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformConnection> viewers;
     std::map<std::string, std::vector<std::pair<Micros, Json>>> heard;
 
     explicit Day(Json told, int count = 4, int listed = -1) : settings(std::move(told)) {
         for (int i = 0; i < count; ++i)
             servers.push_back(std::make_unique<fakes::PlatformServer>(machine(i), place(i)));
-        log = std::make_unique<fakes::PlatformLog>(machine(10), place(10));
+        log = std::make_unique<fakes::PlatformChangeLog>(machine(10), place(10));
         log->last = 1;
         front = std::make_unique<node::Node>(machine(11), "config.json",
                                              configuration(listed < 0 ? count : listed), record);
-        viewers = std::make_unique<fakes::PlatformLine>(
-            machine(12), front->at(), [this](fakes::PlatformLine&, const Json& m) {
+        viewers = std::make_unique<fakes::PlatformConnection>(
+            machine(12), front->at(), [this](fakes::PlatformConnection&, const Json& m) {
                 heard[m.value("tag", "")].emplace_back(world.now(), m);
             });
         run(50'000);
@@ -171,7 +171,7 @@
 // One attempt is one, also where the first was refused and proven not to have run.
 TEST(Deployments, OneAttemptIsOne) {
     Day day(pierNotices());
-    for (const auto& s : day.servers) s->does = [](const std::string&) { return Does::Full; };
+    for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Full; };
     day.ask(1);
     day.run(kSecond);
     std::size_t sent = 0;
@@ -185,12 +185,13 @@
 TEST(Deployments, ConnectionsCarryNoMoreThanTheSettingsAllow) {
     Day day(pierNotices(), 0, 1);
     struct Holds final : net::ListenerHandler {
-        std::vector<std::unique_ptr<fakes::PlatformLine>> lines;
-        std::map<fakes::PlatformLine*, int> out;
+        std::vector<std::unique_ptr<fakes::PlatformConnection>> lines;
+        std::map<fakes::PlatformConnection*, int> out;
         void onAccepted(std::unique_ptr<net::Stream> stream) override {
-            lines.push_back(std::make_unique<fakes::PlatformLine>(
-                std::move(stream),
-                [this](fakes::PlatformLine& line, const Json& m) { out[&line] += m["verb"] == "START"; }));
+            lines.push_back(std::make_unique<fakes::PlatformConnection>(
+                std::move(stream), [this](fakes::PlatformConnection& line, const Json& m) {
+                    out[&line] += m["verb"] == "START";
+                }));
         }
     } holds;
     const auto listener = day.machine(0).listen(Day::place(0), holds);
@@ -258,7 +259,7 @@
         double longest = 0;
         for (const Json& room : told["request_classes"])
             longest = std::max(longest, room["deadline"].get<double>());
-        for (const auto& s : day.servers) s->does = [](const std::string&) { return Does::Nothing; };
+        for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Nothing; };
         const std::size_t rooms = told["request_classes"].size();
         for (std::size_t i = 0; i < rooms; ++i) day.ask(static_cast<int>(i) + 1, i);
         day.run(100'000);
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -201,9 +201,9 @@
 )";
 
 std::string played(std::uint64_t seed, std::string* json = nullptr) {
-    simulation::Day day = simulation::readDay(settings::Document::fromText("small.kdl", kDay));
+    simulation::Scenario day = simulation::readScenario(settings::Document::fromText("small.kdl", kDay));
     day.seed = seed;
-    simulation::DrillWays ways;
+    simulation::DrillOptions ways;
     ways.real = false;
     ways.folder = folder().string();
     fakes::Ledger ledger;
@@ -270,7 +270,7 @@
 TEST(Settings, OfADayAreChangedByTheirPath) {
     const std::string text = simulation::withSettings(
         "d.kdl", kDay, {{"audience@rate", "9"}, {"site/fleet@uplink-kb", "123"}, {"day@length", "20s"}});
-    const auto day = simulation::readDay(settings::Document::fromText("d.kdl", text));
+    const auto day = simulation::readScenario(settings::Document::fromText("d.kdl", text));
     EXPECT_EQ(day.audiences.front().stream.rateAt(kSecond), 9);
     EXPECT_EQ(day.machines.fleet.uplinkKb, 123);
     EXPECT_EQ(day.length, 20 * kSecond);
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -41,7 +41,7 @@
 
 struct Rig : Loop {
     fakes::Ledger ledger;
-    fakes::BoxMake make;
+    fakes::BoxConfig make;
     std::unique_ptr<fakes::BoxFleet> fleet;
     fakes::ListServer list{net, any(), ledger};
     std::unique_ptr<front::Front> front;
@@ -55,7 +55,7 @@
     std::function<std::string(int)> zoneOf{};
     Micros launchedWall = 0;
 
-    explicit Rig(int boxes = 3, const std::function<void(fakes::BoxMake&)>& shape = {}) {
+    explicit Rig(int boxes = 3, const std::function<void(fakes::BoxConfig&)>& shape = {}) {
         fs::remove_all(folder);
         fs::create_directories(folder);
         make.rungKb = {10, 30, 60};
@@ -121,14 +121,14 @@
             [&](const auto& l) { return l.what == what && (status < 0 || l.status == status); }));
     }
     void expectRules() {
-        for (const audit::Breach& b : breaches()) ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
+        for (const audit::RuleViolation& b : breaches()) ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
     }
     std::set<int> broken() {
         std::set<int> out;
-        for (const audit::Breach& b : breaches()) out.insert(b.rule);
+        for (const audit::RuleViolation& b : breaches()) out.insert(b.rule);
         return out;
     }
-    std::vector<audit::Breach> breaches() {
+    std::vector<audit::RuleViolation> breaches() {
         audit::Terms t;
         t.rooms["open"] = {1'500'000, false, 0, 0};
         t.rooms["paid"] = {1'500'000, true, 0, 3};
@@ -203,7 +203,7 @@
 }
 
 TEST(Front, AByteRangePlaylistIsRelayedRangeByRange) {
-    Rig rig(3, [](fakes::BoxMake& m) { m.byteRanges = true; });
+    Rig rig(3, [](fakes::BoxConfig& m) { m.byteRanges = true; });
     rig.play("open", kSecond);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_GE(rig.count("segment"), 6);
@@ -563,7 +563,7 @@
             sip + "\n");
     }
     fakes::Caller& call(const std::string& room, const fakes::CallPlan& how = {},
-                        const fakes::Weather& weather = {}) {
+                        const fakes::NetworkConditions& weather = {}) {
         fakes::CallPlan plan = how;
         plan.title = plan.title.empty() ? "t" : plan.title;
         plan.room = room;
@@ -1063,11 +1063,11 @@
 
 simulation::DrillResult playDay(const std::string& name, fakes::Ledger& ledger) {
     const auto document = settings::Document::fromFile(std::string(VALEKEEL_DAYS) + "/" + name);
-    const simulation::Day day = simulation::readDay(document);
+    const simulation::Scenario day = simulation::readScenario(document);
     const fs::path folder = fs::path(testing::TempDir()) / ("valekeel-day-" + name);
     fs::remove_all(folder);
     fs::create_directories(folder);
-    simulation::DrillWays ways;
+    simulation::DrillOptions ways;
     ways.program = VALEKEEL_PROGRAM;
     ways.folder = folder.string();
     return simulation::drill(day, ways, ledger);
@@ -1086,7 +1086,7 @@
             "level 1 \"8s\" \"6s\"; level 2 \"8s\" \"6s\"; }\nseeds " +
                 seeds + "\nshow \"service\"\nchart \"asked\" over=\"crowd\"\n"));
     };
-    experiment::Ways ways;
+    experiment::ExperimentOptions ways;
     ways.program = VALEKEEL_PROGRAM;
     ways.folder = folder.string();
     ways.store = (folder / "t.sqlite").string();
@@ -1122,7 +1122,8 @@
 TEST(Day, TheShortBadDayKeepsAllRules) {
     fakes::Ledger ledger;
     const auto result = playDay("short.kdl", ledger);
-    for (const audit::Breach& b : result.breaches) ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
+    for (const audit::RuleViolation& b : result.breaches)
+        ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
     EXPECT_GT(result.played, 40u);
     EXPECT_EQ(result.twice, 0u);
     EXPECT_EQ(result.gaps, 0u);
--- a/tests/manual_net.hpp
+++ b/tests/manual_net.hpp
@@ -8,7 +8,7 @@
 
 namespace valekeel {
 
-class HandNet final : public net::Net {
+class ManualNet final : public net::Net {
   public:
     Micros time = 1'000'000;
     net::TimerWheel wheel_{time};
@@ -26,7 +26,7 @@
         return nullptr;
     }
     std::uint64_t randomBits() override { return chance(); }
-    void pass(Micros wait) {
+    void advance(Micros wait) {
         const Micros end = time + wait;
         while (time < end) {
             time = std::min(end, std::max(time + 1, wheel_.next().value_or(end)));
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -17,7 +17,7 @@
 namespace valekeel::nodetest {
 
 using Json = nlohmann::json;
-using fakes::Does;
+using fakes::SetupReaction;
 
 inline Json settings() {
     return Json::parse(R"({"balancers":2,"host_types":["k"],"zones":["z"],"zone":"z","weights":"nominal",
@@ -66,16 +66,16 @@
 template <class Machines>
 struct Day : Machines {
     std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
-    std::unique_ptr<fakes::PlatformLog> log;
+    std::unique_ptr<fakes::PlatformChangeLog> log;
     logging::Log record{"", logging::Level::Error, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<fakes::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformConnection> viewers;
     std::map<std::string, std::vector<Json>> heard;
 
     explicit Day(int count = 3) {
         for (int i = 0; i < count; ++i)
             servers.push_back(std::make_unique<fakes::PlatformServer>(this->machine(i), this->place(i)));
-        log = std::make_unique<fakes::PlatformLog>(this->machine(10), this->place(10));
+        log = std::make_unique<fakes::PlatformChangeLog>(this->machine(10), this->place(10));
         log->last = 1;
         front = std::make_unique<node::Node>(this->machine(11), "config.json", configuration(), record);
         viewers = line();
@@ -86,10 +86,10 @@
         for (const auto& server : servers) places.push_back(server->at());
         return configurationOf(places, this->place(11), log->at(), settings()).dump();
     }
-    std::unique_ptr<fakes::PlatformLine> line() {
-        return std::make_unique<fakes::PlatformLine>(
+    std::unique_ptr<fakes::PlatformConnection> line() {
+        return std::make_unique<fakes::PlatformConnection>(
             this->machine(12), front->at(),
-            [this](fakes::PlatformLine&, const Json& m) { heard[m.value("tag", "")].push_back(m); });
+            [this](fakes::PlatformConnection&, const Json& m) { heard[m.value("tag", "")].push_back(m); });
     }
     static Json start(int n, const std::string& room = "talk", const std::string& title = "t") {
         return {{"verb", "START"},
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -123,7 +123,9 @@
 TEST(NodeServers, AnEndOwedToAnEarlierTryDoesNotEndTheNext) {
     VirtualDay day(1);
     int bad = 0;
-    day.servers[0]->does = [&](const std::string&) { return bad++ == 0 ? Does::Resets : Does::Plays; };
+    day.servers[0]->does = [&](const std::string&) {
+        return bad++ == 0 ? SetupReaction::Resets : SetupReaction::Plays;
+    };
     day.ask(1);
     day.run(3 * kSecond);
     EXPECT_EQ(day.said(1), "+");
@@ -135,7 +137,9 @@
 TEST(NodeServers, AnEndThatIsSaidOnceMoreDoesNotEndTheNextTry) {
     VirtualDay day(1);
     int bad = 0;
-    day.servers[0]->does = [&](const std::string&) { return bad++ == 0 ? Does::Nothing : Does::Plays; };
+    day.servers[0]->does = [&](const std::string&) {
+        return bad++ == 0 ? SetupReaction::Nothing : SetupReaction::Plays;
+    };
     day.ask(1);
     for (int turn = 0; turn < 40 && day.said(1).empty(); ++turn) day.run(50'000);
     ASSERT_EQ(day.said(1), "+");
@@ -198,7 +202,7 @@
 
 TEST(NodeServers, OneMayBeCalledOffWhileItsConnectionGoes) {
     VirtualDay day(1);
-    day.servers[0]->does = [](const std::string&) { return Does::Nothing; };
+    day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
     net::Net& net = day.machine(21);
     Follows user;
     core::CoreObserver watcher;
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -50,12 +50,12 @@
         std::string bytes;
         std::vector<std::pair<std::uint64_t, std::size_t>> put, got;
         for (unsigned i = 0; i < 5; ++i) {
-            std::vector<fakes::PlatformLog::Box> boxes(chance() % 4);
+            std::vector<fakes::PlatformChangeLog::Box> boxes(chance() % 4);
             for (auto& box : boxes)
                 box = {static_cast<std::uint32_t>(chance() % 1000), *net::parseEndpoint("127.0.0.1:9"),
                        static_cast<int>(chance() % 3)};
             const int kind = boxes.empty() ? 0 : 1 + static_cast<int>(chance() % 2);
-            bytes += fakes::PlatformLog::frame(i + 1, kind, boxes);
+            bytes += fakes::PlatformChangeLog::frame(i + 1, kind, boxes);
             put.emplace_back(i + 1, boxes.size());
         }
         node::FrameReader reader(1, 1, 100);
@@ -78,7 +78,7 @@
             16);
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(endless, ignore));
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(odd, ignore));
-    std::string unknownKind = fakes::PlatformLog::frame(1, 7, {});
+    std::string unknownKind = fakes::PlatformChangeLog::frame(1, 7, {});
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(unknownKind, ignore));
 }
 
@@ -115,19 +115,20 @@
 // run is set up twice if it is paid; whatever stands nowhere in the end was cut.
 TEST(Node, ABadAnswerCostsNoMoreThanItsOwnSetup) {
     struct Case {
-        Does does;
+        SetupReaction does;
         const char *free, *paid;
         bool paidAgain;
     };
     for (const Case& c :
-         {Case{Does::Full, "+", "+", true}, Case{Does::Errs, "+", "41", false},
-          Case{Does::Resets, "+", "41", false}, Case{Does::Noise, "+", "41", false},
-          Case{Does::Unfinished, "+", "41", false}, Case{Does::NoWords, "+", "41", false},
-          Case{Does::PlaysTwice, "+", "+", false}, Case{Does::UnknownFirst, "+", "+", false}}) {
+         {Case{SetupReaction::Full, "+", "+", true}, Case{SetupReaction::Errs, "+", "41", false},
+          Case{SetupReaction::Resets, "+", "41", false}, Case{SetupReaction::Noise, "+", "41", false},
+          Case{SetupReaction::Unfinished, "+", "41", false}, Case{SetupReaction::NoWords, "+", "41", false},
+          Case{SetupReaction::PlaysTwice, "+", "+", false},
+          Case{SetupReaction::UnknownFirst, "+", "+", false}}) {
         VirtualDay day;
         int bad = 0;
         for (const auto& s : day.servers)
-            s->does = [&](const std::string&) { return bad++ == 0 ? c.does : Does::Plays; };
+            s->does = [&](const std::string&) { return bad++ == 0 ? c.does : SetupReaction::Plays; };
         day.ask(1, "talk", "a");
         day.run(2 * kSecond);
         EXPECT_EQ(day.said(1), c.free) << static_cast<int>(c.does);
@@ -208,8 +209,8 @@
     day.run(kSecond);
     day.viewers->close(true);
     int strange = 0;
-    fakes::PlatformLine stranger(day.machine(13), day.front->at(),
-                                 [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
+    fakes::PlatformConnection stranger(day.machine(13), day.front->at(),
+                                       [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
     stranger.say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     day.run(100'000);
     day.servers[0]->end(idOf(1), 16);
@@ -232,10 +233,10 @@
     VirtualDay day;
     day.ask(1);
     day.run(500'000);
-    std::vector<std::unique_ptr<fakes::PlatformLine>> crowd;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> crowd;
     for (int i = 0; i < 400; ++i) {
-        crowd.push_back(std::make_unique<fakes::PlatformLine>(day.machine(13), day.front->at(),
-                                                              [](auto&, const Json&) {}));
+        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->at(),
+                                                                    [](auto&, const Json&) {}));
         crowd.back()->say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     }
     day.run(100'000);
@@ -248,7 +249,7 @@
 // A viewer that stops waiting is owed nothing, and leaves nothing behind.
 TEST(Node, WhatIsGivenUpIsCalledOff) {
     VirtualDay day(1);
-    day.servers[0]->does = [](const std::string&) { return Does::Nothing; };
+    day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
     day.ask(1);
     day.run(200'000);
     day.end(1);
@@ -301,14 +302,14 @@
         shortTag.dump() + "\n",
         noWords.dump() + "\n",
         VirtualDay::start(77).dump() + "\n" + VirtualDay::start(77, "talk", "u").dump() + "\n"};
-    std::vector<std::unique_ptr<fakes::PlatformLine>> callers;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> callers;
     int answered = 0;
     for (const std::string& bytes : bad) {
-        callers.push_back(std::make_unique<fakes::PlatformLine>(day.machine(13), day.front->at(),
-                                                                [&](fakes::PlatformLine&, const Json& m) {
-                                                                    EXPECT_NE(m["verb"], "STARTED");
-                                                                    ++answered;
-                                                                }));
+        callers.push_back(std::make_unique<fakes::PlatformConnection>(
+            day.machine(13), day.front->at(), [&](fakes::PlatformConnection&, const Json& m) {
+                EXPECT_NE(m["verb"], "STARTED");
+                ++answered;
+            }));
         callers.back()->bytes(bytes);
     }
     day.ask(1);
@@ -323,10 +324,10 @@
 // Guards against connects that say nothing and keep out those that ask.
 TEST(Node, SilentConnectsKeepNobodyOut) {
     VirtualDay day;
-    std::vector<std::unique_ptr<fakes::PlatformLine>> silent;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> silent;
     for (int i = 0; i < 400; ++i)
-        silent.push_back(std::make_unique<fakes::PlatformLine>(day.machine(13), day.front->at(),
-                                                               [](auto&, const Json&) {}));
+        silent.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->at(),
+                                                                     [](auto&, const Json&) {}));
     day.run(100'000);
     day.viewers = day.line();
     day.ask(1);
@@ -396,7 +397,8 @@
         VirtualDay day;
         if (trouble == 1) day.log->twice = true;
         if (trouble == 2) {  // breaks off in the middle of an event
-            day.log->bytes(fakes::PlatformLog::frame(2, 2, {{0, day.servers[0]->at(), 1}}).substr(0, 20));
+            day.log->bytes(
+                fakes::PlatformChangeLog::frame(2, 2, {{0, day.servers[0]->at(), 1}}).substr(0, 20));
             day.run(10'000);
             day.log->breakOff();
         }
@@ -432,7 +434,7 @@
 
 TEST(NodeList, IsAskedForWhereTheNewConfigurationSays) {
     VirtualDay day;
-    fakes::PlatformLog other(day.machine(14), Virtual::place(14));
+    fakes::PlatformChangeLog other(day.machine(14), Virtual::place(14));
     other.last = 1;
     day.front->reread("{ not JSON");  // passed over
     Json all = Json::parse(day.configuration());
@@ -453,7 +455,9 @@
 TEST(Node, APlannedEndAnswersAllThatWasTaken) {
     VirtualDay day;
     for (const auto& s : day.servers)
-        s->does = [](const std::string& tag) { return tag == idOf(2) ? Does::Nothing : Does::Plays; };
+        s->does = [](const std::string& tag) {
+            return tag == idOf(2) ? SetupReaction::Nothing : SetupReaction::Plays;
+        };
     bool over = false;
     day.front->stop([&] { over = true; });
     day.run(300'000);
@@ -502,10 +506,10 @@
     for (const auto& s : day.servers)
         s->does = [&](const std::string&) {
             const auto drawn = chance() % 20;
-            return drawn == 0   ? Does::Resets
-                   : drawn == 1 ? Does::Noise
-                   : drawn == 2 ? Does::Full
-                                : Does::Plays;
+            return drawn == 0   ? SetupReaction::Resets
+                   : drawn == 1 ? SetupReaction::Noise
+                   : drawn == 2 ? SetupReaction::Full
+                                : SetupReaction::Plays;
         };
     for (int n = 1; n <= 60; ++n) {
         day.ask(n, n % 3 ? "talk" : "paid", "t" + std::to_string(n));
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -100,8 +100,8 @@
 // Where all are needed, one that comes is heard and refused: it is not just closed.
 TEST(NodeViewers, OneTooManyIsRefusedAndNotCutOff) {
     VirtualDay day;
-    for (const auto& s : day.servers) s->does = [](const std::string&) { return Does::Nothing; };
-    std::vector<std::unique_ptr<fakes::PlatformLine>> all;
+    for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Nothing; };
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> all;
     for (int n = 1; n <= 130; ++n) {
         all.push_back(day.line());
         all.back()->say(VirtualDay::start(n, "talk", "t" + std::to_string(n)));
@@ -116,7 +116,7 @@
 // A set-up that lies unread while a new connection asks for room: the connection that brought it stays.
 TEST(NodeViewers, WhatLiesUnreadIsReadBeforeItsConnectionIsClosedForRoom) {
     Day<Sockets> day;
-    std::vector<std::unique_ptr<fakes::PlatformLine>> silent;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> silent;
     for (int i = 0; i < 119; ++i) {
         silent.push_back(day.line());
         day.run(1'000);
@@ -131,14 +131,14 @@
     VirtualDay day;
     const net::Endpoint at = day.log->at();
     day.log.reset();
-    std::vector<std::unique_ptr<fakes::PlatformLine>> crowd;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> crowd;
     for (int i = 0; i < 600; ++i) {
-        crowd.push_back(std::make_unique<fakes::PlatformLine>(day.machine(13), day.front->at(),
-                                                              [](auto&, const Json&) {}));
+        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->at(),
+                                                                    [](auto&, const Json&) {}));
         if (i % 2) crowd.back()->bytes(kTest);
         if (i % 20 == 0) day.run(10'000);
     }
-    day.log = std::make_unique<fakes::PlatformLog>(day.machine(10), at);
+    day.log = std::make_unique<fakes::PlatformChangeLog>(day.machine(10), at);
     day.log->last = 1;
     day.log->add({{0, day.servers[0]->at(), 1, 0}});
     day.run(500'000);
@@ -194,7 +194,7 @@
 TEST(NodeViewers, WhateverEndsAConnectionGivesUpItsSetups) {
     for (int how = 0; how < 6; ++how) {
         VirtualDay day(1);
-        day.servers[0]->does = [](const std::string&) { return Does::Nothing; };
+        day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
         day.ask(1);
         day.ask(2, "talk", "u");
         day.run(200'000);
@@ -268,13 +268,13 @@
     for (const auto& s : day.servers)
         s->does = [&](const std::string&) {
             const auto drawn = chance() % 12;
-            return drawn == 0   ? Does::Full
-                   : drawn == 1 ? Does::Nothing
-                   : drawn == 2 ? Does::Resets
-                   : drawn == 3 ? Does::Noise
-                                : Does::Plays;
+            return drawn == 0   ? SetupReaction::Full
+                   : drawn == 1 ? SetupReaction::Nothing
+                   : drawn == 2 ? SetupReaction::Resets
+                   : drawn == 3 ? SetupReaction::Noise
+                                : SetupReaction::Plays;
         };
-    std::vector<std::unique_ptr<fakes::PlatformLine>> lines(6);
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> lines(6);
     for (int n = 1; n <= 4000; ++n) {
         auto& line = lines[chance() % lines.size()];
         if (!line || line->ended()) line = day.line();
@@ -382,7 +382,9 @@
             for (Json& room : all["settings"]["request_classes"]) room["deadline"] = deadline;
         });
         for (const auto& s : day.servers)
-            s->does = [](const std::string& tag) { return tag == idOf(2) ? Does::Nothing : Does::Plays; };
+            s->does = [](const std::string& tag) {
+                return tag == idOf(2) ? SetupReaction::Nothing : SetupReaction::Plays;
+            };
         day.ask(1);
         day.run(500'000);
         Ending end(day);
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -174,7 +174,7 @@
     void onAckTimeout(const std::string& key) override { unheard.push_back(key); }
 };
 struct TransactionRig {
-    HandNet net;
+    ManualNet net;
     Sends user;
     sip::Transactions all{net, {}, 3, user};
     sip::ReplyRoute way{false, 0, *net::parseEndpoint("127.0.0.1:5071")};
