--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -60,7 +60,7 @@
     void onDelivered(Micros now, std::uint32_t network, double share, bool lowest) {
         ways_.onDelivered(now, network, share, lowest);
     }
-    // What ask() would say to a request from there, now; nothing is kept of it.
+    // What admit() would say to a request from there, now; nothing is kept of it.
     bool wouldAdmit(const net::IpAddress&) const;
     void onAnswered(std::uint32_t network);
     // How long a placement took, or a set-up that came to nothing: what the bound is found from.
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -21,12 +21,13 @@
     TimedOut,     // the same, with the client timeout at hand
 };
 
-// A face, which owns the viewer's side of subscriptions. Called after the call that caused it has returned.
+// The protocol side, which owns the viewer's end of subscriptions. Called after the call that caused it has
+// returned.
 class SubscriptionHandler {
   public:
     virtual ~SubscriptionHandler() = default;
     // The three answers. Exactly one of them for each subscription that is taken, unless the face said
-    // left() before.
+    // unsubscribe() before.
     virtual void onPlaying(SubId, SfuId, int rung) = 0;
     virtual void onThrottled(SubId, Micros retryAfter) = 0;  // 0: no time is named
     virtual void onTerminated(SubId, TerminationReason) = 0;
@@ -96,7 +97,8 @@
 
     // ---- from a face ----
     // Nothing if no more can be held: the face throttles. `clientTimeout` counts from now. The module hears
-    // of it with begin(), which may call the face back before it returns: the face must know the id by then.
+    // of it with start(), which may call the handler back before it returns: the handler must know the id by
+    // then.
     std::optional<SubId> subscribe(SubscriptionHandler&, SubscriptionRequest, Micros clientTimeout);
     void start(SubId);
     void unsubscribe(SubId);              // the viewer is gone; nothing more is said of it
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -1,8 +1,8 @@
 // valekeel's decisions: all of them, with every table and tuned value. The interface is src/logic.hpp; the
 // adapter (src/adapter) makes one Logic for each front and calls one method for each thing that happens, in
-// order, with the time. The module answers by calling the Host that it was handed, at once or from woken().
+// order, with the time. The module answers by calling the Host that it was handed, at once or from onWake().
 //
-// The ordinary path is ES-HAS (docs/design.md): subscribe() gathers requests for a slot, place() gives each
+// The ordinary path is ES-HAS (docs/design.md): onSubscribe() gathers requests for a slot, place() gives each
 // the holder and rung of least score, and sweep() steps playing subscriptions down and up. Each join passes
 // mayJoin(), which holds every rule; each final answer passes giveUp().
 #include "logic.hpp"
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -22,7 +22,8 @@
     virtual void throttle(SubId, Micros retryAfter) = 0;  // final; 0 names no time
     virtual void terminate(SubId) = 0;                    // final
     virtual void wakeAfter(Micros, const std::string& why) = 0;
-    virtual void followList() = 0;  // where the list must be asked for; listFailed() says if that failed
+    virtual void
+    followList() = 0;  // where the list must be asked for; onServerListFailure() says if that failed
     virtual void log(const std::string&) = 0;
     // For the record, just before a join: what decided it. The lowest score wins; none: nothing fits, and the
     // lowest rung goes to the roomiest of so many.
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -20,7 +20,7 @@
 struct IoResult {
     enum class Status {
         Ready,        // it may go on at once
-        WouldBlock,   // wait for readable() or writable()
+        WouldBlock,   // wait for onReadable() or onWritable()
         EndOfStream,  // the peer has finished writing
         Broken,       // reset, or never connected; nothing more comes
     };
@@ -31,7 +31,7 @@
 // How a connect ended that did not succeed.
 enum class ConnectError { Refused, Unreachable, OutOfDescriptors };
 
-// Called edge by edge: after readable() one must read until Again, or remember that more may lie there.
+// Called edge by edge: after onReadable() one must read until Again, or remember that more may lie there.
 // Whatever is called may delete the stream.
 class StreamHandler {
   public:
@@ -57,7 +57,7 @@
 class ListenerHandler {
   public:
     virtual ~ListenerHandler() = default;
-    virtual void onAccepted(std::unique_ptr<Stream>) = 0;  // handTo() must be called before it returns
+    virtual void onAccepted(std::unique_ptr<Stream>) = 0;  // setHandler() must be called before it returns
 };
 
 class Listener {
@@ -90,7 +90,7 @@
     virtual Micros now() const = 0;      // never goes back; of one turn of the loop
     virtual Micros wallNow() const = 0;  // since 1970, for what other machines say
     virtual TimerWheel& timerWheel() = 0;
-    // Fails later, through connectFailed(); never at once.
+    // Fails later, through onConnectFailed(); never at once.
     virtual std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) = 0;
     // Throws std::runtime_error, naming the address, if it can't be had.
     virtual std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) = 0;
--- a/src/node/servers.hpp
+++ b/src/node/servers.hpp
@@ -78,7 +78,7 @@
 
     void adopt(SubId, SfuId);       // it stands there already
     void setRung(SubId, int rung);  // of what stands
-    void cut(SubId);                // ends it there; over() tells when that is done
+    void cut(SubId);                // ends it there; ServersHandler::over() tells when that is done
     void forget(SubId);             // nobody asks for it any more
 
     void join(SubId, int joinNo, SfuId, int rung, Micros timeOut, bool paid) override;
