--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -357,13 +357,14 @@
         plan.refreshes = plan.says;
         if (i % 7 == 0) plan.cancelAfter = std::uniform_int_distribution<Micros>(1, 2 * kSecond)(chance);
         ++active;
-        callers.push_back(std::make_unique<fakes::Caller>(net, i, front.sip()->at(), "a", plan,
+        callers.push_back(std::make_unique<fakes::Caller>(net, i, front.sipFrontend()->at(), "a", plan,
                                                           fakes::NetworkConditions{0.1, 0.05, 800'000},
                                                           chance(), ledger, [&] { --active; }));
         callers.back()->start();
         turnUntil([] { return false; }, 25'000);
     }
-    turnUntil([&] { return front.sip()->calls() == 0 && front.sip()->transactions() == 0; }, 200 * kSecond);
+    turnUntil([&] { return front.sipFrontend()->calls() == 0 && front.sipFrontend()->transactions() == 0; },
+              200 * kSecond);
     const Micros toQuiet = net.now() - from;
     turnUntil([] { return false; }, kSecond);  // what was given back last is still on its way to its box
     if (ledgerFile) {
@@ -388,7 +389,7 @@
     terms.rooms["open"] = {4 * kSecond, false, 0, 0};
     terms.rooms["paid"] = {4 * kSecond, true, 0, 0};
     const auto breaches = audit::all(ledger, terms, {});
-    const auto& c = front.sip()->counts();
+    const auto& c = front.sipFrontend()->counts();
     std::printf(
         "\n%d calls in weather (10%% lost each way, 5%% twice, up to 800 ms late and out of order):\n", many);
     for (const auto& [status, n] : finals) std::printf("  answered %d: %d\n", status, n);
@@ -399,12 +400,13 @@
         "%llu, expired %llu\n  left after %.0f s: calls %zu, transactions %zu, subscriptions %zu; played at "
         "boxes %d, given back %d\n  rules broken: %zu\n",
         twice, never, charged, paid.size(), static_cast<unsigned long long>(c.invites),
-        static_cast<unsigned long long>(c.messages), static_cast<unsigned long long>(front.sip()->absorbed()),
+        static_cast<unsigned long long>(c.messages),
+        static_cast<unsigned long long>(front.sipFrontend()->absorbed()),
         static_cast<unsigned long long>(c.cancelled), static_cast<unsigned long long>(c.unacknowledged),
-        static_cast<unsigned long long>(c.expired), seconds(toQuiet), front.sip()->calls(),
-        front.sip()->transactions(), front.core().subscriptionCount(), plays, given, breaches.size());
+        static_cast<unsigned long long>(c.expired), seconds(toQuiet), front.sipFrontend()->calls(),
+        front.sipFrontend()->transactions(), front.core().subscriptionCount(), plays, given, breaches.size());
     for (const auto& b : breaches) std::printf("  rule %d: %s\n", b.rule, b.what.c_str());
-    return breaches.empty() && twice == 0 && front.sip()->calls() == 0 ? 0 : 1;
+    return breaches.empty() && twice == 0 && front.sipFrontend()->calls() == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -57,7 +57,7 @@
 }
 
 AdmissionController::Decision AdmissionController::letFor(std::size_t ofIt) const {
-    const std::size_t waiting = bound();
+    const std::size_t waiting = limit();
     if (held_ >= waiting) return Decision::Full;
     const std::size_t sharers = holding_ + (ofIt == 0 ? 1 : 0) + 1;
     const std::size_t share = std::max<std::size_t>(1, waiting / sharers);
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -230,7 +230,7 @@
                                                       UpstreamRequestHandler& user) {
     Box* box = find(id);
     if (!box) {  // never listed: a place that nobody answers at
-        at(id, net::Endpoint{boost::asio::ip::make_address("127.0.0.1"), 1});
+        setAddress(id, net::Endpoint{boost::asio::ip::make_address("127.0.0.1"), 1});
         box = find(id);
     }
     return std::make_unique<Exchange>(*this, *box, http::requestBytes(method, target, box->at, fields),
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -137,9 +137,9 @@
 TEST(Core, AModuleThatNeverAnswersIsGuardedBeforeTheClientTimeout) {
     Rig rig;
     rig.ask();
-    rig.net.pass(3 * kSecond - 61'000);
+    rig.net.advance(3 * kSecond - 61'000);
     EXPECT_TRUE(rig.said.empty());
-    rig.net.pass(61'000);
+    rig.net.advance(61'000);
     EXPECT_EQ(rig.said, (std::vector<std::string>{"terminated"}));
     EXPECT_EQ(rig.guards, 1);
     EXPECT_EQ(rig.core->unansweredCount(), 0u);
@@ -270,7 +270,7 @@
     Rig rig;
     for (int i = 0; i < 10; ++i) {
         rig.core->onLoadReport(SubId{1}, SfuId{3}, 0.5, 0.4);
-        rig.net.pass(200'000);
+        rig.net.advance(200'000);
     }
     EXPECT_EQ(rig.count(rig.decides->heard, "link"), 2);
     EXPECT_EQ(rig.count(rig.decides->heard, "uplink"), 2);
@@ -317,10 +317,10 @@
                     rig.decides->host.throttle(id, 0);
                     break;
                 default:
-                    rig.net.pass(pick(0, 300'000));
+                    rig.net.advance(pick(0, 300'000));
             }
         }
-        rig.net.pass(10 * kSecond);
+        rig.net.advance(10 * kSecond);
         const core::CoreCounts& c = rig.core->counts();
         EXPECT_EQ(c.asked, asked);
         const auto answers = c.played + c.throttled + c.terminated;
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -570,15 +570,16 @@
         plan.timeout = 1'500'000;
         ++active;
         const int number = 1'000 + static_cast<int>(callers.size());
-        callers.push_back(std::make_unique<fakes::Caller>(net, number, front->sip()->at(), "a", plan, weather,
-                                                          static_cast<std::uint64_t>(number), ledger,
+        callers.push_back(std::make_unique<fakes::Caller>(net, number, front->sipFrontend()->at(), "a", plan,
+                                                          weather, static_cast<std::uint64_t>(number), ledger,
                                                           [this] { --active; }));
         callers.back()->start();
         return *callers.back();
     }
     bool quiet(Micros atMost = 10 * kSecond) {
-        return until([&] { return front->sip()->calls() == 0 && front->core().subscriptionCount() == 0; },
-                     atMost);
+        return until(
+            [&] { return front->sipFrontend()->calls() == 0 && front->core().subscriptionCount() == 0; },
+            atMost);
     }
 };
 
@@ -679,7 +680,7 @@
     auto& caller = rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return caller.byed(); }));
     ASSERT_TRUE(rig.quiet());
-    EXPECT_EQ(rig.front->sip()->counts().unacknowledged, 1u);
+    EXPECT_EQ(rig.front->sipFrontend()->counts().unacknowledged, 1u);
     EXPECT_EQ(rig.count("charged"), 1);
     rig.expectRules();
 }
@@ -693,16 +694,16 @@
     plan.talk = 100'000;
     rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
-    EXPECT_EQ(rig.front->sip()->calls(), 1u);
+    EXPECT_EQ(rig.front->sipFrontend()->calls(), 1u);
     ASSERT_TRUE(rig.quiet());
-    EXPECT_EQ(rig.front->sip()->counts().expired, 1u);
+    EXPECT_EQ(rig.front->sipFrontend()->counts().expired, 1u);
     fakes::CallPlan stays = plan;
     stays.refreshes = true;
     stays.says = true;
     stays.talk = 4 * kSecond;
     rig.call("paid", stays);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
-    EXPECT_EQ(rig.front->sip()->counts().expired, 1u) << "one that refreshes stays";
+    EXPECT_EQ(rig.front->sipFrontend()->counts().expired, 1u) << "one that refreshes stays";
 }
 
 // Nothing is known of the INVITE any more; the box that began it is the one who can tell.
@@ -713,7 +714,7 @@
     plan.loses100 = true;
     auto& caller = rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.count("charged") == 1; }));
-    const std::string at = net::toString(rig.front->sip()->at());
+    const std::string at = net::toString(rig.front->sipFrontend()->at());
     rig.front.reset();
     rig.startFront("sip listen=\"" + at + "\"\n");
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }, 20 * kSecond));
@@ -748,7 +749,7 @@
     EXPECT_EQ(rig.count("second-answer"), 0);
     EXPECT_EQ(rig.count("answer"), 60);
     ASSERT_TRUE(rig.quiet(15 * kSecond));
-    EXPECT_GT(rig.front->sip()->absorbed(), 0u);
+    EXPECT_GT(rig.front->sipFrontend()->absorbed(), 0u);
     rig.expectRules();
 }
 
@@ -806,7 +807,7 @@
 };
 
 struct RawRig : CallRig {
-    RawCaller raw{net, front->sip()->at()};
+    RawCaller raw{net, front->sipFrontend()->at()};
     using CallRig::CallRig;
     bool plays() {
         raw.say(raw.text("INVITE", 1, "", RawCaller::sdp()));
@@ -820,7 +821,7 @@
 TEST(Sip, AChangeOfRungIsToldByUpdateAndGlareIsSettled) {
     RawRig rig;
     ASSERT_TRUE(rig.plays());
-    core::SubscriptionHandler& face = *rig.front->sip();
+    core::SubscriptionHandler& face = *rig.front->sipFrontend();
     const SubId sub{1};
     const std::string* first = rig.raw.heard("SIP/2.0 200");
     const int now = first->find("b=TIAS:80000\r\n") != std::string::npos ? 2 : 0;
@@ -851,7 +852,7 @@
 TEST(Sip, ADialogThatTheCallerNoLongerKnowsIsOver) {
     RawRig rig;
     ASSERT_TRUE(rig.plays());
-    static_cast<core::SubscriptionHandler&>(*rig.front->sip()).onRungChanged(SubId{1}, 1);
+    static_cast<core::SubscriptionHandler&>(*rig.front->sipFrontend()).onRungChanged(SubId{1}, 1);
     ASSERT_TRUE(rig.until([&] { return rig.raw.heard("UPDATE "); }));
     rig.raw.answer(*rig.raw.heard("UPDATE "), 481);
     ASSERT_TRUE(rig.quiet());
@@ -866,7 +867,7 @@
         rig.raw.say(rig.raw.text("ACK", 1, "k", body));
         if (body == RawCaller::sdp()) {
             rig.run(300'000);
-            EXPECT_EQ(rig.front->sip()->calls(), 1u);
+            EXPECT_EQ(rig.front->sipFrontend()->calls(), 1u);
             EXPECT_FALSE(rig.raw.heard("BYE "));
         } else {
             ASSERT_TRUE(rig.until([&] { return rig.raw.heard("BYE "); }));
@@ -902,7 +903,7 @@
 
 TEST(Sip, OverAStreamManyMessagesMayComeAtOnceAndOneInMany) {
     RawRig rig;
-    RawStream s(rig.net, rig.front->sip()->at());
+    RawStream s(rig.net, rig.front->sipFrontend()->at());
     ASSERT_TRUE(rig.until([&] { return s.up; }));
     std::string all;
     for (int i = 0; i < 3; ++i)
@@ -916,12 +917,12 @@
     }
     ASSERT_TRUE(rig.until([&] { return s.times("CSeq: 1 OPTIONS") == 1; }));
     EXPECT_FALSE(s.ended);
-    EXPECT_EQ(rig.front->sip()->calls(), 3u);
+    EXPECT_EQ(rig.front->sipFrontend()->calls(), 3u);
 }
 
 TEST(Sip, AStreamThatLostItsPlaceIsClosedAndItsNeighboursStay) {
     RawRig rig;
-    RawStream bad(rig.net, rig.front->sip()->at()), good(rig.net, rig.front->sip()->at());
+    RawStream bad(rig.net, rig.front->sipFrontend()->at()), good(rig.net, rig.front->sipFrontend()->at());
     ASSERT_TRUE(rig.until([&] { return bad.up && good.up; }));
     std::string broken = rig.raw.text("OPTIONS", 1, "b", "", "", "TCP");
     broken.replace(broken.find("Content-Length: 0"), 17, "Content-Length: -7");
@@ -935,7 +936,7 @@
     RawRig rig;
     rig.front.reset();
     rig.startFront("admission waiting=8\nsip listen=\"127.0.0.1:0\" target-fill=0.1 look-every=\"20ms\"\n");
-    rig.raw.front = rig.front->sip()->at();
+    rig.raw.front = rig.front->sipFrontend()->at();
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.answersLate = 200'000;
     for (int i = 0; i < 300; ++i) {
         rig.raw.say(
@@ -943,7 +944,7 @@
         rig.net.runOnce(2'000);
     }
     rig.run(kSecond);
-    EXPECT_GT(rig.front->sip()->counts().shed, 50u);
+    EXPECT_GT(rig.front->sipFrontend()->counts().shed, 50u);
     EXPECT_LT(rig.front->core().counts().asked, 200u);
     const std::string* refused = rig.raw.heard("SIP/2.0 503", "Retry-After: ");
     ASSERT_TRUE(refused);
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -194,14 +194,14 @@
     EXPECT_EQ(rig.user.sent, (std::vector<std::string>{"trying", "trying"}));
     EXPECT_TRUE(rig.all.answer(rig.key, 503, "busy"));
     EXPECT_FALSE(rig.all.answer(rig.key, 200, "ok")) << "one final answer";
-    rig.net.pass(502'000);
+    rig.net.advance(502'000);
     EXPECT_EQ(rig.user.sent.back(), "busy");
     EXPECT_EQ(rig.user.sent.size(), 4u) << "timer G";
     EXPECT_TRUE(rig.all.ack(rig.ack));
-    rig.net.pass(kSecond);
+    rig.net.advance(kSecond);
     EXPECT_EQ(rig.user.sent.size(), 4u);
     EXPECT_EQ(rig.all.size(), 1u) << "later ACKs are still absorbed";
-    rig.net.pass(5 * kSecond);
+    rig.net.advance(5 * kSecond);
     EXPECT_EQ(rig.all.size(), 0u);
     EXPECT_TRUE(rig.user.unheard.empty());
 }
@@ -211,7 +211,7 @@
     rig.all.request(rig.ask, rig.way);
     rig.all.answer(rig.key, 200, "ok");
     EXPECT_FALSE(rig.all.ack(rig.ack)) << "the ACK of a 200 is the dialog's";
-    rig.net.pass(33 * kSecond);
+    rig.net.advance(33 * kSecond);
     EXPECT_EQ(rig.user.unheard, std::vector<std::string>{rig.key});
     EXPECT_GE(rig.user.sent.size(), 9u) << "sent again until then, at intervals up to T2";
     EXPECT_LE(rig.user.sent.size(), 12u);
@@ -223,7 +223,7 @@
     rig.all.request(rig.ask, rig.way);
     rig.all.answer(rig.key, 200, "ok");
     rig.all.acknowledged(rig.key);
-    rig.net.pass(40 * kSecond);
+    rig.net.advance(40 * kSecond);
     EXPECT_EQ(rig.user.sent.size(), 1u);
     EXPECT_TRUE(rig.user.unheard.empty());
 }
