--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -33,7 +33,7 @@
           chance_(seed),
           pace_(net, [this] { pace(); }) {
         socket_ = net.bind(*net::parseEndpoint("127.0.0.1:0"), *this);
-        me_ = net::toString(socket_->at());
+        me_ = net::toString(socket_->endpoint());
         begun_ = net.now();
         pace();
     }
@@ -277,7 +277,7 @@
     } ear;
     const auto socket = s.net.bind(*net::parseEndpoint("127.0.0.1:0"), ear);
     const auto invite = [&](const char* title, int n) {
-        const std::string me = net::toString(socket->at()), id = std::to_string(n);
+        const std::string me = net::toString(socket->endpoint()), id = std::to_string(n);
         return "INVITE sip:" + std::string(title) + "@" + net::toString(s.sip) +
                ";room=open SIP/2.0\r\nVia: SIP/2.0/UDP " + me + ";branch=z9hG4bK" + id +
                "\r\nMax-Forwards: 70\r\nFrom: <sip:f@" + me + ">;tag=f" + id +
@@ -322,7 +322,7 @@
         fakes::ListedBox listed;
         listed.id = i;
         listed.cell = i;
-        listed.at = net::toString(box.at());
+        listed.at = net::toString(box.endpoint());
         listed.kind = "k";
         list.put({listed});
     }
@@ -333,7 +333,7 @@
         "fleet cells=4 links-kb=4000000 link-kb-per-size=1000000 { kind \"k\" places=10000; }\n"
         "sip listen=\"127.0.0.1:0\" min-session=\"10s\" session=\"60s\" hold-every=\"5s\"\n"
         "talk \"t\" holders=4\nlog level=\"error\"\nlist stream=\"" +
-        net::toString(list.at()) + "\" path=\"/boxes?front=a\"\n";
+        net::toString(list.endpoint()) + "\" path=\"/boxes?front=a\"\n";
     front::Front front(net, settings::Document::fromText("site.kdl", site), 5, 1);
     const auto turnUntil = [&](const std::function<bool()>& holds, Micros most) {
         const Micros end = net.now() + most;
@@ -357,7 +357,7 @@
         plan.refreshes = plan.says;
         if (i % 7 == 0) plan.cancelAfter = std::uniform_int_distribution<Micros>(1, 2 * kSecond)(chance);
         ++active;
-        callers.push_back(std::make_unique<fakes::Caller>(net, i, front.sipFrontend()->at(), "a", plan,
+        callers.push_back(std::make_unique<fakes::Caller>(net, i, front.sipFrontend()->endpoint(), "a", plan,
                                                           fakes::NetworkConditions{0.1, 0.05, 800'000},
                                                           chance(), ledger, [&] { --active; }));
         callers.back()->start();
--- a/bench/front.cpp
+++ b/bench/front.cpp
@@ -21,7 +21,7 @@
     Bare(net::EpollNet& net, const net::Endpoint& to) : net_(net), to_(to) {
         listener_ = net.listen(*net::parseEndpoint("127.0.0.1:0"), *this);
     }
-    net::Endpoint at() const { return listener_->at(); }
+    net::Endpoint endpoint() const { return listener_->endpoint(); }
 
   private:
     struct Pair;
@@ -73,7 +73,7 @@
 int bare(const std::string& to, const std::string& portFile) {
     net::EpollNet net(1);
     Bare relay(net, *net::parseEndpoint(to));
-    std::ofstream(portFile) << net::toString(relay.at()) << "\n";
+    std::ofstream(portFile) << net::toString(relay.endpoint()) << "\n";
     net.run();
     return 0;
 }
@@ -207,7 +207,7 @@
             return c.token + std::to_string(c.answers % 90) + ".m4s";
         });
         const std::string port = (s.folder / "bare").string();
-        net::Process relay({self, "--bare", net::toString(s.fleet->box(0).at()), port});
+        net::Process relay({self, "--bare", net::toString(s.fleet->box(0).endpoint()), port});
         const net::Endpoint through = s.waitFor(port);
         int number = 0;
         measure("a bare relay", through, relay, [&number](Client& c) -> std::string {
--- a/bench/front_fixture.hpp
+++ b/bench/front_fixture.hpp
@@ -42,7 +42,7 @@
             fakes::ListedBox listed;
             listed.id = i;
             listed.cell = i;
-            listed.at = net::toString(box.at());
+            listed.at = net::toString(box.endpoint());
             listed.kind = "k";
             list->put({listed});
         }
@@ -57,7 +57,7 @@
             << places
             << "; }\n"
                "list stream=\""
-            << net::toString(list->at())
+            << net::toString(list->endpoint())
             << "\" path=\"/boxes?front=bench\"\n"
                "log level=\"error\"\nadmission "
             << admission
--- a/fuzz/hints.cpp
+++ b/fuzz/hints.cpp
@@ -25,7 +25,7 @@
         if (!write(*dictionary)) std::abort();
     CmsdEntry entry;
     entry.by = "f";
-    if (!parseList(appended(text, entry))) std::abort();
+    if (!parseList(appendEntry(text, entry))) std::abort();
     parseCmsdStatic(text);
     valekeel::logging::parseTraceParent(text);
     return 0;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -46,7 +46,7 @@
         {
             std::ofstream out(portFile + ".new");
             out << net::toString(front.http()) << "\n";
-            if (front.sipFrontend()) out << net::toString(front.sipFrontend()->at()) << "\n";
+            if (front.sipFrontend()) out << net::toString(front.sipFrontend()->endpoint()) << "\n";
         }
         std::filesystem::rename(portFile + ".new", portFile);
     }
@@ -76,7 +76,7 @@
             std::fprintf(stderr, "valekeel: %s\n", e.what());
         }
     });
-    std::fprintf(stderr, "valekeel: front node on %s\n", net::toString(front.at()).c_str());
+    std::fprintf(stderr, "valekeel: front node on %s\n", net::toString(front.endpoint()).c_str());
     real.run();
     log.flush();
     return kDone;
@@ -117,9 +117,9 @@
         discovery::ServerListEntry line;
         line.sfu.id = SfuId{static_cast<std::uint32_t>(id)};
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
-        line.at = box.at();
+        line.at = box.endpoint();
         told.boxes.push_back(line);
-        std::cerr << "valekeel: box " << id << " on " << net::toString(box.at()) << "\n";
+        std::cerr << "valekeel: box " << id << " on " << net::toString(box.endpoint()) << "\n";
     }
     discovery::saveServerList(listFile, told, machines.kinds);
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
@@ -150,9 +150,9 @@
         last = text.str();
         const auto document = settings::Document::fromText(file, last);
         settings::NodeReader top(document);
-        top.one("version");
+        top.optionalChild("version");
         std::vector<fakes::ListedBox> all;
-        for (settings::NodeReader& node : top.each("box")) {
+        for (settings::NodeReader& node : top.childrenNamed("box")) {
             fakes::ListedBox box;
             box.id = static_cast<int>(node.numbers("a box's number", 0, 1e9).front());
             box.at = node.text("at", "");
@@ -161,13 +161,13 @@
             box.kind = node.text("kind", "");
             box.size = node.number("size", 0.001, 1e6, 1);
             box.launchedWall = node.whole("launched-us", 0, 4'000'000'000'000'000, 0);
-            node.finish();
+            node.rejectUnread();
             all.push_back(box);
         }
         server.put(all);
     });
     look.after(0);
-    std::cerr << "valekeel: list on http://" << net::toString(server.at()) << "/boxes\n";
+    std::cerr << "valekeel: list on http://" << net::toString(server.endpoint()) << "/boxes\n";
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
     net.run();
     return kDone;
@@ -254,7 +254,7 @@
     if (!quiet) ways.say = [](const std::string& words) { std::cerr << "drill: " << words << std::endl; };
     fakes::Ledger ledger;
     const simulation::DrillResult result = simulation::drill(day, ways, ledger);
-    if (!quiet || jsonFile.empty()) std::cout << simulation::told(result);
+    if (!quiet || jsonFile.empty()) std::cout << simulation::summary(result);
     if (!jsonFile.empty()) {  // whole or not at all
         std::ofstream(jsonFile + ".new") << simulation::asJson(result);
         std::filesystem::rename(jsonFile + ".new", jsonFile);
@@ -293,7 +293,7 @@
     const auto first = experiment::measuresOf(experiment::Store(here).of(plan.name));
     const auto second =
         against.empty() ? first : experiment::measuresOf(experiment::Store(against).of(plan.name));
-    std::cout << experiment::compared(first, a, second, b.empty() ? a : b);
+    std::cout << experiment::comparisonTable(first, a, second, b.empty() ? a : b);
     return kDone;
 }
 
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -40,30 +40,30 @@
                            const ServerListLimits& limits) {
     const settings::Document document = settings::Document::fromText(file, text);
     if (text.size() > limits.bytes)
-        document.wrong({}, "the list is longer than " + std::to_string(limits.bytes) + " bytes");
+        document.fail({}, "the list is longer than " + std::to_string(limits.bytes) + " bytes");
     settings::NodeReader top(document);
     ServerList out;
-    if (auto version = top.one("version")) {
+    if (auto version = top.optionalChild("version")) {
         const auto number = version->numbers("the version", 0, 9e15);
         out.version = static_cast<std::int64_t>(number.front());
-        version->finish();
+        version->rejectUnread();
     }
     std::set<std::uint32_t> seen;
     const auto placeOf = [](settings::NodeReader& box, const char* what,
                             const std::vector<std::string>& known,
                             const char* title) {  // the first if the line does not say
-        return box.placeOf(what, known, known.empty() ? "" : known.front(), title, "in the settings");
+        return box.indexOf(what, known, known.empty() ? "" : known.front(), title, "in the settings");
     };
-    for (settings::NodeReader& box : top.each("box")) {
+    for (settings::NodeReader& box : top.childrenNamed("box")) {
         if (out.boxes.size() >= limits.boxes)
-            box.wrong("the list names more than " + std::to_string(limits.boxes) + " boxes");
+            box.fail("the list names more than " + std::to_string(limits.boxes) + " boxes");
         ServerListEntry line;
         const auto id = box.numbers("a box's number", 0, 4294967295.0);
         if (id.size() != 1 || id[0] != static_cast<double>(static_cast<std::uint32_t>(id[0])))
-            box.wrong("'box' is followed by one whole number");
+            box.fail("'box' is followed by one whole number");
         line.sfu.id = SfuId{static_cast<std::uint32_t>(id[0])};
         if (!seen.insert(line.sfu.id.v).second)
-            box.wrong("box " + std::to_string(line.sfu.id.v) + " stands here a second time");
+            box.fail("box " + std::to_string(line.sfu.id.v) + " stands here a second time");
         const std::string standing = box.choice("standing", {"on", "fading", "off"}, "on");
         line.sfu.standing = standing == "on"       ? ServerState::On
                             : standing == "fading" ? ServerState::Draining
@@ -77,14 +77,14 @@
         if (box.has("launched")) {
             const std::string launched = box.text("launched", "");
             const auto at = instantOf(launched);
-            if (!at) box.wrongOf("launched", "a time in UTC is expected, as \"2026-12-01T09:00:00Z\"");
+            if (!at) box.failProperty("launched", "a time in UTC is expected, as \"2026-12-01T09:00:00Z\"");
             line.sfu.launched = *at;
         }
         if (box.has("launched-us")) line.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
-        box.finish();
+        box.rejectUnread();
         out.boxes.push_back(line);
     }
-    top.finish();
+    top.rejectUnread();
     return out;
 }
 
--- a/src/evidence/evidence_file.cpp
+++ b/src/evidence/evidence_file.cpp
@@ -17,28 +17,28 @@
     const settings::Document document = settings::Document::fromText(file, text);
     settings::NodeReader top(document);
     EvidenceFile out;
-    settings::NodeReader head = top.need("learnt");
+    settings::NodeReader head = top.requiredChild("learnt");
     const auto version = head.numbers("the version", 0, 1e9);
-    if (version.size() != 1 || version[0] != 1) head.wrong("version 1 is expected");
+    if (version.size() != 1 || version[0] != 1) head.fail("version 1 is expected");
     out.savedAt = head.whole("saved-us", 0, 4'000'000'000'000'000);
-    head.finish();
+    head.rejectUnread();
     std::set<std::uint32_t> seen;
-    for (settings::NodeReader& box : top.each("box")) {
-        if (out.boxes.size() >= most) box.wrong("more than " + std::to_string(most) + " boxes");
+    for (settings::NodeReader& box : top.childrenNamed("box")) {
+        if (out.boxes.size() >= most) box.fail("more than " + std::to_string(most) + " boxes");
         const auto id = box.numbers("a box's number", 0, 4294967295.0);
         if (id.size() != 1 || id[0] != static_cast<double>(static_cast<std::uint32_t>(id[0])) ||
             !seen.insert(static_cast<std::uint32_t>(id[0])).second)
-            box.wrong("'box' is followed by one whole number of its own");
+            box.fail("'box' is followed by one whole number of its own");
         EvidenceEntry one;
         one.what.id = SfuId{static_cast<std::uint32_t>(id[0])};
         one.launched = box.whole("launched-us", 0, 4'000'000'000'000'000, 0);
         one.what.evidence = box.number("evidence", -100, 100, 0);
         if (box.has("link-use")) one.what.linkUse = box.number("link-use", 0, 100);
         one.what.age = box.time("age", 0, kDay, 0);
-        box.finish();
+        box.rejectUnread();
         out.boxes.push_back(one);
     }
-    top.finish();
+    top.rejectUnread();
     return out;
 }
 
--- a/src/experiment/experiment.cpp
+++ b/src/experiment/experiment.cpp
@@ -255,8 +255,8 @@
     }
 }
 
-std::string compared(const Measures& a, const std::string& caseA, const Measures& b,
-                     const std::string& caseB) {
+std::string comparisonTable(const Measures& a, const std::string& caseA, const Measures& b,
+                            const std::string& caseB) {
     const auto ia = a.find(caseA);
     const auto ib = b.find(caseB);
     if (ia == a.end() || ib == b.end())
--- a/src/experiment/experiment.hpp
+++ b/src/experiment/experiment.hpp
@@ -26,7 +26,7 @@
 void report(const Plan&, const ExperimentOptions&);
 
 // What two cases, or one case in two stores, differ in: a line for each measure, those that differ first.
-std::string compared(const Measures& a, const std::string& caseA, const Measures& b,
-                     const std::string& caseB);
+std::string comparisonTable(const Measures& a, const std::string& caseA, const Measures& b,
+                            const std::string& caseB);
 
 }  // namespace valekeel::experiment
--- a/src/experiment/plan.cpp
+++ b/src/experiment/plan.cpp
@@ -12,24 +12,24 @@
     Factor f;
     f.name = node.argument("its name");
     if (node.has("set")) f.sets.push_back(node.text("set"));
-    for (NodeReader& one : node.each("set")) {
+    for (NodeReader& one : node.childrenNamed("set")) {
         f.sets.push_back(one.argument("a setting, as \"audience@rate\""));
-        one.finish();
+        one.rejectUnread();
     }
-    if (f.sets.empty()) node.wrong("a factor is expected to set something: set=\"audience@rate\"");
-    for (NodeReader& one : node.each("level")) {
+    if (f.sets.empty()) node.fail("a factor is expected to set something: set=\"audience@rate\"");
+    for (NodeReader& one : node.childrenNamed("level")) {
         Level level;
         level.name = one.text("as", "");
         level.values = one.asWritten();
         if (level.values.size() != f.sets.size())
-            one.wrong("as many values are expected as the factor has settings: " +
-                      std::to_string(f.sets.size()));
+            one.fail("as many values are expected as the factor has settings: " +
+                     std::to_string(f.sets.size()));
         if (level.name.empty()) level.name = level.values.front();
-        one.finish();
+        one.rejectUnread();
         f.levels.push_back(level);
     }
-    if (f.levels.empty()) node.wrong("a factor is expected to have levels");
-    node.finish();
+    if (f.levels.empty()) node.fail("a factor is expected to have levels");
+    node.rejectUnread();
     return f;
 }
 
@@ -38,38 +38,38 @@
 Plan readPlan(const settings::Document& document) {
     Plan p;
     NodeReader top(document);
-    NodeReader head = top.need("experiment");
+    NodeReader head = top.requiredChild("experiment");
     p.name = head.argument("its name");
-    if (p.name.empty() || p.name.find('/') != std::string::npos) head.wrong("a name without '/' is expected");
+    if (p.name.empty() || p.name.find('/') != std::string::npos) head.fail("a name without '/' is expected");
     p.atOnce = static_cast<int>(head.whole("at-once", 1, 64, 1));
     p.real = head.flag("real", false);
     p.decisions = head.choice("decisions", {"", "random", "least-load"}, "");
-    head.finish();
-    for (NodeReader& node : top.each("day")) {
+    head.rejectUnread();
+    for (NodeReader& node : top.childrenNamed("day")) {
         p.days.push_back(node.argument("a day's file"));
-        node.finish();
+        node.rejectUnread();
     }
-    if (p.days.empty()) top.wrong("at least one 'day' is expected");
-    for (NodeReader& node : top.each("factor")) p.factors.push_back(readFactor(node));
-    NodeReader seeds = top.need("seeds");
+    if (p.days.empty()) top.fail("at least one 'day' is expected");
+    for (NodeReader& node : top.childrenNamed("factor")) p.factors.push_back(readFactor(node));
+    NodeReader seeds = top.requiredChild("seeds");
     for (const double s : seeds.numbers("seeds", 0, 1e9)) p.seeds.push_back(static_cast<std::uint64_t>(s));
-    if (p.seeds.empty()) seeds.wrong("at least one seed is expected");
-    seeds.finish();
-    if (auto node = top.one("show")) {
+    if (p.seeds.empty()) seeds.fail("at least one seed is expected");
+    seeds.rejectUnread();
+    if (auto node = top.optionalChild("show")) {
         p.shows = node->texts("measures");
-        node->finish();
+        node->rejectUnread();
     }
-    for (NodeReader& node : top.each("chart")) {
+    for (NodeReader& node : top.childrenNamed("chart")) {
         ChartWanted c;
         c.over = node.text("over");
         c.measures = node.texts("measures");
         if (std::none_of(p.factors.begin(), p.factors.end(),
                          [&](const Factor& f) { return f.name == c.over; }))
-            node.wrongOf("over", "'" + c.over + "' is none of the factors");
-        node.finish();
+            node.failProperty("over", "'" + c.over + "' is none of the factors");
+        node.rejectUnread();
         p.charts.push_back(c);
     }
-    top.finish();
+    top.rejectUnread();
     return p;
 }
 
--- a/src/fakes/box.cpp
+++ b/src/fakes/box.cpp
@@ -120,7 +120,7 @@
     http::HttpLimits limits;
     limits.idleFor = 30 * kSecond;
     server_ = std::make_unique<http::Server>(fleet_.net_, at_, limits, *this);
-    at_ = server_->at();
+    at_ = server_->endpoint();
     startedAt_ = fleet_.net_.now();
     cold_ = cold;
     arrivals_.clear();
--- a/src/fakes/box.hpp
+++ b/src/fakes/box.hpp
@@ -55,7 +55,7 @@
     int rack() const { return rack_; }
     double linkKb() const { return linkKb_; }
     int places() const { return places_; }
-    net::Endpoint at() const { return at_; }
+    net::Endpoint endpoint() const { return at_; }
     BoxFaults trouble;
     bool unpaced = false;  // segments come as fast as the socket takes them
     bool up() const { return server_ != nullptr; }
--- a/src/fakes/caller.cpp
+++ b/src/fakes/caller.cpp
@@ -101,7 +101,7 @@
 
 std::string Caller::request(const std::string& method, std::uint32_t cseq, const std::string& branch,
                             const std::string& more, const std::string& body, bool inDialog) {
-    const std::string me = net::toString(socket_->at());
+    const std::string me = net::toString(socket_->endpoint());
     const std::string uri = inDialog
                                 ? "sip:" + net::toString(front_)
                                 : "sip:" + plan_.title + "@" + net::toString(front_) + ";room=" + plan_.room;
--- a/src/fakes/list_server.hpp
+++ b/src/fakes/list_server.hpp
@@ -27,7 +27,7 @@
   public:
     ListServer(net::Net&, const net::Endpoint&, Ledger&);
     ~ListServer() override;
-    net::Endpoint at() const { return server_->at(); }
+    net::Endpoint endpoint() const { return server_->endpoint(); }
     void put(const std::vector<ListedBox>&);  // changes; told to all that follow
     // ---- faults ----
     Micros late = 0;         // each event goes out so much later
--- a/src/fakes/platform.hpp
+++ b/src/fakes/platform.hpp
@@ -54,7 +54,7 @@
 class PlatformServer final : private net::ListenerHandler {
   public:
     PlatformServer(net::Net&, const net::Endpoint&);
-    net::Endpoint at() const { return listener_->at(); }
+    net::Endpoint endpoint() const { return listener_->endpoint(); }
     std::function<SetupReaction(const std::string& tag)> does = [](const std::string&) {
         return SetupReaction::Plays;
     };
@@ -89,7 +89,7 @@
 class PlatformChangeLog final : private net::ListenerHandler, private net::StreamHandler {
   public:
     PlatformChangeLog(net::Net&, const net::Endpoint&);
-    net::Endpoint at() const { return listener_->at(); }
+    net::Endpoint endpoint() const { return listener_->endpoint(); }
     struct Box {
         std::uint32_t id;
         net::Endpoint at;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -57,7 +57,7 @@
 };
 
 void readWire(NodeReader& top, Told& t) {
-    if (auto node = top.one("http")) {
+    if (auto node = top.optionalChild("http")) {
         t.http = node->address("listen");
         http::HttpLimits& w = t.wire;
         w.headBytes = static_cast<std::uint32_t>(node->whole("head-bytes", 1'024, 1'000'000, w.headBytes));
@@ -69,19 +69,19 @@
         w.idleFor = node->time("idle-for", 100'000, kHour, w.idleFor);
         w.stalledFor = node->time("stalled-for", 100'000, kHour, w.stalledFor);
         w.connections = static_cast<std::uint32_t>(node->whole("connections", 1, 10'000'000, w.connections));
-        node->finish();
+        node->rejectUnread();
     } else {
-        top.wrong("a node 'http' is expected: http listen=\"127.0.0.1:8080\"");
+        top.fail("a node 'http' is expected: http listen=\"127.0.0.1:8080\"");
     }
     {
-        NodeReader node = top.here("hints");
+        NodeReader node = top.childOrDefaults("hints");
         t.hints.fieldBytes = static_cast<std::size_t>(node.whole("field-bytes", 64, 100'000, 4'096));
         t.hints.keys = static_cast<std::size_t>(node.whole("keys", 1, 1'000, 64));
         t.hints.customBytes = static_cast<std::size_t>(node.whole("custom-bytes", 1, 10'000, 128));
-        node.finish();
+        node.rejectUnread();
     }
     {
-        NodeReader node = top.here("viewers");
+        NodeReader node = top.childOrDefaults("viewers");
         frontends::HttpFrontendSettings& v = t.terms;
         v.window.ahead = node.time("ahead", 0, kHour, v.window.ahead);
         v.window.behind = node.time("behind", 0, kHour, v.window.behind);
@@ -96,13 +96,13 @@
         t.core.subs = static_cast<std::size_t>(node.whole("at-most", 1, 10'000'000, 100'000));
         t.core.answerMargin = node.time("answer-margin", 1'000, kSecond, t.core.answerMargin);
         t.deliveryWindow = node.time("delivery-window", 100'000, 60 * kSecond, t.deliveryWindow);
-        node.finish();
+        node.rejectUnread();
     }
     for (const Micros timeout : t.rooms.clientTimeouts)
         if (timeout <= 2 * t.core.answerMargin)
-            top.wrong("a client timeout of a room type is expected to be over twice viewers answer-margin=");
+            top.fail("a client timeout of a room type is expected to be over twice viewers answer-margin=");
     {
-        NodeReader node = top.here("boxes");
+        NodeReader node = top.childOrDefaults("boxes");
         upstream::UpstreamLimits& b = t.boxes;
         b.connections = static_cast<std::size_t>(node.whole("connections", 1, 100'000, 256));
         b.waiting = static_cast<std::size_t>(node.whole("waiting", 0, 1'000'000, 1'024));
@@ -111,13 +111,13 @@
         b.sureFor = node.time("sure-for", 0, kHour, b.sureFor);
         b.releases = static_cast<std::size_t>(node.whole("releases", 1, 10'000'000, b.releases));
         b.releaseTries = static_cast<int>(node.whole("release-tries", 1, 100, b.releaseTries));
-        node.finish();
+        node.rejectUnread();
     }
     t.core.reportEvery = t.tidings.every;
 }
 
 void readSip(NodeReader& top, Told& t) {
-    auto node = top.one("sip");
+    auto node = top.optionalChild("sip");
     if (!node) return;
     t.sip = node->address("listen");
     frontends::SipFrontendSettings& s = t.sipTerms;
@@ -141,27 +141,27 @@
     s.overload.targetUnread = node->time("target-unread", 1'000, 10 * kSecond, s.overload.targetUnread);
     s.overload.every = node->time("look-every", 10'000, 10 * kSecond, s.overload.every);
     s.overload.ratePerSecond = node->number("rate", 1, 1e6, s.overload.ratePerSecond);
-    node->finish();
+    node->rejectUnread();
 }
 
 void readList(NodeReader& top, Told& t) {
-    NodeReader node = top.need("list");
+    NodeReader node = top.requiredChild("list");
     t.listFile = node.text("file", "");
     if (node.has("stream")) t.listAt = node.address("stream");
     t.listPath = node.text("path", "/boxes");
     if (t.listFile.empty() == !t.listAt)
-        node.wrong("'list' is expected to have either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\"");
+        node.fail("'list' is expected to have either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\"");
     t.listKept = node.text("keep", "");
     t.listTimes.lookEvery = node.time("look-every", 1'000, kHour, t.listTimes.lookEvery);
     t.listTimes.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, t.listTimes.connectWithin);
     t.listTimes.silentFor = node.time("silent-for", 100'000, kHour, t.listTimes.silentFor);
     t.listLimits.boxes = static_cast<std::size_t>(node.whole("boxes", 1, 1'000'000, 4'096));
     t.listLimits.bytes = static_cast<std::size_t>(node.whole("bytes", 1'024, 100'000'000, 1'000'000));
-    node.finish();
+    node.rejectUnread();
 }
 
 void readAdmission(NodeReader& top, Told& t) {
-    NodeReader node = top.here("admission");
+    NodeReader node = top.childOrDefaults("admission");
     t.gateBound.most = static_cast<std::size_t>(node.whole("waiting", 1, 1'000'000, 1'000));
     t.gateBound.least = static_cast<std::size_t>(node.whole("waiting-least", 1, 1'000'000, 64));
     t.gateBound.target = node.time("target-wait", 0, kHour, t.gateBound.target);
@@ -177,36 +177,36 @@
     t.gateConnections = static_cast<std::size_t>(node.whole("connections-each", 1, 1'000'000, 2'000));
     t.prefix4 = static_cast<int>(node.whole("prefix4", 1, 32, 24));
     t.prefix6 = static_cast<int>(node.whole("prefix6", 1, 128, 56));
-    for (NodeReader& network : node.each("network")) {
+    for (NodeReader& network : node.childrenNamed("network")) {
         const std::string text = network.argument("its prefix");
         const auto prefix = admission::prefixOf(text);
         if (!prefix)
-            network.wrong(
+            network.fail(
                 "a network is expected as \"10.1.0.0/16\" or \"2001:db8::/32\", with no bits behind its "
                 "length");
         t.networks.emplace_back(*prefix, network.text("member"));
-        network.finish();
+        network.rejectUnread();
     }
-    node.finish();
+    node.rejectUnread();
 }
 
 Told readAll(const settings::Document& document) {
     Told t;
     NodeReader top(document);
-    NodeReader front = top.need("front");
+    NodeReader front = top.requiredChild("front");
     t.name = front.argument("its name");
     if (t.name.empty() || t.name.size() > 64 ||
         t.name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
             std::string::npos)
-        front.wrong("a front's name is of letters, digits, '-' and '_', 64 at most");
+        front.fail("a front's name is of letters, digits, '-' and '_', 64 at most");
     t.fronts = static_cast<int>(front.whole("fronts", 1, 100'000, 1));
     t.stopWithin = front.time("stop-within", 0, kHour, t.stopWithin);
     t.ladder = settings::readLadder(top);
     t.rooms = settings::readRoomTypes(top, t.ladder);
     t.machines = settings::readMachines(top);
     t.machines.fleet.zone =
-        ZoneId{front.placeOf("zone", t.machines.zones, "", "a zone", "among those of 'fleet'")};
-    front.finish();
+        ZoneId{front.indexOf("zone", t.machines.zones, "", "a zone", "among those of 'fleet'")};
+    front.rejectUnread();
     t.cold = settings::readColdStartLimits(top);
     t.budget = settings::readJoinBudget(top);
     t.tidings = settings::readReportTiming(top);
@@ -218,18 +218,18 @@
     readList(top, t);
     readAdmission(top, t);
     {
-        NodeReader node = top.here("learnt");
+        NodeReader node = top.childOrDefaults("learnt");
         t.learntFile = node.text("file", "");
         t.learntEvery = node.time("every", 100'000, kHour, t.learntEvery);
         t.learntFor = node.time("keep-for", 0, kHour, t.learntFor);
-        node.finish();
+        node.rejectUnread();
     }
-    NodeReader log = top.here("log");
+    NodeReader log = top.childOrDefaults("log");
     t.logFile = log.text("file", "-");
     t.logLevel = logging::parseLevel(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
     t.logWarnings = static_cast<int>(log.whole("warnings-a-second", 1, 100'000, 20));
-    log.finish();
-    top.finish();
+    log.rejectUnread();
+    top.rejectUnread();
     return t;
 }
 
@@ -302,7 +302,7 @@
         flushing.after(kSecond);
         if (!told.learntFile.empty()) keeping.after(told.learntEvery);
         line(logging::Level::Info, "started",
-             {{"front", told.name}, {"http", net::toString(face->at())}, {"seed", seed}});
+             {{"front", told.name}, {"http", net::toString(face->endpoint())}, {"seed", seed}});
     }
 
     void line(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
@@ -519,7 +519,7 @@
 }
 
 net::Endpoint Front::http() const {
-    return parts_->face->at();
+    return parts_->face->endpoint();
 }
 frontends::HttpFrontend& Front::httpFrontend() {
     return *parts_->face;
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -134,7 +134,7 @@
                 if (!value.empty()) fields.add(hints::kCmcdHeaders[i], value);
             }
             logging::TraceContext trace = viewer->trace;
-            trace.parent = logging::hex64(face_.net_.randomBits() | 1);
+            trace.parent = logging::toHex(face_.net_.randomBits() | 1);
             fields.add("traceparent", logging::write(trace));
         }
         if (range)
@@ -514,7 +514,7 @@
     }
     auto made = std::make_unique<Viewer>(terms_.window);
     Viewer& viewer = *made;
-    viewer.token = logging::hex64(net_.randomBits()) + logging::hex64(net_.randomBits());
+    viewer.token = logging::toHex(net_.randomBits()) + logging::toHex(net_.randomBits());
     viewer.sidKey = sidKey;
     viewer.title = title;
     viewer.sub = *id;
@@ -632,7 +632,7 @@
     if (viewer.delivered) entry.etp = *viewer.delivered;
     if (toHead) entry.rd = *toHead / 1000;
     entry.du = gate_.pendingCount() * 2 > gate_.limit();
-    fields.add("CMSD-Dynamic", hints::appended(standingDynamic, entry));
+    fields.add("CMSD-Dynamic", hints::appendEntry(standingDynamic, entry));
     fields.add("traceparent", logging::write(viewer.trace));
     return fields;
 }
@@ -742,7 +742,7 @@
         if (!value.empty()) words.fields.add(hints::kCmcdHeaders[i], value);
     }
     logging::TraceContext trace = viewer->trace;
-    trace.parent = logging::hex64(net_.randomBits() | 1);
+    trace.parent = logging::toHex(net_.randomBits() | 1);
     words.fields.add("traceparent", logging::write(trace));
     return words;
 }
--- a/src/frontends/http/http_frontend.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -43,7 +43,7 @@
                  const HttpFrontendSettings&, const hints::HintLimits&);
     ~HttpFrontend() override;
 
-    net::Endpoint at() const { return server_->at(); }
+    net::Endpoint endpoint() const { return server_->endpoint(); }
     // Nothing new is taken from now on; what plays goes on.
     void stopAccepting() { stopping_ = true; }
     // Ends what plays, and calls back when all is said.
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -214,7 +214,7 @@
     for (int left = at.port == 0 ? 16 : 1; !listener_; --left) {
         datagrams_ = net_.bind(at, *this);
         try {
-            listener_ = net_.listen(datagrams_->at(), *this);
+            listener_ = net_.listen(datagrams_->endpoint(), *this);
         } catch (const std::runtime_error&) {
             if (left <= 1) throw;
         }
@@ -318,14 +318,14 @@
     std::vector<std::pair<std::string, std::string>> more;
     if (retryAfter > 0) more.emplace_back("Retry-After", ceilToSeconds(retryAfter));
     sendTo(way, sip::response(withControl(m), status,
-                              logging::hex64(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more,
+                              logging::toHex(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more,
                               "", &way.peer));
 }
 
 void SipFrontend::reply(const std::string& key, const sip::Message& m, int status,
                         std::vector<std::pair<std::string, std::string>> more, const std::string& body) {
     const auto call = byKey_.find(key);
-    const std::string tag = call != byKey_.end() ? call->second->localTag : logging::hex64(net_.randomBits());
+    const std::string tag = call != byKey_.end() ? call->second->localTag : logging::toHex(net_.randomBits());
     const net::Endpoint* from = call != byKey_.end() ? &call->second->way.peer : nullptr;
     transactions_.answer(key, status, sip::response(withControl(m), status, tag, more, body, from));
 }
@@ -416,7 +416,7 @@
                 ? std::string()
                 : std::string(g.via.substr(at + 9, g.via.find(';', at + 9) - at - 9)));
     }
-    sendTo(way, sip::refusal(g, "503 Service Unavailable", logging::hex64(name ^ salt_), more,
+    sendTo(way, sip::refusal(g, "503 Service Unavailable", logging::toHex(name ^ salt_), more,
                              static_cast<long>((terms_.retryWhenFull + kSecond - 1) / kSecond), way.peer));
     return true;
 }
@@ -473,7 +473,7 @@
     Call& call = *made;
     call.sub = *id;
     call.key = key;
-    call.localTag = logging::hex64(net_.randomBits());
+    call.localTag = logging::toHex(net_.randomBits());
     call.dialog = m.callId + "|" + call.localTag + "|" + m.from.tag;
     call.title = m.user;
     call.way = way;
@@ -578,12 +578,12 @@
     const net::Endpoint* at = boxes_.addressOf(call.at);
     const RoomType& type = rooms_.types[call.room.v];
     const double kb = ladder_.kb[static_cast<std::size_t>(call.rung)] * type.rateFactor;
-    return sip::writeAnswer(call.offer, at ? *at : datagrams_->at(),
+    return sip::writeAnswer(call.offer, at ? *at : datagrams_->endpoint(),
                             static_cast<std::uint64_t>(std::llround(kb * 8'000)), call.session, call.version);
 }
 
 std::vector<std::pair<std::string, std::string>> SipFrontend::dialogFields(const Call& call) const {
-    return {{"Contact", "<sip:" + name_ + "@" + net::toString(datagrams_->at()) + ">"},
+    return {{"Contact", "<sip:" + name_ + "@" + net::toString(datagrams_->endpoint()) + ">"},
             {"Allow", kAllow},
             {"Supported", "timer"},
             {"Session-Expires",
@@ -650,11 +650,11 @@
 // ================= within a dialog =================
 
 void SipFrontend::sendInDialog(Call& call, const char* method, const std::string& body) {
-    const std::string branch = "z9hG4bK" + logging::hex64(net_.randomBits());
+    const std::string branch = "z9hG4bK" + logging::toHex(net_.randomBits());
     const sip::Message& m = call.invite;
     std::string text = std::string(method) + " " + sip::headerSafe(call.target) +
                        " SIP/2.0\r\nVia: SIP/2.0/" + (call.way.stream ? "TCP " : "UDP ") +
-                       net::toString(datagrams_->at()) + ";branch=" + branch +
+                       net::toString(datagrams_->endpoint()) + ";branch=" + branch +
                        ";rport\r\nMax-Forwards: 70\r\n";
     for (const std::string& route : m.recordRoutes) text += "Route: " + sip::headerSafe(route) + "\r\n";
     text += "From: " + sip::headerSafe(m.to.written) + ";tag=" + call.localTag +
@@ -726,9 +726,9 @@
     words.room = rooms_.types[call->room.v].name;
     // A front that was started again knows nothing of this INVITE, and its copies go on coming: the box must
     // tell that it began this very one already.
-    if (rooms_.types[call->room.v].paid) words.once = logging::hex64(hashOf(call->key, 0));
+    if (rooms_.types[call->room.v].paid) words.once = logging::toHex(hashOf(call->key, 0));
     logging::TraceContext trace = call->trace;
-    trace.parent = logging::hex64(net_.randomBits() | 1);
+    trace.parent = logging::toHex(net_.randomBits() | 1);
     words.fields.add("traceparent", logging::write(trace));
     return words;
 }
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -52,7 +52,7 @@
     // Listens for datagrams and streams at the same place.
     SipFrontend(const FrontendContext&, const net::Endpoint&, const SipFrontendSettings&, std::uint64_t seed);
     ~SipFrontend() override;
-    net::Endpoint at() const { return datagrams_->at(); }
+    net::Endpoint endpoint() const { return datagrams_->endpoint(); }
     void stopAccepting() { stopping_ = true; }
     void finishUp();  // BYE to all that play
     std::size_t calls() const { return calls_.size(); }
--- a/src/hints/cmsd.cpp
+++ b/src/hints/cmsd.cpp
@@ -83,7 +83,7 @@
     return write(out).value_or("");
 }
 
-std::string appended(std::string_view standing, const CmsdEntry& entry) {
+std::string appendEntry(std::string_view standing, const CmsdEntry& entry) {
     List list = parseList(standing).value_or(List{});
     Item item{entry.by, {}};
     if (entry.etp) item.params.set("etp", *entry.etp);
@@ -96,7 +96,7 @@
     return write(list).value_or("");
 }
 
-std::optional<double> figure(const CmsdEntry& entry, std::string_view key) {
+std::optional<double> customNumber(const CmsdEntry& entry, std::string_view key) {
     const Bare* value = entry.custom.find(key);
     if (!value) return std::nullopt;
     if (const auto* d = std::get_if<Decimal>(value); d && d->thousandths >= 0) return d->value();
--- a/src/hints/cmsd.hpp
+++ b/src/hints/cmsd.hpp
@@ -32,11 +32,11 @@
 std::vector<CmsdEntry> parseCmsdDynamic(std::string_view, bool* broken = nullptr);
 std::string write(const CmsdStatic&);
 // Appended behind what stands there already, which is kept as it came if it is sound, and dropped if not.
-std::string appended(std::string_view standing, const CmsdEntry&);
+std::string appendEntry(std::string_view standing, const CmsdEntry&);
 
 // Custom keys of boxes of this house: use of their link and uplink, asked over given.
 inline constexpr std::string_view kLinkUseKey = "org.valekeel-lu";
 inline constexpr std::string_view kUplinkUseKey = "org.valekeel-uu";
-std::optional<double> figure(const CmsdEntry&, std::string_view key);
+std::optional<double> customNumber(const CmsdEntry&, std::string_view key);
 
 }  // namespace valekeel::hints
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-Read<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& limits) {
+ParseResult<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& limits) {
     MediaPlaylist out;
     Segment next;
     int map = -1;
@@ -155,7 +155,7 @@
     return {std::move(out), ""};
 }
 
-Read<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& limits) {
+ParseResult<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& limits) {
     Multivariant out;
     std::optional<Variant> next;
     const std::string why = lines(text, limits, [&](std::string_view line) -> std::string {
--- a/src/hls/playlist.hpp
+++ b/src/hls/playlist.hpp
@@ -55,12 +55,12 @@
 
 // Nothing, with why, if it is none: the first line, a needed tag or a number is missing or broken.
 template <class What>
-struct Read {
+struct ParseResult {
     std::optional<What> got;
     std::string why;
 };
-Read<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& = {});
-Read<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& = {});
+ParseResult<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& = {});
+ParseResult<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& = {});
 std::string write(const MediaPlaylist&);
 std::string write(const Multivariant&);
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -306,7 +306,7 @@
 Server::Server(net::Net& net, const net::Endpoint& at, const HttpLimits& limits, Handler& handler)
     : net_(net), limits_(limits), handler_(handler), bury_(net, [this] { dead_.clear(); }) {
     listener_ = net_.listen(at, *this);
-    at_ = listener_->at();
+    at_ = listener_->endpoint();
 }
 Server::~Server() = default;
 
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -59,7 +59,7 @@
     // Throws std::runtime_error if it can't listen there.
     Server(net::Net&, const net::Endpoint&, const HttpLimits&, Handler&);
     ~Server() override;
-    net::Endpoint at() const { return at_; }
+    net::Endpoint endpoint() const { return at_; }
     std::size_t connections() const { return open_.size(); }
     void stopListening() { listener_.reset(); }
     // No new requests; connections close as their answers are done. `idle` is called when none is left.
--- a/src/logging/trace_context.cpp
+++ b/src/logging/trace_context.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-std::string hex64(std::uint64_t v) {
+std::string toHex(std::uint64_t v) {
     static constexpr char kHex[] = "0123456789abcdef";
     std::string out(16, '0');
     for (std::size_t i = 16; i-- > 0; v >>= 4) out[i] = kHex[v & 15];
@@ -38,13 +38,13 @@
 }
 
 std::string write(const TraceContext& c) {
-    return "00-" + c.trace + "-" + c.parent + "-" + hex64(c.flags).substr(14);
+    return "00-" + c.trace + "-" + c.parent + "-" + toHex(c.flags).substr(14);
 }
 
 TraceContext newTrace(std::uint64_t a, std::uint64_t b, std::uint64_t c) {
     if (a == 0 && b == 0) a = 1;
     if (c == 0) c = 1;
-    return {hex64(a) + hex64(b), hex64(c), 1};
+    return {toHex(a) + toHex(b), toHex(c), 1};
 }
 
 }  // namespace valekeel::logging
--- a/src/logging/trace_context.hpp
+++ b/src/logging/trace_context.hpp
@@ -17,7 +17,7 @@
 // Of a "traceparent" header; nothing if it is broken or all zero (section 3.2.2): then a new one is begun.
 std::optional<TraceContext> parseTraceParent(std::string_view);
 std::string write(const TraceContext&);
-std::string hex64(std::uint64_t);
+std::string toHex(std::uint64_t);
 TraceContext newTrace(std::uint64_t a, std::uint64_t b, std::uint64_t c);
 
 }  // namespace valekeel::logging
--- a/src/net/epoll.cpp
+++ b/src/net/epoll.cpp
@@ -212,7 +212,7 @@
         net_.leave(ticket_, fd_);
         ::close(fd_);
     }
-    Endpoint at() const override { return at_; }
+    Endpoint endpoint() const override { return at_; }
     void acceptPending() override { takeAll(); }
 
   private:
@@ -269,7 +269,7 @@
         net_.leave(ticket_, fd_);
         ::close(fd_);
     }
-    Endpoint at() const override { return at_; }
+    Endpoint endpoint() const override { return at_; }
     void send(const Endpoint& to, std::string_view bytes) override {
         sockaddr_storage raw;
         const socklen_t size = toRaw(to, raw);
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -63,7 +63,7 @@
 class Listener {
   public:
     virtual ~Listener() = default;
-    virtual Endpoint at() const = 0;
+    virtual Endpoint endpoint() const = 0;
     // Hands out all that already wait in the kernel: deleting a listener resets those.
     virtual void acceptPending() {}
 };
@@ -78,7 +78,7 @@
 class Datagrams {
   public:
     virtual ~Datagrams() = default;
-    virtual Endpoint at() const = 0;
+    virtual Endpoint endpoint() const = 0;
     virtual void send(const Endpoint& to, std::string_view bytes) = 0;
     // How long the one that is being handed out lay unread, as far as is known.
     virtual Micros queueingDelay() const { return 0; }
--- a/src/net/virtual.cpp
+++ b/src/net/virtual.cpp
@@ -128,7 +128,7 @@
         world.listeners_[at] = this;
     }
     ~ListenerHere() override { world.listeners_.erase(place); }
-    Endpoint at() const override { return place; }
+    Endpoint endpoint() const override { return place; }
     VirtualWorld& world;
     VirtualNode& node;
     Endpoint place;
@@ -142,7 +142,7 @@
         world.datagrams_[at] = this;
     }
     ~DatagramsHere() override { world.datagrams_.erase(place); }
-    Endpoint at() const override { return place; }
+    Endpoint endpoint() const override { return place; }
     void send(const Endpoint& to, std::string_view bytes) override {
         const auto it = world.datagrams_.find(to);
         if (it == world.datagrams_.end()) return;
--- a/src/net/virtual.hpp
+++ b/src/net/virtual.hpp
@@ -40,7 +40,7 @@
     // Nothing reaches it and no timer fires until it goes on; then all that waited comes at once.
     void pause() { stands_ = true; }
     void resume();
-    bool stands() const { return stands_; }
+    bool isPaused() const { return stands_; }
     // While set, what is deleted here resets: for the end of a process that had no time to say goodbye.
     bool crashing = false;
     Micros wallSkew = 0;  // of its wall clock
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -37,7 +37,7 @@
 constexpr Micros kStopLook = 20'000;
 constexpr int kQuietLooks = 3;  // on end, at which nothing had come since the one before
 
-net::Endpoint endpoint(const Json& object, const char* key, const std::string& where) {
+net::Endpoint endpointAt(const Json& object, const char* key, const std::string& where) {
     const std::string told = setup::text(object, key, where);
     if (const auto at = net::parseEndpoint(told)) return *at;
     setup::throwInvalid(where,
@@ -46,7 +46,7 @@
 
 // Where it is to connect to; nobody can be at port 0.
 net::Endpoint changeLogOf(const Json& all, const std::string& file) {
-    const net::Endpoint at = endpoint(all, "changelog", file);
+    const net::Endpoint at = endpointAt(all, "changelog", file);
     if (at.port == 0)
         setup::throwInvalid(
             file, "'changelog' is '" + net::toString(at) + "', and should be an address and a port");
@@ -150,7 +150,7 @@
           killed(std::min(kMostCounted, longestTimeout(settings, where)) + kStopComing),
           changelogAt(changeLogOf(all, file)),
           known(knownEvents(partOf(all, "known", file), listNames)),
-          viewers(net, endpoint(all, "listen", file), viewerLimits(settings, descriptors(all, file), where),
+          viewers(net, endpointAt(all, "listen", file), viewerLimits(settings, descriptors(all, file), where),
                   askedOf(settings, where)),
           servers(net, serverLimits(settings, descriptors(all, file), where), viewers),
           core(net, setup::parseRoomTypes(settings, setup::parseLadder(settings, where), where),
@@ -383,8 +383,8 @@
     : parts_(std::make_unique<Parts>(net, file, readConfiguration(file, text), log)) {}
 Node::~Node() = default;
 
-net::Endpoint Node::at() const {
-    return parts_->viewers.at();
+net::Endpoint Node::endpoint() const {
+    return parts_->viewers.endpoint();
 }
 
 std::size_t Node::remembered() const {
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -20,7 +20,7 @@
     // Throws setup::Bad before anything is started, std::runtime_error if the address can't be had.
     Node(net::Net&, const std::string& file, const std::string& text, logging::Log&);
     ~Node();
-    net::Endpoint at() const;
+    net::Endpoint endpoint() const;
     // The configuration was replaced. One that can't be read is passed over: the one held applies.
     void reread(const std::string& text);
     // Entries in all tables that grow with what viewers do, and connections: for tests of what is left over.
--- a/src/node/viewers.cpp
+++ b/src/node/viewers.cpp
@@ -152,7 +152,7 @@
 
 void Viewers::listen() {
     listener_ = net_.listen(where_, *this);
-    at_ = listener_->at();
+    at_ = listener_->endpoint();
     tidyTimer_.after(kTidyEvery);
 }
 
--- a/src/node/viewers.hpp
+++ b/src/node/viewers.hpp
@@ -60,7 +60,7 @@
         servers_ = &servers;
     }
     void listen();
-    net::Endpoint at() const { return at_; }
+    net::Endpoint endpoint() const { return at_; }
     void forget(SubId);  // the core holds it no more
     // The steps of this front's end. What plays is released, to its viewer and at its media server, which has
     // its usual time to confirm; from then on set-ups are refused.
--- a/src/settings/document.cpp
+++ b/src/settings/document.cpp
@@ -107,7 +107,7 @@
     return fromText(path, readFile(path));
 }
 
-void Document::wrong(SourcePosition at, const std::string& what) const {
+void Document::fail(SourcePosition at, const std::string& what) const {
     throw SettingsError(file_, text_, at, what);
 }
 
@@ -138,17 +138,17 @@
     return node_ ? node_->name : kTop;
 }
 
-void NodeReader::wrong(const std::string& what) const {
-    document_->wrong(node_ ? node_->at : SourcePosition{}, what);
+void NodeReader::fail(const std::string& what) const {
+    document_->fail(node_ ? node_->at : SourcePosition{}, what);
 }
-void NodeReader::wrongOf(std::string_view property, const std::string& what) const {
+void NodeReader::failProperty(std::string_view property, const std::string& what) const {
     if (node_)
         for (const auto& [name, value] : node_->properties)
-            if (name == property) document_->wrong(value.at, what);
-    wrong(what);
+            if (name == property) document_->fail(value.at, what);
+    fail(what);
 }
 
-std::vector<NodeReader> NodeReader::each(std::string_view name) {
+std::vector<NodeReader> NodeReader::childrenNamed(std::string_view name) {
     askedNodes_.emplace(name);
     std::vector<NodeReader> out;
     for (const Node& child : children())
@@ -156,16 +156,15 @@
     return out;
 }
 
-std::unique_ptr<NodeReader> NodeReader::one(std::string_view name) {
-    std::vector<NodeReader> all = each(name);
+std::unique_ptr<NodeReader> NodeReader::optionalChild(std::string_view name) {
+    std::vector<NodeReader> all = childrenNamed(name);
     if (all.empty()) return nullptr;
-    if (all.size() > 1)
-        all[1].wrong("'" + std::string(name) + "' stands here a second time; one is expected");
+    if (all.size() > 1) all[1].fail("'" + std::string(name) + "' stands here a second time; one is expected");
     return std::make_unique<NodeReader>(std::move(all.front()));
 }
 
-NodeReader NodeReader::here(std::string_view name) {
-    if (auto found = one(name)) return std::move(*found);
+NodeReader NodeReader::childOrDefaults(std::string_view name) {
+    if (auto found = optionalChild(name)) return std::move(*found);
     Node& node = document_->taken_->absent.emplace_back();
     node.name = name;
     if (node_) node.at = node_->at;
@@ -180,10 +179,10 @@
     all.emplace_back(name, Value{std::nullopt, std::move(is), {}});
 }
 
-NodeReader NodeReader::need(std::string_view name) {
-    auto found = one(name);
+NodeReader NodeReader::requiredChild(std::string_view name) {
+    auto found = optionalChild(name);
     if (!found)
-        wrong("in " + this->name() + " a node '" + std::string(name) + "' is expected, and there is none");
+        fail("in " + this->name() + " a node '" + std::string(name) + "' is expected, and there is none");
     return std::move(*found);
 }
 
@@ -203,14 +202,14 @@
 
 const Value& NodeReader::needed(std::string_view name) {
     const Value* v = find(name);
-    if (!v) wrong("'" + this->name() + "' needs " + std::string(name) + "=");
+    if (!v) fail("'" + this->name() + "' needs " + std::string(name) + "=");
     return *v;
 }
 
 std::string NodeReader::text(std::string_view name) {
     const Value& v = needed(name);
     const auto* s = std::get_if<std::string>(&v.is);
-    if (!s) document_->wrong(v.at, std::string(name) + " is expected to be a string, and is " + kindOf(v));
+    if (!s) document_->fail(v.at, std::string(name) + " is expected to be a string, and is " + kindOf(v));
     return *s;
 }
 std::string NodeReader::text(std::string_view name, std::string otherwise) {
@@ -222,10 +221,10 @@
 double NodeReader::number(std::string_view name, double least, double most) {
     const Value& v = needed(name);
     const auto* n = std::get_if<Number>(&v.is);
-    if (!n) document_->wrong(v.at, std::string(name) + " is expected to be a number, and is " + kindOf(v));
+    if (!n) document_->fail(v.at, std::string(name) + " is expected to be a number, and is " + kindOf(v));
     if (!(n->value >= least && n->value <= most))
-        document_->wrong(v.at,
-                         std::string(name) + " is expected between " + plain(least) + " and " + plain(most));
+        document_->fail(v.at,
+                        std::string(name) + " is expected between " + plain(least) + " and " + plain(most));
     return n->value;
 }
 double NodeReader::number(std::string_view name, double least, double most, double otherwise) {
@@ -237,10 +236,10 @@
 std::int64_t NodeReader::whole(std::string_view name, std::int64_t least, std::int64_t most) {
     const Value& v = needed(name);
     const auto* n = std::get_if<Number>(&v.is);
-    if (!n || !n->whole) document_->wrong(v.at, std::string(name) + " is expected to be a whole number");
+    if (!n || !n->whole) document_->fail(v.at, std::string(name) + " is expected to be a whole number");
     if (*n->whole < least || *n->whole > most)
-        document_->wrong(v.at, std::string(name) + " is expected between " + std::to_string(least) + " and " +
-                                   std::to_string(most));
+        document_->fail(v.at, std::string(name) + " is expected between " + std::to_string(least) + " and " +
+                                  std::to_string(most));
     return *n->whole;
 }
 std::int64_t NodeReader::whole(std::string_view name, std::int64_t least, std::int64_t most,
@@ -257,7 +256,7 @@
         return otherwise;
     }
     const bool* b = std::get_if<bool>(&v->is);
-    if (!b) document_->wrong(v->at, std::string(name) + " is expected to be #true or #false");
+    if (!b) document_->fail(v->at, std::string(name) + " is expected to be #true or #false");
     return *b;
 }
 
@@ -266,11 +265,11 @@
     const auto* s = std::get_if<std::string>(&v.is);
     const auto t = s ? timeOf(*s) : std::nullopt;
     if (!t)
-        document_->wrong(
+        document_->fail(
             v.at,
             std::string(name) + " is expected to be a time with its unit, as \"250ms\", \"2s\" or \"5min\"");
     if (*t < least || *t > most)
-        document_->wrong(
+        document_->fail(
             v.at, std::string(name) + " is expected between " + shownTime(least) + " and " + shownTime(most));
     return *t;
 }
@@ -285,7 +284,7 @@
     const auto* s = std::get_if<std::string>(&v.is);
     const auto at = s ? net::parseEndpoint(*s) : std::nullopt;
     if (!at)
-        document_->wrong(
+        document_->fail(
             v.at, std::string(name) +
                       " is expected to be an address and port, as \"127.0.0.1:8080\" or \"[::1]:8080\"");
     return *at;
@@ -302,26 +301,26 @@
     if (std::find(among.begin(), among.end(), is) != among.end()) return is;
     std::string all;
     for (const std::string& one : among) all += (all.empty() ? "" : ", ") + one;
-    document_->wrong(v->at, std::string(name) + " is expected to be one of " + all);
+    document_->fail(v->at, std::string(name) + " is expected to be one of " + all);
 }
 
-std::uint32_t NodeReader::placeOf(std::string_view property, const std::vector<std::string>& among,
+std::uint32_t NodeReader::indexOf(std::string_view property, const std::vector<std::string>& among,
                                   const std::string& otherwise, const std::string& title,
                                   const std::string& where) {
     const std::string name = text(property, otherwise);
     const auto place = std::find(among.begin(), among.end(), name);
     if (place != among.end()) return static_cast<std::uint32_t>(place - among.begin());
     if (name.empty() && otherwise.empty()) return 0;
-    wrongOf(property,
-            title + " '" + name + "' is not " + where + suggestionFor(name, {among.begin(), among.end()}));
+    failProperty(property, title + " '" + name + "' is not " + where +
+                               suggestionFor(name, {among.begin(), among.end()}));
 }
 
 std::string NodeReader::argument(std::string_view what) {
     askedArguments_ = true;
     if (!node_ || node_->arguments.size() != 1)
-        wrong("'" + name() + "' is followed by one value: " + std::string(what));
+        fail("'" + name() + "' is followed by one value: " + std::string(what));
     const auto* s = std::get_if<std::string>(&node_->arguments[0].is);
-    if (!s) document_->wrong(node_->arguments[0].at, std::string(what) + " is expected to be a string");
+    if (!s) document_->fail(node_->arguments[0].at, std::string(what) + " is expected to be a string");
     return *s;
 }
 
@@ -329,12 +328,12 @@
     askedArguments_ = true;
     std::vector<double> out;
     if (!node_ || node_->arguments.empty())
-        wrong("'" + name() + "' is followed by numbers: " + std::string(what));
+        fail("'" + name() + "' is followed by numbers: " + std::string(what));
     for (const Value& v : node_->arguments) {
         const auto* n = std::get_if<Number>(&v.is);
         if (!n || !(n->value >= least && n->value <= most))
-            document_->wrong(v.at, std::string(what) + " are expected to be numbers between " + plain(least) +
-                                       " and " + plain(most));
+            document_->fail(v.at, std::string(what) + " are expected to be numbers between " + plain(least) +
+                                      " and " + plain(most));
         out.push_back(n->value);
     }
     return out;
@@ -346,7 +345,7 @@
     if (!node_) return out;
     for (const Value& v : node_->arguments) {
         const auto* s = std::get_if<std::string>(&v.is);
-        if (!s) document_->wrong(v.at, std::string(what) + " are expected to be strings");
+        if (!s) document_->fail(v.at, std::string(what) + " are expected to be strings");
         out.push_back(*s);
     }
     return out;
@@ -358,23 +357,23 @@
     if (!node_) return out;
     for (const Value& v : node_->arguments) {
         const auto* s = std::get_if<std::string>(&v.is);
-        out.push_back(s ? *s : printed(v));
+        out.push_back(s ? *s : formatValue(v));
     }
     return out;
 }
 
-void NodeReader::finish() {
+void NodeReader::rejectUnread() {
     for (const Node& child : children())
         if (!askedNodes_.count(child.name))
-            document_->wrong(child.at, "a node '" + child.name + "' is not known in " + name() +
-                                           suggestionFor(child.name, askedNodes_));
+            document_->fail(child.at, "a node '" + child.name + "' is not known in " + name() +
+                                          suggestionFor(child.name, askedNodes_));
     if (!node_) return;
     for (const auto& [key, value] : node_->properties)
         if (!askedProperties_.count(key))
-            document_->wrong(
+            document_->fail(
                 value.at, "'" + name() + "' knows no '" + key + "='" + suggestionFor(key, askedProperties_));
     if (!askedArguments_ && !node_->arguments.empty())
-        document_->wrong(node_->arguments[0].at, "'" + name() + "' takes no value here, only name=value");
+        document_->fail(node_->arguments[0].at, "'" + name() + "' takes no value here, only name=value");
 }
 
 }  // namespace valekeel::settings
--- a/src/settings/document.hpp
+++ b/src/settings/document.hpp
@@ -29,7 +29,7 @@
     static Document fromFile(const std::string& path);  // also std::runtime_error if it can't be read
     const std::vector<Node>& nodes() const { return nodes_; }
     const std::string& file() const { return file_; }
-    [[noreturn]] void wrong(SourcePosition, const std::string& what) const;
+    [[noreturn]] void fail(SourcePosition, const std::string& what) const;
     // What is in force once all of it was read: what stands there, and each default that was taken beside it.
     std::string effectiveText() const;
 
@@ -53,11 +53,11 @@
     NodeReader(const Document&, const Node&);
 
     // Children by name. one(): none or one; a second is refused.
-    std::unique_ptr<NodeReader> one(std::string_view name);
+    std::unique_ptr<NodeReader> optionalChild(std::string_view name);
     // The same of one that may be left out: then all of it is read as its defaults.
-    NodeReader here(std::string_view name);
-    NodeReader need(std::string_view name);
-    std::vector<NodeReader> each(std::string_view name);
+    NodeReader childOrDefaults(std::string_view name);
+    NodeReader requiredChild(std::string_view name);
+    std::vector<NodeReader> childrenNamed(std::string_view name);
 
     // Properties of this node. The first form refuses if it is missing.
     std::string text(std::string_view name);
@@ -76,7 +76,7 @@
                        const std::string& otherwise);
     // The place of a name among others that the settings give. `title` and `where` are for the complaint: "a
     // zone", "in the settings". The name may be left out; with no `otherwise` the place is then the first.
-    std::uint32_t placeOf(std::string_view property, const std::vector<std::string>& among,
+    std::uint32_t indexOf(std::string_view property, const std::vector<std::string>& among,
                           const std::string& otherwise, const std::string& title, const std::string& where);
 
     // Arguments of this node.
@@ -85,9 +85,9 @@
     std::vector<std::string> texts(std::string_view what);
     std::vector<std::string> asWritten();  // of any kind: strings as they are, others as they are written
 
-    void finish();
-    [[noreturn]] void wrong(const std::string& what) const;
-    [[noreturn]] void wrongOf(std::string_view property, const std::string& what) const;
+    void rejectUnread();
+    [[noreturn]] void fail(const std::string& what) const;
+    [[noreturn]] void failProperty(std::string_view property, const std::string& what) const;
     const Node* node() const { return node_; }
     const std::string& name() const;
 
--- a/src/settings/kdl.cpp
+++ b/src/settings/kdl.cpp
@@ -696,8 +696,8 @@
     out.append(static_cast<std::size_t>(level) * 4, ' ');
     if (node.type) out += "(" + word(*node.type) + ")";
     out += word(node.name);
-    for (const Value& v : node.arguments) out += " " + printed(v);
-    for (const auto& [name, v] : node.properties) out += " " + word(name) + "=" + printed(v);
+    for (const Value& v : node.arguments) out += " " + formatValue(v);
+    for (const auto& [name, v] : node.properties) out += " " + word(name) + "=" + formatValue(v);
     if (node.braces) {
         out += " {\n";
         for (const Node& child : node.children) print(child, level + 1, out);
@@ -738,7 +738,7 @@
     return Reader(file, text, limits).document();
 }
 
-std::string printed(const Value& v) {
+std::string formatValue(const Value& v) {
     std::string out = v.type ? "(" + word(*v.type) + ")" : "";
     if (std::holds_alternative<Null>(v.is)) return out + "#null";
     if (const bool* b = std::get_if<bool>(&v.is)) return out + (*b ? "#true" : "#false");
--- a/src/settings/kdl.hpp
+++ b/src/settings/kdl.hpp
@@ -62,6 +62,6 @@
 
 // What parses back to the same; strings quoted where they must be, four spaces a level.
 std::string printKdl(const std::vector<Node>&);
-std::string printed(const Value&);
+std::string formatValue(const Value&);
 
 }  // namespace valekeel::settings
--- a/src/settings/site_settings.cpp
+++ b/src/settings/site_settings.cpp
@@ -10,24 +10,24 @@
 }  // namespace
 
 Ladder readLadder(NodeReader& top) {
-    NodeReader node = top.need("ladder");
+    NodeReader node = top.requiredChild("ladder");
     Ladder ladder;
     ladder.stallLoss = node.number("stall-loss", 0, 1'000, 5);
     ladder.switchSeconds = seconds(node.time("switch", 0, 60 * kSecond, 500'000));
     ladder.joinPart = node.number("join", 0, 1, 1);
-    for (NodeReader& rung : node.each("rung")) {
+    for (NodeReader& rung : node.childrenNamed("rung")) {
         const double kb = rung.number("kb", 0.01, 1e7), worth = rung.number("worth", 0, 1);
         if (!ladder.kb.empty() && kb <= ladder.kb.back())
-            rung.wrongOf("kb", "rungs are expected to rise in kb");
+            rung.failProperty("kb", "rungs are expected to rise in kb");
         if (!ladder.worth.empty() && worth < ladder.worth.back())
-            rung.wrongOf("worth", "a higher rung is expected to be worth no less");
+            rung.failProperty("worth", "a higher rung is expected to be worth no less");
         ladder.kb.push_back(kb);
         ladder.worth.push_back(worth);
-        rung.finish();
+        rung.rejectUnread();
     }
-    if (ladder.kb.empty()) node.wrong("'ladder' is expected to hold rungs: rung kb=... worth=...");
-    if (ladder.kb.size() > 32) node.wrong("a ladder has 32 rungs at most");
-    node.finish();
+    if (ladder.kb.empty()) node.fail("'ladder' is expected to hold rungs: rung kb=... worth=...");
+    if (ladder.kb.size() > 32) node.fail("a ladder has 32 rungs at most");
+    node.rejectUnread();
     return ladder;
 }
 
@@ -40,14 +40,14 @@
 RoomTypes readRoomTypes(NodeReader& top, const Ladder& ladder) {
     RoomTypes out;
     const auto last = static_cast<std::int64_t>(ladder.kb.size()) - 1;
-    for (NodeReader& node : top.each("room-type")) {
+    for (NodeReader& node : top.childrenNamed("room-type")) {
         RoomType room;
         room.name = node.argument("its name");
-        if (room.name.empty() || out.find(room.name)) node.wrong("a room type needs a name of its own");
+        if (room.name.empty() || out.find(room.name)) node.fail("a room type needs a name of its own");
         const Micros timeout = node.time("client-timeout", 100'000, kLong);
         room.joinObjective = node.time("join-objective", 10'000, kLong);
         if (room.joinObjective > timeout)
-            node.wrongOf("join-objective", "the join objective is expected within the client timeout");
+            node.failProperty("join-objective", "the join objective is expected within the client timeout");
         room.benefit = node.number("benefit", 0.0001, 1e6, 1);
         const std::string repeat = node.choice("set-up", {"free", "paid", "keyed"}, "free");
         room.paid = repeat == "paid";
@@ -58,17 +58,17 @@
         room.top = static_cast<int>(node.whole("top", room.floor, last, last));
         room.seats = static_cast<int>(node.whole("seats", 0, 1'000'000, 0));
         room.live = node.flag("live", false);
-        node.finish();
+        node.rejectUnread();
         out.types.push_back(std::move(room));
         out.clientTimeouts.push_back(timeout);
     }
-    if (out.types.empty()) top.wrong("at least one 'room-type' is expected");
+    if (out.types.empty()) top.fail("at least one 'room-type' is expected");
     return out;
 }
 
 Machines readMachines(NodeReader& top) {
     Machines out;
-    NodeReader node = top.need("fleet");
+    NodeReader node = top.requiredChild("fleet");
     Fleet& fleet = out.fleet;
     fleet.cells = static_cast<int>(node.whole("cells", 1, 100'000));
     fleet.racks = static_cast<int>(node.whole("racks", 1, 10'000, 1));
@@ -78,66 +78,66 @@
     fleet.sizesTold = fleet.linkKbPerSize > 0;
     fleet.listAsked = true;
     fleet.fullFrom = node.number("full-from", 0, 100, 0);
-    for (NodeReader& zone : node.each("zone")) {
+    for (NodeReader& zone : node.childrenNamed("zone")) {
         const std::string name = zone.argument("its name");
         if (name.empty() || std::find(out.zones.begin(), out.zones.end(), name) != out.zones.end())
-            zone.wrong("a zone needs a name of its own");
-        if (out.zones.size() >= 1'000) zone.wrong("a fleet has 1000 zones at most");
+            zone.fail("a zone needs a name of its own");
+        if (out.zones.size() >= 1'000) zone.fail("a fleet has 1000 zones at most");
         out.zones.push_back(name);
-        zone.finish();
+        zone.rejectUnread();
     }
-    for (NodeReader& kind : node.each("kind")) {
+    for (NodeReader& kind : node.childrenNamed("kind")) {
         out.kinds.push_back(kind.argument("its name"));
         fleet.places.push_back(static_cast<int>(kind.whole("places", 1, 1'000'000)));
-        kind.finish();
+        kind.rejectUnread();
     }
     if (out.kinds.empty())
-        node.wrong("'fleet' is expected to name at least one kind: kind \"NAME\" places=...");
-    node.finish();
+        node.fail("'fleet' is expected to name at least one kind: kind \"NAME\" places=...");
+    node.rejectUnread();
     return out;
 }
 
 ColdStartLimits readColdStartLimits(NodeReader& top) {
     ColdStartLimits out;
-    auto node = top.one("cold");
+    auto node = top.optionalChild("cold");
     if (!node) return out;
     out.warmUp = node->time("warm-up", 0, kLong);
     out.firstShare = node->number("first-share", 0.01, 1);
     out.fallMultiple = node->number("fall-multiple", 0.1, 100);
     out.tipAfter = node->time("tip-after", 1'000, kLong);
-    node->finish();
+    node->rejectUnread();
     return out;
 }
 
 std::optional<JoinBudget> readJoinBudget(NodeReader& top) {
-    auto node = top.one("join-budget");
+    auto node = top.optionalChild("join-budget");
     if (!node) return std::nullopt;
     JoinBudget out;
     out.free = node->number("free", 0, 1e6);
     out.share = node->number("share", 0, 10);
     out.window = node->time("window", 100'000, kLong);
-    node->finish();
+    node->rejectUnread();
     return out;
 }
 
 ReportTiming readReportTiming(NodeReader& top) {
     ReportTiming out;
-    NodeReader node = top.here("tidings");
+    NodeReader node = top.childOrDefaults("tidings");
     out.late = 100'000;
     out.every = kSecond;
     out.late = node.time("late", 0, 60 * kSecond, out.late);
     out.every = node.time("every", 0, 60 * kSecond, out.every);
     if (out.every > 0 && out.every < 100'000)
-        node.wrongOf("every", "\"0s\" (boxes tell no figures) or at least \"100ms\" is expected");
-    node.finish();
+        node.failProperty("every", "\"0s\" (boxes tell no figures) or at least \"100ms\" is expected");
+    node.rejectUnread();
     return out;
 }
 
 ServingCosts readServingCosts(NodeReader& top) {
     ServingCosts out;
-    NodeReader node = top.here("prices");
+    NodeReader node = top.childOrDefaults("prices");
     out.crossZone = node.number("cross-zone", 0, 1, 0);
-    node.finish();
+    node.rejectUnread();
     return out;
 }
 
@@ -146,27 +146,27 @@
     out.maxJoins = 3;
     out.retryAfter = true;
     out.maxRetryAfter = 2 * kSecond;
-    NodeReader node = top.here("allowed");
+    NodeReader node = top.childOrDefaults("allowed");
     out.maxJoins = static_cast<int>(node.whole("joins", 1, 100, out.maxJoins));
     out.maxRetryAfter = node.time("come-back-at-most", 0, kLong, out.maxRetryAfter);
     out.retryAfter = out.maxRetryAfter > 0;
-    node.finish();
+    node.rejectUnread();
     return out;
 }
 
 Talks readTalks(NodeReader& top, const Fleet& fleet) {
     Talks out;
-    for (NodeReader& node : top.each("talk")) {
+    for (NodeReader& node : top.childrenNamed("talk")) {
         const std::string name = node.argument("its title");
         if (name.empty() || name.find('/') != std::string::npos || out.count(name))
-            node.wrong("a talk needs a title of its own, without '/'");
+            node.fail("a talk needs a title of its own, without '/'");
         Talk talk;
         talk.firstCell = Cell{static_cast<std::uint32_t>(node.whole("first-cell", 0, fleet.cells - 1, 0))};
         talk.holders = static_cast<int>(node.whole("holders", 1, fleet.cells, fleet.cells));
-        node.finish();
+        node.rejectUnread();
         out.emplace(name, talk);
     }
-    if (out.empty()) top.wrong("at least one 'talk' is expected");
+    if (out.empty()) top.fail("at least one 'talk' is expected");
     return out;
 }
 
--- a/src/simulation/drill.cpp
+++ b/src/simulation/drill.cpp
@@ -122,7 +122,7 @@
         std::ostringstream out;
         out << "front \"" << f.name << "\" fronts=" << day_.fronts << " stop-within=\"2s\"\n"
             << settings::printKdl(day_.siteNodes) << "http listen=\"" << here << "\"\n"
-            << "list stream=\"" << net::toString(list_.at()) << "\" path=\"/boxes?front=" << f.name
+            << "list stream=\"" << net::toString(list_.endpoint()) << "\" path=\"/boxes?front=" << f.name
             << "\" keep=\"" << base << ".list\" silent-for=\"4s\"\n"
             << "log file=\"" << base << ".log\"" << (ways_.real ? "" : " level=\"warning\"") << "\n";
         if (!day_.callers.empty())
@@ -157,7 +157,7 @@
         fakes::ListedBox listed;
         listed.id = id;
         listed.cell = box.cell();
-        listed.at = net::toString(box.at());
+        listed.at = net::toString(box.endpoint());
         listed.kind = day_.machines.kinds.front();
         listed.standing = standing;
         listed.size = 1;
@@ -667,7 +667,7 @@
     }
 }
 
-std::string told(const DrillResult& r) {
+std::string summary(const DrillResult& r) {
     std::ostringstream out;
     out << "asked " << r.asked << ", played " << r.played << ", throttled " << r.throttled << ", terminated "
         << r.terminated << "\nanswered twice " << r.twice << ", never " << r.never << " (" << r.excused
--- a/src/simulation/drill.hpp
+++ b/src/simulation/drill.hpp
@@ -59,7 +59,7 @@
 
 // What the ledger says of answers and service; used by drill().
 void judge(const Scenario&, const fakes::Ledger&, DrillResult&);
-std::string told(const DrillResult&);
+std::string summary(const DrillResult&);
 // One object, names in our words; what an experiment keeps.
 std::string asJson(const DrillResult&);
 
--- a/src/simulation/environment.cpp
+++ b/src/simulation/environment.cpp
@@ -113,7 +113,8 @@
         return front_ ? std::optional(front_->http()) : std::nullopt;
     }
     std::optional<net::Endpoint> sip() override {
-        return front_ && front_->sipFrontend() ? std::optional(front_->sipFrontend()->at()) : std::nullopt;
+        return front_ && front_->sipFrontend() ? std::optional(front_->sipFrontend()->endpoint())
+                                               : std::nullopt;
     }
 
   private:
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -64,25 +64,25 @@
 
 std::vector<int> numbersOf(NodeReader& node, const char* name, int most) {
     std::vector<int> out;
-    for (NodeReader& child : node.each(name)) {
+    for (NodeReader& child : node.childrenNamed(name)) {
         for (const double v : child.numbers(name, 0, most - 1)) out.push_back(static_cast<int>(v));
-        child.finish();
+        child.rejectUnread();
     }
     return out;
 }
 
 std::vector<std::pair<double, fakes::PlayerRoom>> roomsOf(NodeReader& node, const Scenario& day) {
     std::vector<std::pair<double, fakes::PlayerRoom>> out;
-    for (NodeReader& room : node.each("room")) {
+    for (NodeReader& room : node.childrenNamed("room")) {
         const std::string name = room.argument("a room type");
         const auto id = day.rooms.find(name);
-        if (!id) room.wrong("room type '" + name + "' is not among the site's");
+        if (!id) room.fail("room type '" + name + "' is not among the site's");
         const RoomType& r = day.rooms.types[id->v];
         out.push_back({room.number("part", 0, 1e6, 1),
                        {name, day.rooms.clientTimeouts[id->v], r.joinObjective, r.paid, r.benefit}});
-        room.finish();
+        room.rejectUnread();
     }
-    if (out.empty()) node.wrong("rooms are expected: room \"NAME\" part=...");
+    if (out.empty()) node.fail("rooms are expected: room \"NAME\" part=...");
     return out;
 }
 
@@ -98,7 +98,7 @@
     const std::string member = node.text("member");
     const auto it = std::find_if(day.members.begin(), day.members.end(),
                                  [&](const Member& m) { return m.name == member; });
-    if (it == day.members.end()) node.wrongOf("member", "'" + member + "' is none of the members");
+    if (it == day.members.end()) node.failProperty("member", "'" + member + "' is none of the members");
     return static_cast<int>(it - day.members.begin());
 }
 
@@ -128,21 +128,21 @@
     a.rooms = roomsOf(node, day);
     for (const auto& [title, talk] : talks) a.titles.push_back(title);
     std::vector<workload::Flash> flashes;
-    for (NodeReader& one : node.each("flash")) {
+    for (NodeReader& one : node.childrenNamed("flash")) {
         flashes.push_back({one.time("at", 0, kDay), one.time("for", 1, kDay), one.number("times", 0, 1e4)});
-        one.finish();
+        one.rejectUnread();
     }
     a.stream = workload::Arrivals(rate, from, until, swing, period, std::move(flashes));
-    for (NodeReader& one : node.each("train")) {
+    for (NodeReader& one : node.childrenNamed("train")) {
         Audience::Train t;
         t.viewers = static_cast<int>(one.whole("viewers", 0, 1'000'000));
         t.at = one.time("at", 0, kDay);
         t.over = one.time("over", 0, kDay, kSecond);
         t.member = memberNamed(one, day);
-        one.finish();
+        one.rejectUnread();
         a.trains.push_back(t);
     }
-    node.finish();
+    node.rejectUnread();
     return a;
 }
 
@@ -204,16 +204,16 @@
 Scenario readScenario(const settings::Document& document) {
     Scenario day;
     NodeReader top(document);
-    NodeReader head = top.need("day");
+    NodeReader head = top.requiredChild("day");
     day.name = head.argument("its name");
     day.length = head.time("length", kSecond, kDay);
     day.seed = static_cast<std::uint64_t>(head.whole("seed", 0, 1'000'000'000, 1));
     day.fronts = static_cast<int>(head.whole("fronts", 1, 64, 1));
     day.boxes = static_cast<int>(head.whole("boxes", 1, 10'000));
     day.linkKb = head.number("link-kb", 0.1, 1e9);
-    head.finish();
+    head.rejectUnread();
 
-    NodeReader site = top.need("site");
+    NodeReader site = top.requiredChild("site");
     day.siteNodes = site.node()->children;
     day.ladder = settings::readLadder(site);
     day.rooms = settings::readRoomTypes(site, day.ladder);
@@ -224,18 +224,18 @@
     settings::readSubscriptionLimits(site);
     const settings::Talks talks = settings::readTalks(site, day.machines.fleet);
     for (const char* passed : {"viewers", "boxes", "hints", "admission"})
-        site.one(passed);  // a front reads them
-    site.finish();
+        site.optionalChild(passed);  // a front reads them
+    site.rejectUnread();
 
     fakes::BoxConfig& make = day.make;
-    if (auto node = top.one("box-make")) {
+    if (auto node = top.optionalChild("box-make")) {
         make.segment = node->time("segment", 100'000, 60 * kSecond, kSecond);
         make.segments = static_cast<int>(node->whole("segments", 1, 100'000, 600));
         make.setUp = node->time("set-up", 0, 60 * kSecond, 60'000);
         make.setUpsAtOnce = static_cast<int>(node->whole("set-ups-at-once", 1, 10'000, 8));
         make.forgetAfter = node->time("forget-after", kSecond, kDay, make.forgetAfter);
         make.byteRanges = node->flag("byte-ranges", false);
-        node->finish();
+        node->rejectUnread();
     }
     make.rungKb = day.ladder.kb;
     make.warmUp = day.terms.warmUp = cold.warmUp;
@@ -257,7 +257,7 @@
         day.terms.budgetWindow = budget->window;
     }
 
-    for (NodeReader& node : top.each("crowd")) {
+    for (NodeReader& node : top.childrenNamed("crowd")) {
         Crowd crowd;
         crowd.players = static_cast<int>(node.whole("players", 0, 1'000'000));
         crowd.at = node.time("at", 0, kDay, 0);
@@ -270,24 +270,25 @@
         crowd.returns = static_cast<int>(node.whole("returns", 0, 1'000, 1));
         crowd.rooms = roomsOf(node, day);
         crowd.titles = titlesOf(node, talks);
-        node.finish();
+        node.rejectUnread();
         day.crowds.push_back(std::move(crowd));
     }
 
-    if (auto node = top.one("members")) {
-        for (NodeReader& one : node->each("member")) {
+    if (auto node = top.optionalChild("members")) {
+        for (NodeReader& one : node->childrenNamed("member")) {
             Member m;
             m.name = one.argument("its name");
             m.linkKb = one.number("link-kb", 0.1, 1e9);
             m.part = one.number("part", 0, 1e6, 1);
-            one.finish();
+            one.rejectUnread();
             day.members.push_back(m);
         }
-        node->finish();
+        node->rejectUnread();
     }
-    for (NodeReader& node : top.each("audience")) day.audiences.push_back(readAudience(node, day, talks));
+    for (NodeReader& node : top.childrenNamed("audience"))
+        day.audiences.push_back(readAudience(node, day, talks));
 
-    for (NodeReader& node : top.each("callers")) {
+    for (NodeReader& node : top.childrenNamed("callers")) {
         Callers c;
         c.callers = static_cast<int>(node.whole("callers", 0, 1'000'000));
         c.at = node.time("at", 0, kDay, 0);
@@ -301,17 +302,17 @@
         c.weather.delayMost = node.time("delay", 0, 10 * kSecond, 0);
         c.rooms = roomsOf(node, day);
         c.titles = titlesOf(node, talks);
-        node.finish();
+        node.rejectUnread();
         day.callers.push_back(std::move(c));
     }
 
     std::set<std::string, std::less<>> names;
     for (const FaultKind& k : faultKinds()) names.insert(k.name);
-    for (NodeReader& node : top.each("trouble")) {
+    for (NodeReader& node : top.childrenNamed("trouble")) {
         ScheduledFault t;
         t.kind = node.argument("its kind");
         if (!names.count(t.kind))
-            node.wrong("'" + t.kind + "' is no kind of trouble" + settings::suggestionFor(t.kind, names));
+            node.fail("'" + t.kind + "' is no kind of trouble" + settings::suggestionFor(t.kind, names));
         t.at = node.time("at", 0, day.length);
         t.lasts = node.time("for", 0, kDay, 0);
         t.size = node.number("size", 0, 1e6, 1);
@@ -322,10 +323,10 @@
         if (!day.members.empty())
             for (const int member : numbersOf(node, "member", static_cast<int>(day.members.size())))
                 t.boxes.push_back(member);
-        node.finish();
+        node.rejectUnread();
         day.troubles.push_back(std::move(t));
     }
-    top.finish();
+    top.rejectUnread();
     return day;
 }
 
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -308,8 +308,8 @@
     const auto dynamic = fields.joined("CMSD-Dynamic");
     if (!dynamic) return load;
     for (const hints::CmsdEntry& entry : hints::parseCmsdDynamic(*dynamic)) {
-        if (const auto use = hints::figure(entry, hints::kLinkUseKey)) load.linkUse = use;
-        if (const auto use = hints::figure(entry, hints::kUplinkUseKey)) load.uplinkUse = use;
+        if (const auto use = hints::customNumber(entry, hints::kLinkUseKey)) load.linkUse = use;
+        if (const auto use = hints::customNumber(entry, hints::kUplinkUseKey)) load.uplinkUse = use;
     }
     return load;
 }
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -64,10 +64,10 @@
         up();
         beat_.after(kSecond);
     }
-    net::Endpoint at() const { return place; }
+    net::Endpoint endpoint() const { return place; }
     void up() {
         listener_ = net_.listen(place, *this);
-        place = listener_->at();
+        place = listener_->endpoint();
     }
     void down() {  // takes no new connection; those that stand stay
         listener_.reset();
@@ -172,7 +172,7 @@
         node::ChangeLog one(front, place(2), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, heard);
         one.start();
         run(into);
-        one.moveTo(other.at());
+        one.moveTo(other.endpoint());
         EXPECT_LE(until([&] { return !heard.numbers.empty(); }), kAfterReload) << into;
         run(3 * kSecond);
         EXPECT_EQ(heard.numbers, std::vector<std::uint64_t>{2}) << into;
@@ -188,7 +188,7 @@
     HandLog other(elsewhere, place(3));
     other.tells({{2, drain(2)}});
     run(700'000);  // refused again and again
-    follows.moveTo(other.at());
+    follows.moveTo(other.endpoint());
     EXPECT_LE(until([&] { return has(2); }), 110'000);
 }
 
@@ -200,10 +200,10 @@
     HandLog other(elsewhere, place(3));
     other.down();
     other.tells({{2, drain(2)}});
-    follows.moveTo(other.at());
+    follows.moveTo(other.endpoint());
     run(200'000);
     follows.moveTo(place(2));
-    follows.moveTo(other.at());
+    follows.moveTo(other.endpoint());
     run(2'800'000);
     other.up();
     EXPECT_LE(until([&] { return has(2); }), kSecond);
@@ -238,7 +238,7 @@
         log.newest().say(drain(2));
         if (breakFirst) log.breakAll();
         run(200);  // both have arrived, or arrive in this moment
-        one.moveTo(other.at());
+        one.moveTo(other.endpoint());
         if (!breakFirst) log.breakAll();
         EXPECT_LE(until([&] { return heard.numbers.size() == 2; }), kAfterBreak);
         run(3 * kSecond);
@@ -252,7 +252,7 @@
     HandLog other(elsewhere, place(3));
     other.tells({{4, drain(4)}});
     user.onChanged = [&](const node::ChangeEvent& event) {
-        if (event.number == 2) follows.moveTo(other.at());
+        if (event.number == 2) follows.moveTo(other.endpoint());
     };
     log.onAsk = [](HandLog::Link& link, std::uint64_t) { link.say(drain(2) + drain(3)); };
     follows.start();
@@ -283,10 +283,10 @@
 TEST_F(ChangeLogDay, AReloadToTheSameAddressKeepsTheConnection) {
     follows.start();
     run(1'500'000);
-    follows.moveTo(log.at());
+    follows.moveTo(log.endpoint());
     run(2 * kSecond);
     EXPECT_EQ(log.asked.size(), 1u);
-    follows.moveTo(log.at());
+    follows.moveTo(log.endpoint());
     log.beats = false;  // from here on the old process tells nothing, and closes after 1.5 s
     const Micros from = world.now();
     run(1'500'000);
@@ -414,7 +414,7 @@
         HandLog other(there, place(3));
         (reload ? other : log).onAsk = [&](HandLog::Link&, std::uint64_t) { ++byMilli[world.now() / 5'000]; };
         if (reload) {
-            for (const auto& front : fronts) front->moveTo(other.at());
+            for (const auto& front : fronts) front->moveTo(other.endpoint());
         } else {
             log.breakAll();
         }
@@ -502,7 +502,8 @@
     HandLog log(loop.net, Loop::any());
     log.tells({{2, drain(2)}, {3, drain(3)}});
     Heard user;
-    node::ChangeLog follows(loop.net, log.at(), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, user);
+    node::ChangeLog follows(loop.net, log.endpoint(), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{},
+                            user);
     {  // the same failure with descriptors to spare: a sanitizer needs one where it meets a class first
         Heard heard;
         node::ChangeLog nobody(loop.net, *net::parseEndpoint("255.255.255.255:9"), 1,
@@ -559,7 +560,7 @@
     }
     void connect() {
         viewers = std::make_unique<fakes::PlatformConnection>(
-            machine(12), front->at(), [this](fakes::PlatformConnection&, const Json& m) {
+            machine(12), front->endpoint(), [this](fakes::PlatformConnection&, const Json& m) {
                 std::string& all = said[m.value("tag", "")];
                 all += (all.empty() ? "" : " ") +
                        (m["verb"] == "STARTED" ? std::string("+") : std::to_string(m.value("rc", 0)));
@@ -568,9 +569,9 @@
     std::uint64_t wallMs() { return static_cast<std::uint64_t>(machine(11).wallNow() / 1000); }
     Json configuration() {
         std::vector<net::Endpoint> places;
-        for (const auto& server : servers) places.push_back(server->at());
+        for (const auto& server : servers) places.push_back(server->endpoint());
         return nodetest::configurationOf(
-            places, place(11), log->at(),
+            places, place(11), log->endpoint(),
             Json::parse(R"({"balancers":2,"host_types":["k"],"zones":["z"],"zone":"z",
       "weights":"nominal","allowed":{"attempts_cap":3,"max_retry_after":0.5,"retry_after":true,
         "max_streams":32,"connect_timeout":0.25,"conn_idle":30},
@@ -616,7 +617,7 @@
     come();
     play(1, 12);
     ASSERT_FALSE(servers[0]->standing.empty());
-    log->add({{1, servers[1]->at(), 0, 1}}, true);
+    log->add({{1, servers[1]->endpoint(), 0, 1}}, true);
     run(500'000);
     const std::size_t before = servers[0]->setups.size();
     for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], standing(n) == 1 ? "+" : "+ 41") << n;
@@ -628,7 +629,7 @@
 TEST_F(NodeListDay, AWholeListInMidCourseTellsOfNewStarts) {
     come();
     play(1, 12);
-    log->add({{0, servers[0]->at(), 0, 0}, {1, servers[1]->at(), 0, 1, wallMs()}}, true);
+    log->add({{0, servers[0]->endpoint(), 0, 0}, {1, servers[1]->endpoint(), 0, 1, wallMs()}}, true);
     run(500'000);
     for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], standing(n) == 0 ? "+" : "+ 41") << n;
 }
@@ -638,13 +639,13 @@
 TEST_F(NodeListDay, TheSameStartToldAgainIsNoNewOne) {
     come();
     const std::uint64_t started = wallMs();
-    log->add({{1, servers[1]->at(), 0, 1, started}});
+    log->add({{1, servers[1]->endpoint(), 0, 1, started}});
     run(12 * kSecond);  // warm
     play(1, 12);
     ASSERT_FALSE(servers[1]->standing.empty());
     machine(11).wallSkew -= 20 * kSecond;
-    log->add({{0, servers[0]->at(), 0, 0}, {1, servers[1]->at(), 0, 1, started}}, true);
-    log->add({{1, servers[1]->at(), 0, 1, started}});
+    log->add({{0, servers[0]->endpoint(), 0, 0}, {1, servers[1]->endpoint(), 0, 1, started}}, true);
+    log->add({{1, servers[1]->endpoint(), 0, 1, started}});
     run(kSecond);
     for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
 }
@@ -653,11 +654,11 @@
 TEST_F(NodeListDay, AnOldWholeListTakesNothingBack) {
     come();
     play(1, 6);
-    log->add({{0, servers[0]->at(), 1, 0}});
+    log->add({{0, servers[0]->endpoint(), 1, 0}});
     run(200'000);
     const std::size_t before = servers[0]->setups.size();
     for (const std::uint64_t number : {0u, 1u, 2u})
-        log->bytes(PlatformChangeLog::frame(number, 1, {{0, servers[0]->at(), 0, 0}}));
+        log->bytes(PlatformChangeLog::frame(number, 1, {{0, servers[0]->endpoint(), 0, 0}}));
     play(20, 10);
     EXPECT_EQ(servers[0]->setups.size(), before);
     for (int n = 1; n <= 6; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
@@ -678,7 +679,7 @@
     run(7 * kSecond);
     log = std::make_unique<PlatformChangeLog>(machine(10), place(10));
     log->last = 1;
-    log->add({{0, servers[0]->at(), 1, 0}});
+    log->add({{0, servers[0]->endpoint(), 1, 0}});
     run(kAfterBreak / 2);
     const std::size_t before = servers[0]->setups.size();
     play(20, 10);
@@ -709,7 +710,7 @@
         EXPECT_NE(logged().find(why), std::string::npos) << why;
     }
     EXPECT_EQ(log->asked.size(), 1u);
-    log->add({{0, servers[0]->at(), 1, 0}});
+    log->add({{0, servers[0]->endpoint(), 1, 0}});
     run(200'000);
     play(1, 10);
     EXPECT_TRUE(servers[0]->setups.empty());
@@ -723,9 +724,9 @@
     bool over = false;
     front->stop([&] { over = true; });
     Json all = configuration();
-    all["changelog"] = net::toString(other.at());
+    all["changelog"] = net::toString(other.endpoint());
     front->reread(all.dump());
-    other.add({{0, servers[0]->at(), 1, 0}});
+    other.add({{0, servers[0]->endpoint(), 1, 0}});
     run(300'000);
     for (int n = 1; n <= 10; ++n) ask(n);
     run(kSecond);
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -79,7 +79,7 @@
         front = std::make_unique<node::Node>(machine(11), "config.json",
                                              configuration(listed < 0 ? count : listed), record);
         viewers = std::make_unique<fakes::PlatformConnection>(
-            machine(12), front->at(), [this](fakes::PlatformConnection&, const Json& m) {
+            machine(12), front->endpoint(), [this](fakes::PlatformConnection&, const Json& m) {
                 heard[m.value("tag", "")].emplace_back(world.now(), m);
             });
         run(50'000);
@@ -87,7 +87,7 @@
     std::string configuration(int count) const {
         std::vector<net::Endpoint> places;
         for (int i = 0; i < count; ++i) places.push_back(place(i));
-        return nodetest::configurationOf(places, place(11), log->at(), settings).dump();
+        return nodetest::configurationOf(places, place(11), log->endpoint(), settings).dump();
     }
     void ask(int n, std::size_t room = 0, int left = 0) {
         const Json& told = settings["request_classes"][room];
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -126,7 +126,7 @@
         put(2);
         FollowTimings times;
         times.silentFor = 3 * kSecond;
-        follower = followStream(net, server.at(), "/boxes?front=a", {"small"}, {}, times, hears);
+        follower = followStream(net, server.endpoint(), "/boxes?front=a", {"small"}, {}, times, hears);
         follower->follow();
         EXPECT_TRUE(until([&] { return hears.last() == "list 2"; }));
     }
@@ -190,8 +190,8 @@
     std::vector<std::unique_ptr<ListFollower>> followers;
     for (int i = 0; i < 8; ++i) {
         others.push_back(std::make_unique<Hears>());
-        followers.push_back(
-            followStream(rig.net, rig.server.at(), "/boxes?front=b", {"small"}, {}, {}, *others.back()));
+        followers.push_back(followStream(rig.net, rig.server.endpoint(), "/boxes?front=b", {"small"}, {}, {},
+                                         *others.back()));
         followers.back()->follow();
     }
     ASSERT_TRUE(rig.until([&] { return others.back()->last() == "list 2"; }));
@@ -211,7 +211,7 @@
     Hears hears;
     FollowTimings times;
     times.silentFor = 150'000;
-    auto follower = followStream(loop.net, server.at(), "/", kKinds, {}, times, hears);
+    auto follower = followStream(loop.net, server.endpoint(), "/", kKinds, {}, times, hears);
     follower->follow();
     EXPECT_TRUE(loop.until([&] { return hears.last() == "unreachable"; }));
 }
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -63,7 +63,7 @@
         there.up = true;
     }
     void connect() {
-        here.stream = a.connect(listener->at(), here);
+        here.stream = a.connect(listener->endpoint(), here);
         run(10'000);
     }
     void run(Micros time) { world.runUntil(world.now() + time); }
@@ -166,7 +166,7 @@
                : n == 2 ? std::vector<Micros>{9'000, 0}
                         : std::vector<Micros>{1'000};
     };
-    for (const char* text : {"lost", "twice", "late"}) from->send(to->at(), text);
+    for (const char* text : {"lost", "twice", "late"}) from->send(to->endpoint(), text);
     w.run(20'000);
     EXPECT_EQ(ear.got, (std::vector<std::string>{"twice", "late", "twice"}));
 }
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -78,7 +78,7 @@
         fakes::ListedBox b;
         b.id = id;
         b.cell = fleet->box(id).cell();
-        b.at = net::toString(fleet->box(id).at());
+        b.at = net::toString(fleet->box(id).endpoint());
         b.kind = "k";
         b.standing = standing;
         if (zoneOf) b.zone = zoneOf(id);
@@ -87,10 +87,10 @@
     }
     void startFront(const std::string& more = "", const front::ModuleOverride& other = {},
                     const std::string& ofFront = "") {
-        const std::string text = "front \"a\"" + ofFront + "\nlist stream=\"" + net::toString(list.at()) +
-                                 "\" path=\"/boxes?front=a\" keep=\"" + (folder / "kept.kdl").string() +
-                                 "\" silent-for=\"2s\"\nlog file=\"" + (folder / "front.log").string() +
-                                 "\"\n" + site + more;
+        const std::string text = "front \"a\"" + ofFront + "\nlist stream=\"" +
+                                 net::toString(list.endpoint()) + "\" path=\"/boxes?front=a\" keep=\"" +
+                                 (folder / "kept.kdl").string() + "\" silent-for=\"2s\"\nlog file=\"" +
+                                 (folder / "front.log").string() + "\"\n" + site + more;
         front = std::make_unique<front::Front>(net, settings::Document::fromText("site.kdl", text), 5,
                                                epoch++, other);
         run(100'000);
@@ -570,9 +570,9 @@
         plan.timeout = 1'500'000;
         ++active;
         const int number = 1'000 + static_cast<int>(callers.size());
-        callers.push_back(std::make_unique<fakes::Caller>(net, number, front->sipFrontend()->at(), "a", plan,
-                                                          weather, static_cast<std::uint64_t>(number), ledger,
-                                                          [this] { --active; }));
+        callers.push_back(std::make_unique<fakes::Caller>(net, number, front->sipFrontend()->endpoint(), "a",
+                                                          plan, weather, static_cast<std::uint64_t>(number),
+                                                          ledger, [this] { --active; }));
         callers.back()->start();
         return *callers.back();
     }
@@ -714,7 +714,7 @@
     plan.loses100 = true;
     auto& caller = rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.count("charged") == 1; }));
-    const std::string at = net::toString(rig.front->sipFrontend()->at());
+    const std::string at = net::toString(rig.front->sipFrontend()->endpoint());
     rig.front.reset();
     rig.startFront("sip listen=\"" + at + "\"\n");
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }, 20 * kSecond));
@@ -774,7 +774,7 @@
     }
     std::string text(const std::string& method, int cseq, const std::string& branch, const std::string& body,
                      const std::string& via = "", const std::string& way = "UDP") const {
-        const std::string me = net::toString(socket->at());
+        const std::string me = net::toString(socket->endpoint());
         return method + " sip:t@x;room=open SIP/2.0\r\nVia: SIP/2.0/" + way + " " + me + ";branch=z9hG4bK" +
                branch + via + "\r\nMax-Forwards: 70\r\nFrom: <sip:r@" + me + ">;tag=r" +
                (toTag.empty() ? branch : "") + "\r\nTo: <sip:t@x>" + (toTag.empty() ? "" : ";tag=" + toTag) +
@@ -807,7 +807,7 @@
 };
 
 struct RawRig : CallRig {
-    RawCaller raw{net, front->sipFrontend()->at()};
+    RawCaller raw{net, front->sipFrontend()->endpoint()};
     using CallRig::CallRig;
     bool plays() {
         raw.say(raw.text("INVITE", 1, "", RawCaller::sdp()));
@@ -903,7 +903,7 @@
 
 TEST(Sip, OverAStreamManyMessagesMayComeAtOnceAndOneInMany) {
     RawRig rig;
-    RawStream s(rig.net, rig.front->sipFrontend()->at());
+    RawStream s(rig.net, rig.front->sipFrontend()->endpoint());
     ASSERT_TRUE(rig.until([&] { return s.up; }));
     std::string all;
     for (int i = 0; i < 3; ++i)
@@ -922,7 +922,8 @@
 
 TEST(Sip, AStreamThatLostItsPlaceIsClosedAndItsNeighboursStay) {
     RawRig rig;
-    RawStream bad(rig.net, rig.front->sipFrontend()->at()), good(rig.net, rig.front->sipFrontend()->at());
+    RawStream bad(rig.net, rig.front->sipFrontend()->endpoint()),
+        good(rig.net, rig.front->sipFrontend()->endpoint());
     ASSERT_TRUE(rig.until([&] { return bad.up && good.up; }));
     std::string broken = rig.raw.text("OPTIONS", 1, "b", "", "", "TCP");
     broken.replace(broken.find("Content-Length: 0"), 17, "Content-Length: -7");
@@ -936,7 +937,7 @@
     RawRig rig;
     rig.front.reset();
     rig.startFront("admission waiting=8\nsip listen=\"127.0.0.1:0\" target-fill=0.1 look-every=\"20ms\"\n");
-    rig.raw.front = rig.front->sipFrontend()->at();
+    rig.raw.front = rig.front->sipFrontend()->endpoint();
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.answersLate = 200'000;
     for (int i = 0; i < 300; ++i) {
         rig.raw.say(
@@ -1105,9 +1106,11 @@
                   1);
     const auto measures = experiment::measuresOf(all);
     EXPECT_GT(measures.at("crowd 2").at(1).at("asked"), measures.at("crowd 1").at(1).at("asked"));
-    EXPECT_NE(experiment::compared(measures, "crowd 1", measures, "crowd 2").find("paired over 2 seeds"),
-              std::string::npos);
-    EXPECT_THROW(experiment::compared(measures, "crowd 1", measures, "crowd 3"), std::invalid_argument);
+    EXPECT_NE(
+        experiment::comparisonTable(measures, "crowd 1", measures, "crowd 2").find("paired over 2 seeds"),
+        std::string::npos);
+    EXPECT_THROW(experiment::comparisonTable(measures, "crowd 1", measures, "crowd 3"),
+                 std::invalid_argument);
     experiment::report(planOf("1 2"), ways);
     EXPECT_TRUE(fs::exists(folder / "report" / "report.md"));
     EXPECT_TRUE(fs::exists(folder / "report" / "t-1.svg"));
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -175,16 +175,16 @@
     own.by = "front";
     own.mb = 720;
     own.du = true;
-    EXPECT_EQ(appended("\"box-1\";etp=96;org.valekeel-lu=0.25, \"cdn\";rtt=8", own),
+    EXPECT_EQ(appendEntry("\"box-1\";etp=96;org.valekeel-lu=0.25, \"cdn\";rtt=8", own),
               "\"box-1\";etp=96;org.valekeel-lu=0.25, \"cdn\";rtt=8, \"front\";mb=720;du");
-    EXPECT_EQ(appended("\"broken", own), "\"front\";mb=720;du");
+    EXPECT_EQ(appendEntry("\"broken", own), "\"front\";mb=720;du");
     const auto entries =
         parseCmsdDynamic("\"box-1\";etp=96;rd=-3;du;org.valekeel-lu=0.25, 7, \"x\";mb=\"no\"");
     ASSERT_EQ(entries.size(), 2u);
     EXPECT_EQ(entries[0].etp, 96);
     EXPECT_FALSE(entries[0].rd);
     EXPECT_TRUE(entries[0].du);
-    EXPECT_DOUBLE_EQ(*figure(entries[0], kLinkUseKey), 0.25);
+    EXPECT_DOUBLE_EQ(*customNumber(entries[0], kLinkUseKey), 0.25);
     EXPECT_FALSE(entries[1].mb);
     bool broken = false;
     EXPECT_TRUE(parseCmsdDynamic("\"a\";;", &broken).empty());
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -66,7 +66,7 @@
     void serve() { server = std::make_unique<http::Server>(net, any(), limits, echo); }
     std::unique_ptr<Raw> raw() {
         auto r = std::make_unique<Raw>();
-        r->stream = net.connect(server->at(), *r);
+        r->stream = net.connect(server->endpoint(), *r);
         until([&] { return r->open; });
         return r;
     }
@@ -217,13 +217,13 @@
 TEST(HttpClient, KeepsItsConnectionAndStreamsBigAnswers) {
     Rig rig;
     rig.serve();
-    http::Connection conn(rig.net, rig.server->at(), {}, kSecond);
+    http::Connection conn(rig.net, rig.server->endpoint(), {}, kSecond);
     Fetch a, b;
-    conn.fetch(http::requestBytes("GET", "/1", rig.server->at(), {}), false, a);
+    conn.fetch(http::requestBytes("GET", "/1", rig.server->endpoint(), {}), false, a);
     ASSERT_TRUE(rig.until([&] { return a.done; }));
     EXPECT_TRUE(a.kept);
     rig.echo.big = 5'000'000;
-    conn.fetch(http::requestBytes("GET", "/2", rig.server->at(), {}), false, b);
+    conn.fetch(http::requestBytes("GET", "/2", rig.server->endpoint(), {}), false, b);
     ASSERT_TRUE(rig.until([&] { return b.done; }));
     EXPECT_EQ(b.body.size(), 5'000'000u);
     EXPECT_TRUE(conn.used());
@@ -233,7 +233,7 @@
     Rig rig;
     rig.echo.big = 30'000'000;
     rig.serve();
-    http::Connection conn(rig.net, rig.server->at(), {}, kSecond);
+    http::Connection conn(rig.net, rig.server->endpoint(), {}, kSecond);
     struct Pausing : Fetch {
         http::Connection* conn = nullptr;
         void onBody(std::string_view b) override {
@@ -242,7 +242,7 @@
         }
     } f;
     f.conn = &conn;
-    conn.fetch(http::requestBytes("GET", "/", rig.server->at(), {}), false, f);
+    conn.fetch(http::requestBytes("GET", "/", rig.server->endpoint(), {}), false, f);
     ASSERT_TRUE(rig.until([&] { return !f.body.empty(); }));
     const auto before = f.body.size();
     rig.run(50'000);
@@ -258,9 +258,9 @@
     Rig rig;
     rig.echo.hold = true;
     rig.serve();
-    http::Connection conn(rig.net, rig.server->at(), {}, kSecond);
+    http::Connection conn(rig.net, rig.server->endpoint(), {}, kSecond);
     Fetch f;
-    conn.fetch(http::requestBytes("GET", "/", rig.server->at(), {}), false, f);
+    conn.fetch(http::requestBytes("GET", "/", rig.server->endpoint(), {}), false, f);
     ASSERT_TRUE(rig.until([&] { return rig.echo.held.size() == 1; }));
     rig.echo.held[0]->begin(200, {}, 3);
     ASSERT_TRUE(rig.until([&] { return f.head.status == 200; }));
@@ -297,9 +297,9 @@
     const auto fails = [&](const std::string& answer, bool reset) {
         peer.answer = answer;
         peer.reset = reset;
-        http::Connection conn(loop.net, listener->at(), {}, kSecond);
+        http::Connection conn(loop.net, listener->endpoint(), {}, kSecond);
         Fetch f;
-        conn.fetch(http::requestBytes("GET", "/", listener->at(), {}), false, f);
+        conn.fetch(http::requestBytes("GET", "/", listener->endpoint(), {}), false, f);
         loop.until([&] { return f.done || f.how; });
         return f.how;
     };
@@ -309,7 +309,7 @@
               http::FetchError::BrokenAnswer);
     EXPECT_EQ(fails("220 smtp here\r\n\r\n", false), http::FetchError::BadAnswer);
     EXPECT_EQ(fails("HTTP/1.1 200 OK\r\n\r\nto the end", false), std::nullopt);
-    const net::Endpoint gone = listener->at();
+    const net::Endpoint gone = listener->endpoint();
     listener.reset();
     http::Connection conn(loop.net, gone, {}, kSecond);
     Fetch f;
@@ -336,7 +336,7 @@
         void onWritable() override {}
     } peer;
     auto listener = loop.net.listen(Loop::any(), peer);
-    http::Connection conn(loop.net, listener->at(), {}, kSecond);
+    http::Connection conn(loop.net, listener->endpoint(), {}, kSecond);
     Fetch f;
     conn.fetch("GET / HTTP/1.1\r\n\r\n", false, f);
     ASSERT_TRUE(loop.until([&] { return f.done; }));
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -115,7 +115,7 @@
     Accepts server;
     auto listener = loop.net.listen(Loop::any(), server);
     Peer client;
-    client.stream = loop.net.connect(listener->at(), client);
+    client.stream = loop.net.connect(listener->endpoint(), client);
     ASSERT_TRUE(loop.until([&] { return client.open && server.peers.size() == 1; }));
     client.stream->write("hello");
     client.stream->shutdownWrite();
@@ -132,7 +132,7 @@
     net::Endpoint at;
     {
         Accepts none;
-        at = loop.net.listen(Loop::any(), none)->at();
+        at = loop.net.listen(Loop::any(), none)->endpoint();
     }
     Peer client;
     client.stream = loop.net.connect(at, client);
@@ -147,7 +147,7 @@
     std::vector<std::unique_ptr<Peer>> clients;
     for (int i = 0; i < 300; ++i) {
         clients.push_back(std::make_unique<Peer>());
-        clients.back()->stream = loop.net.connect(listener->at(), *clients.back());
+        clients.back()->stream = loop.net.connect(listener->endpoint(), *clients.back());
     }
     EXPECT_TRUE(loop.until([&] { return server.peers.size() == 300; }));
 }
@@ -162,7 +162,7 @@
     std::vector<std::unique_ptr<Peer>> clients;
     for (int i = 0; i < 5; ++i) {
         clients.push_back(std::make_unique<Peer>());
-        clients.back()->stream = loop.net.connect(listener->at(), *clients.back());
+        clients.back()->stream = loop.net.connect(listener->endpoint(), *clients.back());
     }
     rlimit before{};
     getrlimit(RLIMIT_NOFILE, &before);
@@ -171,7 +171,7 @@
     ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
     loop.run(30'000);
     Peer late;
-    late.stream = loop.net.connect(listener->at(), late);
+    late.stream = loop.net.connect(listener->endpoint(), late);
     const bool told = loop.until([&] { return late.failure.has_value(); }, kSecond);
     setrlimit(RLIMIT_NOFILE, &before);
     EXPECT_TRUE(told);
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -83,12 +83,12 @@
     }
     std::string configuration() {
         std::vector<net::Endpoint> places;
-        for (const auto& server : servers) places.push_back(server->at());
-        return configurationOf(places, this->place(11), log->at(), settings()).dump();
+        for (const auto& server : servers) places.push_back(server->endpoint());
+        return configurationOf(places, this->place(11), log->endpoint(), settings()).dump();
     }
     std::unique_ptr<fakes::PlatformConnection> line() {
         return std::make_unique<fakes::PlatformConnection>(
-            this->machine(12), front->at(),
+            this->machine(12), front->endpoint(),
             [this](fakes::PlatformConnection&, const Json& m) { heard[m.value("tag", "")].push_back(m); });
     }
     static Json start(int n, const std::string& room = "talk", const std::string& title = "t") {
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -58,7 +58,7 @@
     connectsTake(day, 200'000);
     for (int n = 1; n <= 8; ++n) day.ask(n, "talk", "t" + std::to_string(n));
     day.run(60'000);
-    day.log->add({{0, day.servers[0]->at(), 1, 0}});
+    day.log->add({{0, day.servers[0]->endpoint(), 1, 0}});
     day.run(kSecond);
     EXPECT_TRUE(day.servers[0]->setups.empty());
     for (int n = 1; n <= 8; ++n) EXPECT_EQ(day.said(n), "+") << n;
@@ -154,7 +154,7 @@
     day.ask(1);
     day.run(kSecond);
     fakes::PlatformServer moved(day.machine(20), Virtual::place(20));
-    day.log->add({{0, moved.at(), 0, 0}});
+    day.log->add({{0, moved.endpoint(), 0, 0}});
     day.run(100'000);
     day.ask(2);
     day.run(kSecond);
@@ -171,7 +171,7 @@
     day.run(kSecond);
     ASSERT_EQ(day.servers[0]->connections, 1);
     const auto startedMs = static_cast<std::uint64_t>(day.machine(11).wallNow() / 1000);
-    day.log->add({{0, day.servers[0]->at(), 0, 0, startedMs}});
+    day.log->add({{0, day.servers[0]->endpoint(), 0, 0, startedMs}});
     day.run(500'000);
     EXPECT_EQ(day.said(1), "+ 41");
     for (int n = 2; n <= 9; ++n) {  // it is cold: its turn comes
@@ -214,7 +214,7 @@
                     });
     user.core = &core;
     servers.connect(core);
-    servers.at(SfuId{0}, day.servers[0]->at());
+    servers.setAddress(SfuId{0}, day.servers[0]->endpoint());
     SfuEntry one;
     one.standing = ServerState::On;
     core.onServerList(std::span(&one, 1), false);
@@ -256,7 +256,7 @@
     Words user;
     node::ServerLimits limits;
     node::Servers servers(machines.machine(1), limits, user);
-    servers.at(SfuId{0}, Virtual::place(0));  // nobody listens there
+    servers.setAddress(SfuId{0}, Virtual::place(0));  // nobody listens there
     const auto most = static_cast<std::uint32_t>(limits.owed);
     for (std::uint32_t n = 1; n <= most + 88; ++n) servers.release(SubId{n}, SfuId{0});
     EXPECT_EQ(servers.owed(), limits.owed);
@@ -271,7 +271,7 @@
     VirtualDay day(1);
     Words user;
     node::Servers servers(day.machine(21), {}, user);
-    servers.at(SfuId{0}, day.servers[0]->at());
+    servers.setAddress(SfuId{0}, day.servers[0]->endpoint());
     for (std::uint32_t n = 1; n <= 20; ++n) servers.release(SubId{n}, SfuId{0});
     EXPECT_EQ(servers.owed(), 20u);
     day.run(3 * kSecond);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -209,7 +209,7 @@
     day.run(kSecond);
     day.viewers->close(true);
     int strange = 0;
-    fakes::PlatformConnection stranger(day.machine(13), day.front->at(),
+    fakes::PlatformConnection stranger(day.machine(13), day.front->endpoint(),
                                        [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
     stranger.say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     day.run(100'000);
@@ -235,7 +235,7 @@
     day.run(500'000);
     std::vector<std::unique_ptr<fakes::PlatformConnection>> crowd;
     for (int i = 0; i < 400; ++i) {
-        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->at(),
+        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
                                                                     [](auto&, const Json&) {}));
         crowd.back()->say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     }
@@ -306,7 +306,7 @@
     int answered = 0;
     for (const std::string& bytes : bad) {
         callers.push_back(std::make_unique<fakes::PlatformConnection>(
-            day.machine(13), day.front->at(), [&](fakes::PlatformConnection&, const Json& m) {
+            day.machine(13), day.front->endpoint(), [&](fakes::PlatformConnection&, const Json& m) {
                 EXPECT_NE(m["verb"], "STARTED");
                 ++answered;
             }));
@@ -326,7 +326,7 @@
     VirtualDay day;
     std::vector<std::unique_ptr<fakes::PlatformConnection>> silent;
     for (int i = 0; i < 400; ++i)
-        silent.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->at(),
+        silent.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
                                                                      [](auto&, const Json&) {}));
     day.run(100'000);
     day.viewers = day.line();
@@ -398,12 +398,12 @@
         if (trouble == 1) day.log->twice = true;
         if (trouble == 2) {  // breaks off in the middle of an event
             day.log->bytes(
-                fakes::PlatformChangeLog::frame(2, 2, {{0, day.servers[0]->at(), 1}}).substr(0, 20));
+                fakes::PlatformChangeLog::frame(2, 2, {{0, day.servers[0]->endpoint(), 1}}).substr(0, 20));
             day.run(10'000);
             day.log->breakOff();
         }
         if (trouble == 3) day.log->silent = true;
-        day.log->add({{0, day.servers[0]->at(), 1, 0}});
+        day.log->add({{0, day.servers[0]->endpoint(), 1, 0}});
         day.run(200'000);
         day.log->silent = false;
         day.run(3 * kSecond);  // a silence is found out
@@ -423,7 +423,7 @@
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    const net::Endpoint at = day.servers[0]->at();
+    const net::Endpoint at = day.servers[0]->endpoint();
     day.log->add({{0, at, 2, 0}, {7, at, 0, 0}});
     day.run(500'000);
     EXPECT_EQ(day.said(1), "+ 41");  // what the old one played is over
@@ -438,11 +438,11 @@
     other.last = 1;
     day.front->reread("{ not JSON");  // passed over
     Json all = Json::parse(day.configuration());
-    all["changelog"] = net::toString(other.at());
+    all["changelog"] = net::toString(other.endpoint());
     day.front->reread(all.dump());
     day.run(500'000);
     ASSERT_EQ(other.asked, std::vector<std::uint64_t>{1});
-    other.add({{0, day.servers[0]->at(), 1, 0}});
+    other.add({{0, day.servers[0]->endpoint(), 1, 0}});
     day.run(500'000);
     day.ask(1);
     day.run(kSecond);
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -53,7 +53,7 @@
 // Guards against a close that throws away what the other side has no room for yet.
 TEST(NodeViewers, WhatIsUnsentOutlivesTheClose) {
     VirtualDay day;
-    LateReader late(day.machine(13), day.front->at());
+    LateReader late(day.machine(13), day.front->endpoint());
     std::string all;
     for (int i = 0; i < 6000; ++i) all += kTest;
     late.say(all + "noise\n");
@@ -66,7 +66,7 @@
 // Guards against a close with unread bytes: it resets the connection, and with it what was just answered.
 TEST(NodeViewers, ARefusalOutlivesWhatLiesUnreadBehindIt) {
     VirtualDay day;
-    LateReader late(day.machine(13), day.front->at());
+    LateReader late(day.machine(13), day.front->endpoint());
     const std::string bad = VirtualDay::start(77, "unheard").dump() + "\n";
     late.say(bad + bad + bad + bad + std::string(12'000, 'x'));
     day.run(300'000);
@@ -78,7 +78,7 @@
 // No descriptor is held for one that neither reads nor closes.
 TEST(NodeViewers, ALingeringCloseEnds) {
     VirtualDay day;
-    LateReader endless(day.machine(13), day.front->at());
+    LateReader endless(day.machine(13), day.front->endpoint());
     const std::string bad = VirtualDay::start(77, "unheard").dump() + "\n";
     endless.say(bad + bad + bad + bad);
     day.run(100'000);
@@ -88,7 +88,7 @@
     }
     endless.readOn();
     EXPECT_TRUE(endless.broken);  // it talks on
-    LateReader still(day.machine(13), day.front->at());
+    LateReader still(day.machine(13), day.front->endpoint());
     still.say(bad + bad + bad + bad);
     day.run(1'500'000);
     still.say("x");
@@ -129,18 +129,18 @@
 // Idle connections, tests and a change log that is away: the list, media servers and viewers get theirs.
 TEST(NodeViewers, ACrowdLeavesDescriptorsForTheChangeLogAndMediaServers) {
     VirtualDay day;
-    const net::Endpoint at = day.log->at();
+    const net::Endpoint at = day.log->endpoint();
     day.log.reset();
     std::vector<std::unique_ptr<fakes::PlatformConnection>> crowd;
     for (int i = 0; i < 600; ++i) {
-        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->at(),
+        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
                                                                     [](auto&, const Json&) {}));
         if (i % 2) crowd.back()->bytes(kTest);
         if (i % 20 == 0) day.run(10'000);
     }
     day.log = std::make_unique<fakes::PlatformChangeLog>(day.machine(10), at);
     day.log->last = 1;
-    day.log->add({{0, day.servers[0]->at(), 1, 0}});
+    day.log->add({{0, day.servers[0]->endpoint(), 1, 0}});
     day.run(500'000);
     ASSERT_FALSE(day.log->asked.empty());
     day.viewers = day.line();
@@ -211,7 +211,7 @@
         EXPECT_EQ(day.front->remembered(), 0u) << how;
     }
     VirtualDay day(1);  // a set-up and the close in one segment: nothing of it is left
-    LateReader both(day.machine(13), day.front->at());
+    LateReader both(day.machine(13), day.front->endpoint());
     both.say(VirtualDay::start(1).dump() + "\n");
     day.world.step(day.world.now() + kSecond);
     both.stream.reset();
@@ -248,7 +248,7 @@
     day.run(100'000);
     day.servers[0]->die();
     day.run(500'000);
-    LateReader late(day.machine(13), day.front->at());
+    LateReader late(day.machine(13), day.front->endpoint());
     std::string all = VirtualDay::start(5000).dump() + "\n";
     for (int i = 0; i < 5200; ++i) all += kTest;  // what is on its way to it fills its buffer already
     late.say(all);
@@ -409,7 +409,7 @@
 // A release that its viewer has no room for yet is waited for.
 TEST(NodeEnd, WaitsUntilWhatItSaidIsTaken) {
     VirtualDay day;
-    LateReader late(day.machine(13), day.front->at());
+    LateReader late(day.machine(13), day.front->endpoint());
     late.say(VirtualDay::start(1).dump() + "\n");
     day.run(500'000);
     std::string tests;
