--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -54,7 +54,7 @@
     real.onSignals({SIGTERM, SIGINT}, [&](int) {
         if (++stops > 1) return real.stop();  // asked twice: at once
         std::fprintf(stderr, "valekeel: stopping; what was taken is answered first\n");
-        front.stop(front.stopWithin(), [&] { real.stop(); });
+        front.stop(front.stopTimeout(), [&] { real.stop(); });
     });
     real.run();
     return kDone;
--- a/src/fakes/player.cpp
+++ b/src/fakes/player.cpp
@@ -54,7 +54,7 @@
 }
 
 void Player::closeConnection() {
-    if (conn_ && conn_->spokeUnasked()) ledger_.add(line("second-answer"));
+    if (conn_ && conn_->receivedUnsolicitedBytes()) ledger_.add(line("second-answer"));
     if (conn_) conn_->abandon();
     dead_ = std::move(conn_);
     bury_.soon();
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -493,8 +493,8 @@
             return;
         }
         if (!told.learntFile.empty()) keepLearnt();
-        if (sip) sip->finishUp();
-        face->finishUp([this] {
+        if (sip) sip->shutDown();
+        face->shutDown([this] {
             const core::CoreCounts& c = core->counts();
             line(logging::Level::Info, "stopped",
                  {{"asked", c.asked},
@@ -538,7 +538,7 @@
     parts_->stopBy = parts_->net.now() + playOn;
     parts_->stopping.after(0);
 }
-Micros Front::stopWithin() const {
+Micros Front::stopTimeout() const {
     return parts_->told.stopWithin;
 }
 void Front::flush() {
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -35,7 +35,7 @@
     // Nothing new is taken; what was taken is answered; what plays goes on for `playOn`, then ends. Calls
     // back once all is said.
     void stop(Micros playOn, std::function<void()> done);
-    Micros stopWithin() const;
+    Micros stopTimeout() const;
     void flush();
 
     // Reads all settings, starts nothing. Throws as above.
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -747,12 +747,12 @@
     return words;
 }
 
-void HttpFrontend::finishUp(std::function<void()> done) {
+void HttpFrontend::shutDown(std::function<void()> done) {
     stopping_ = true;
     std::vector<Viewer*> all;
     for (auto& [token, viewer] : viewers_) all.push_back(viewer.get());
     for (Viewer* viewer : all) endViewer(*viewer, true);
-    server_->finishUp(std::move(done));
+    server_->shutDown(std::move(done));
 }
 
 std::string HttpFrontend::statusText() const {
--- a/src/frontends/http/http_frontend.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -47,7 +47,7 @@
     // Nothing new is taken from now on; what plays goes on.
     void stopAccepting() { stopping_ = true; }
     // Ends what plays, and calls back when all is said.
-    void finishUp(std::function<void()> done);
+    void shutDown(std::function<void()> done);
     std::size_t viewers() const { return viewers_.size(); }
     const hints::DropCounts& hintsDropped() const { return hintsDropped_; }
     const logging::TraceContext* traceOf(SubId) const;
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -733,7 +733,7 @@
     return words;
 }
 
-void SipFrontend::finishUp() {
+void SipFrontend::shutDown() {
     stopping_ = true;
     std::vector<Call*> all;
     for (auto& [id, call] : calls_) all.push_back(call.get());
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -54,7 +54,7 @@
     ~SipFrontend() override;
     net::Endpoint endpoint() const { return datagrams_->endpoint(); }
     void stopAccepting() { stopping_ = true; }
-    void finishUp();  // BYE to all that play
+    void shutDown();  // BYE to all that play
     std::size_t calls() const { return calls_.size(); }
     std::size_t transactions() const { return transactions_.size(); }
     std::uint64_t absorbed() const { return transactions_.absorbed(); }
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -50,7 +50,7 @@
     // The peer closed it while nothing was out.
     bool lost() const { return ended_ || !stream_; }
     // It sent bytes that nobody had asked for: a second answer, say.
-    bool spokeUnasked() const { return unasked_; }
+    bool receivedUnsolicitedBytes() const { return unasked_; }
 
   private:
     void onConnected() override;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -334,7 +334,7 @@
     if (finishing_ && open_.empty() && idle_) std::exchange(idle_, nullptr)();
 }
 
-void Server::finishUp(std::function<void()> idle) {
+void Server::shutDown(std::function<void()> idle) {
     listener_.reset();
     finishing_ = true;
     idle_ = std::move(idle);
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -63,7 +63,7 @@
     std::size_t connections() const { return open_.size(); }
     void stopListening() { listener_.reset(); }
     // No new requests; connections close as their answers are done. `idle` is called when none is left.
-    void finishUp(std::function<void()> idle);
+    void shutDown(std::function<void()> idle);
     void resetAll();  // every connection ends at once with a reset
     void listenAgain();
 
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -31,12 +31,12 @@
     out_->flush();
 }
 
-bool Log::wants(Level level) const {
+bool Log::isEnabled(Level level) const {
     return level >= least_;
 }
 
 void Log::write(Level level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields) {
-    if (!wants(level)) return;
+    if (!isEnabled(level)) return;
     if (level == Level::Warning) {
         auto it = kinds_.find(what);
         if (it == kinds_.end()) it = kinds_.emplace(std::string(what), Kind{}).first;
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -25,7 +25,7 @@
     // `path`: a file that is appended to; "-" for standard output; empty for nowhere.
     Log(const std::string& path, Level least, int warningsASecond);
     ~Log();
-    bool wants(Level) const;
+    bool isEnabled(Level) const;
     // `now` on the front's own clock; `wall` since 1970. Both go into the line.
     void write(Level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields);
     void flush();
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -112,7 +112,7 @@
         for (const RoomType& r : rooms_) meanBenefit_ += r.benefit / static_cast<double>(rooms_.size());
         uplinks_.resize(static_cast<std::size_t>(fleet_.racks));
         host_.wakeAfter(kRound, "sweep");
-        if (fleet_.listAsked) host_.followList();
+        if (fleet_.listOnRequest) host_.followList();
     }
 
     // ================= what happens =================
@@ -162,7 +162,7 @@
 
     // The list held still applies. All fronts may have failed together, so they ask again apart.
     void onServerListFailure() {
-        if (fleet_.listAsked)
+        if (fleet_.listOnRequest)
             host_.wakeAfter(std::uniform_int_distribution<Micros>(kAskAgain, 2 * kAskAgain)(chance_), "list");
     }
 
@@ -459,7 +459,7 @@
 
     // What a media server's link gives, as told; less while it is young, as its link is cold too.
     double nominalKb(const Sfu& s) const {
-        return fleet_.sizesTold ? fleet_.linkKbPerSize * s.size : kbPerPlace_ * placesOf(s);
+        return fleet_.hasSizes ? fleet_.linkKbPerSize * s.size : kbPerPlace_ * placesOf(s);
     }
     double linkKb(Micros now, const Sfu& s) const { return std::max(1.0, nominalKb(s) * warmShare(now, s)); }
 
--- a/src/model/types.hpp
+++ b/src/model/types.hpp
@@ -36,13 +36,13 @@
 struct Fleet {
     int cells = 1;
     int racks = 1;
-    double linksKb = 0;        // all links together
-    double linkKbPerSize = 0;  // link of a media server for each unit of its size
-    double uplinkKb = 0;       // mean uplink of a rack
-    bool sizesTold = false;    // entries of the list carry a size
-    bool listAsked = false;    // the list comes only to those who follow it
-    std::vector<int> places;   // for each kind: streams at most
-    ZoneId zone{};             // the front's own
+    double linksKb = 0;          // all links together
+    double linkKbPerSize = 0;    // link of a media server for each unit of its size
+    double uplinkKb = 0;         // mean uplink of a rack
+    bool hasSizes = false;       // entries of the list carry a size
+    bool listOnRequest = false;  // the list comes only to those who follow it
+    std::vector<int> places;     // for each kind: streams at most
+    ZoneId zone{};               // the front's own
     double fullFrom = 0;  // a media server turns set-ups away while so much of its link is asked; 0: never
 };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -258,13 +258,13 @@
         holders += among;
     }
     void onJoinSent(SubId id, int no, SfuId at, int rung, Micros timeOut) override {
-        if (log.wants(logging::Level::Debug))
+        if (log.isEnabled(logging::Level::Debug))
             say(logging::Level::Debug, "join",
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"rung", rung}, {"time_out", timeOut}});
     }
     void onJoinEnded(SubId id, int no, SfuId at, const core::JoinOutcome& how) override {
         ++ends[static_cast<std::size_t>(how.end)];
-        if (how.end != JoinResult::Played && log.wants(logging::Level::Debug))
+        if (how.end != JoinResult::Played && log.isEnabled(logging::Level::Debug))
             say(logging::Level::Debug, "join ended",
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"why", how.why}, {"took", how.took}});
     }
--- a/src/settings/site_settings.cpp
+++ b/src/settings/site_settings.cpp
@@ -75,8 +75,8 @@
     fleet.linksKb = node.number("links-kb", 0, 1e12);
     fleet.linkKbPerSize = node.number("link-kb-per-size", 0, 1e9, 0);
     fleet.uplinkKb = node.number("uplink-kb", 0, 1e12, 0);
-    fleet.sizesTold = fleet.linkKbPerSize > 0;
-    fleet.listAsked = true;
+    fleet.hasSizes = fleet.linkKbPerSize > 0;
+    fleet.listOnRequest = true;
     fleet.fullFrom = node.number("full-from", 0, 100, 0);
     for (NodeReader& zone : node.childrenNamed("zone")) {
         const std::string name = zone.argument("its name");
--- a/src/setup/setup.cpp
+++ b/src/setup/setup.cpp
@@ -58,8 +58,8 @@
     fleet.uplinkKb = numberOr(video, "rack_link_kb", 0, where);
     fleet.fullFrom = numberOr(video, "full_from", 0, where);
     const std::string weights = textOr(setup, "weights", "none", where);
-    fleet.listAsked = textOr(setup, "discovery", "push", where) == "ask";
-    fleet.sizesTold = weights == "nominal" || weights == "rough";
+    fleet.listOnRequest = textOr(setup, "discovery", "push", where) == "ask";
+    fleet.hasSizes = weights == "nominal" || weights == "rough";
     for (double places : numbers(video, "places_by_kind", where))
         fleet.places.push_back(static_cast<int>(places));
     if (fleet.places.size() != names.kinds.size())
--- a/src/simulation/drill.cpp
+++ b/src/simulation/drill.cpp
@@ -44,7 +44,7 @@
     DrillResult run() {
         for (int id = 0; id < day_.boxes; ++id) {
             const double link =
-                day_.machines.fleet.sizesTold ? day_.machines.fleet.linkKbPerSize : day_.linkKb;
+                day_.machines.fleet.hasSizes ? day_.machines.fleet.linkKbPerSize : day_.linkKb;
             fleet_.add(id, id % day_.machines.fleet.cells, link, day_.machines.fleet.places.front(),
                        environment_->boxAt());
             tell(id, "on");
--- a/src/simulation/environment.cpp
+++ b/src/simulation/environment.cpp
@@ -100,7 +100,7 @@
         node_.resume();
     }
     void requestStop() override {
-        if (front_) front_->stop(front_->stopWithin(), [this] { stopped_ = true; });
+        if (front_) front_->stop(front_->stopTimeout(), [this] { stopped_ = true; });
     }
     void pause() override { node_.pause(); }
     void resume() override { node_.resume(); }
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -124,7 +124,7 @@
         fleet.cells = shape_.servers;
         fleet.linksKb = 1e6 * shape_.servers;
         fleet.linkKbPerSize = 1e6;
-        fleet.sizesTold = true;
+        fleet.hasSizes = true;
         fleet.places = {shape_.places};
         f.logic = std::make_unique<Logic>(f, now, dice_(), shape_.fronts,
                                           Ladder{{100, 300, 900}, {.3, .7, 1}, 8, .5, 1}, std::vector{room},
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -120,7 +120,7 @@
     EXPECT_EQ(setup::parseSubscriptionLimits(pier, "pier").maxJoins, 1);
     EXPECT_FALSE(setup::parseSubscriptionLimits(pier, "pier").retryAfter);
     EXPECT_EQ(setup::parseColdStartLimits(pier, "pier").tipAfter, 700'000);
-    EXPECT_FALSE(setup::parseFleet(pier, setup::parseNames(pier, "pier"), "pier").sizesTold);
+    EXPECT_FALSE(setup::parseFleet(pier, setup::parseNames(pier, "pier"), "pier").hasSizes);
     EXPECT_EQ(setup::parseServingCosts(pier, "pier").crossZone, 0);
     const auto budget = setup::parseJoinBudget(halls, "halls");
     ASSERT_TRUE(budget);
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -189,8 +189,8 @@
     EXPECT_EQ(rig.count("answer", 200), 7);
     EXPECT_EQ(rig.count("segment-lost"), 0);
     const auto& dropped = rig.front->httpFrontend().hintsDropped();
-    for (const auto why : {hints::Dropped::Malformed, hints::Dropped::Twice, hints::Dropped::TooLong,
-                           hints::Dropped::Contradicts, hints::Dropped::OutOfRange})
+    for (const auto why : {hints::DropReason::Malformed, hints::DropReason::Twice, hints::DropReason::TooLong,
+                           hints::DropReason::Contradicts, hints::DropReason::OutOfRange})
         EXPECT_GT(dropped[static_cast<std::size_t>(why)], 0u) << hints::nameOf(why);
     rig.expectRules();
 }
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -178,7 +178,7 @@
     owed->stream->write("GET /owed HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(rig.until([&] { return rig.echo.held.size() == 1; }));
     bool done = false;
-    rig.server->finishUp([&] { done = true; });
+    rig.server->shutDown([&] { done = true; });
     ASSERT_TRUE(rig.until([&] { return idle->ended; }));
     EXPECT_FALSE(done);
     rig.echo.held[0]->respond(200, {}, "owed");
--- a/tests/logic_fixture.hpp
+++ b/tests/logic_fixture.hpp
@@ -25,7 +25,7 @@
     Micros every = 2 * kSecond;
     Micros launched = 0;
     bool stale = false;
-    bool listAsked = false;
+    bool listOnRequest = false;
     unsigned seed = 11;
     double joinPart = 1;  // below 1: the room type "room" is live, and its viewers share streams
     double fullFrom = 0;
@@ -54,7 +54,7 @@
                   10'000,
                   10'000.0 * s.sfus / 2,
                   true,
-                  s.listAsked,
+                  s.listOnRequest,
                   {24},
                   ZoneId{},
                   s.fullFrom},
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -47,7 +47,7 @@
 }
 
 TEST(List, IsAskedForAgainWhereItMustBeAndFailed) {
-    Rig rig(Site{.listAsked = true});
+    Rig rig(Site{.listOnRequest = true});
     EXPECT_EQ(rig.follows, 1);
     rig.logic->onServerListFailure(rig.now);
     rig.run(2 * kSecond);
