--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -10,9 +10,9 @@
 
 #include "audit/audit.hpp"
 #include "charts/charts.hpp"
+#include "fakes/caller.hpp"
 #include "front/front.hpp"
-#include "stage.hpp"
-#include "standins/caller.hpp"
+#include "front_fixture.hpp"
 
 namespace valekeel {
 namespace {
@@ -21,7 +21,7 @@
 
 enum class Listens { No, Yes };  // to oc, RFC 7339
 
-class Flood final : net::DatagramUser {
+class Flood final : net::DatagramHandler {
   public:
     Flood(net::EpollNet& net, const net::Endpoint& front, double rate, Micros lasts, Listens listens,
           std::uint64_t seed)
@@ -32,8 +32,8 @@
           listens_(listens),
           chance_(seed),
           pace_(net, [this] { pace(); }) {
-        socket_ = net.bind(*net::endpointOf("127.0.0.1:0"), *this);
-        me_ = net::text(socket_->at());
+        socket_ = net.bind(*net::parseEndpoint("127.0.0.1:0"), *this);
+        me_ = net::toString(socket_->endpoint());
         begun_ = net.now();
         pace();
     }
@@ -52,13 +52,13 @@
     std::string text(const Call& c, const char* method, int cseq, const std::string& branch,
                      const std::string& toTag, const std::string& more, const std::string& body) {
         const std::string n = std::to_string(c.number);
-        return std::string(method) + " sip:t@" + net::text(front_) +
+        return std::string(method) + " sip:t@" + net::toString(front_) +
                ";room=open SIP/2.0\r\nVia: SIP/2.0/UDP " + me_ + ";branch=z9hG4bK" + branch + n +
                (listens_ == Listens::Yes ? ";oc;oc-algo=\"loss\"" : "") +
                "\r\nMax-Forwards: 70\r\nFrom: <sip:f@" + me_ + ">;tag=f" + n + "\r\nTo: <sip:t@" +
-               net::text(front_) + ">" + (toTag.empty() ? "" : ";tag=" + toTag) + "\r\nCall-ID: " + n + "-" +
-               me_.substr(me_.rfind(':') + 1) + "@flood\r\nCSeq: " + std::to_string(cseq) + " " + method +
-               "\r\nContact: <sip:f@" + me_ + ">\r\n" + more +
+               net::toString(front_) + ">" + (toTag.empty() ? "" : ";tag=" + toTag) + "\r\nCall-ID: " + n +
+               "-" + me_.substr(me_.rfind(':') + 1) + "@flood\r\nCSeq: " + std::to_string(cseq) + " " +
+               method + "\r\nContact: <sip:f@" + me_ + ">\r\n" + more +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
     void put(const std::string& bytes) {
@@ -121,7 +121,7 @@
         const auto from = at + what.size();
         return text.substr(from, text.find("\r\n", from) - from);
     }
-    void received(const net::Endpoint&, std::string_view bytes) override {
+    void onDatagram(const net::Endpoint&, std::string_view bytes) override {
         if (bytes.compare(0, 8, "SIP/2.0 ") != 0) return;
         const int status = std::atoi(std::string(bytes.substr(8, 3)).c_str());
         const std::uint64_t n =
@@ -177,7 +177,7 @@
 int floodProcess(char** argv) {  // --flood FRONT RATE SECONDS LISTENS FILE
     net::EpollNet net(9);
     const double span = std::atof(argv[4]);
-    Flood flood(net, *net::endpointOf(argv[2]), std::atof(argv[3]), static_cast<Micros>(span * 1e6),
+    Flood flood(net, *net::parseEndpoint(argv[2]), std::atof(argv[3]), static_cast<Micros>(span * 1e6),
                 argv[5][0] == 'y' ? Listens::Yes : Listens::No, 9);
     net::Timer end(net, [&] { net.stop(); });
     end.after(static_cast<Micros>((span + 6) * 1e6));
@@ -209,7 +209,7 @@
     std::vector<net::Process> floods;
     for (int i = 0; i < 2; ++i)
         floods.emplace_back(std::vector<std::string>{
-            self, "--flood", net::text(s.sip), std::to_string(rate / 2), std::to_string(kSpan),
+            self, "--flood", net::toString(s.sip), std::to_string(rate / 2), std::to_string(kSpan),
             listens == Listens::Yes ? "y" : "n", file + std::to_string(i)});
     double used = 0, busiest = 0;
     const Micros from = s.net.now();
@@ -271,14 +271,14 @@
         std::fflush(stdout);
     }
     Stage s(10, 1'000, "silent-after=\"60s\"", "sip listen=\"127.0.0.1:0\" transactions=200000\n");
-    struct Ear : net::DatagramUser {
+    struct Ear : net::DatagramHandler {
         std::uint64_t heard = 0;
-        void received(const net::Endpoint&, std::string_view) override { ++heard; }
+        void onDatagram(const net::Endpoint&, std::string_view) override { ++heard; }
     } ear;
-    const auto socket = s.net.bind(*net::endpointOf("127.0.0.1:0"), ear);
+    const auto socket = s.net.bind(*net::parseEndpoint("127.0.0.1:0"), ear);
     const auto invite = [&](const char* title, int n) {
-        const std::string me = net::text(socket->at()), id = std::to_string(n);
-        return "INVITE sip:" + std::string(title) + "@" + net::text(s.sip) +
+        const std::string me = net::toString(socket->endpoint()), id = std::to_string(n);
+        return "INVITE sip:" + std::string(title) + "@" + net::toString(s.sip) +
                ";room=open SIP/2.0\r\nVia: SIP/2.0/UDP " + me + ";branch=z9hG4bK" + id +
                "\r\nMax-Forwards: 70\r\nFrom: <sip:f@" + me + ">;tag=f" + id +
                "\r\nTo: <sip:t@x>\r\nCall-ID: " + id + "\r\nCSeq: 1 INVITE\r\nContact: <sip:f@" + me +
@@ -308,21 +308,21 @@
 int weather(int many, const char* ledgerFile) {
     net::raiseDescriptorLimit();
     net::EpollNet net(3);
-    standins::Ledger ledger;
-    standins::BoxMake make;
+    fakes::Ledger ledger;
+    fakes::BoxConfig make;
     make.rungKb = {10};
     make.rateFactors = {{"open", 1}, {"paid", 1}};
     make.setUp = 300'000;
     make.setUpsAtOnce = 10'000;
     make.forgetAfter = 600 * kSecond;
-    standins::BoxFleet fleet(net, make, 1, 0, 1, ledger);
-    standins::ListServer list(net, *net::endpointOf("127.0.0.1:0"), ledger);
+    fakes::BoxFleet fleet(net, make, 1, 0, 1, ledger);
+    fakes::ListServer list(net, *net::parseEndpoint("127.0.0.1:0"), ledger);
     for (int i = 0; i < 4; ++i) {
-        auto& box = fleet.add(i, i, 1e6, 10'000, *net::endpointOf("127.0.0.1:0"));
-        standins::ListedBox listed;
+        auto& box = fleet.add(i, i, 1e6, 10'000, *net::parseEndpoint("127.0.0.1:0"));
+        fakes::ListedBox listed;
         listed.id = i;
         listed.cell = i;
-        listed.at = net::text(box.at());
+        listed.at = net::toString(box.endpoint());
         listed.kind = "k";
         list.put({listed});
     }
@@ -333,20 +333,20 @@
         "fleet cells=4 links-kb=4000000 link-kb-per-size=1000000 { kind \"k\" places=10000; }\n"
         "sip listen=\"127.0.0.1:0\" min-session=\"10s\" session=\"60s\" hold-every=\"5s\"\n"
         "talk \"t\" holders=4\nlog level=\"error\"\nlist stream=\"" +
-        net::text(list.at()) + "\" path=\"/boxes?front=a\"\n";
+        net::toString(list.endpoint()) + "\" path=\"/boxes?front=a\"\n";
     front::Front front(net, settings::Document::fromText("site.kdl", site), 5, 1);
     const auto turnUntil = [&](const std::function<bool()>& holds, Micros most) {
         const Micros end = net.now() + most;
-        while (!holds() && net.now() < end) net.turn(20'000);
+        while (!holds() && net.now() < end) net.runOnce(20'000);
         return holds();
     };
     turnUntil([] { return false; }, kSecond);
     int active = 0;
-    std::vector<std::unique_ptr<standins::Caller>> callers;
+    std::vector<std::unique_ptr<fakes::Caller>> callers;
     std::mt19937_64 chance(11);
     const Micros from = net.now();
     for (int i = 0; i < many; ++i) {
-        standins::CallPlan plan;
+        fakes::CallPlan plan;
         plan.title = "t";
         plan.room = i % 2 ? "paid" : "open";
         plan.timeout = 4 * kSecond;
@@ -357,13 +357,14 @@
         plan.refreshes = plan.says;
         if (i % 7 == 0) plan.cancelAfter = std::uniform_int_distribution<Micros>(1, 2 * kSecond)(chance);
         ++active;
-        callers.push_back(std::make_unique<standins::Caller>(net, i, front.sip()->at(), "a", plan,
-                                                             standins::Weather{0.1, 0.05, 800'000}, chance(),
-                                                             ledger, [&] { --active; }));
+        callers.push_back(std::make_unique<fakes::Caller>(net, i, front.sipFrontend()->endpoint(), "a", plan,
+                                                          fakes::NetworkConditions{0.1, 0.05, 800'000},
+                                                          chance(), ledger, [&] { --active; }));
         callers.back()->start();
         turnUntil([] { return false; }, 25'000);
     }
-    turnUntil([&] { return front.sip()->calls() == 0 && front.sip()->transactions() == 0; }, 200 * kSecond);
+    turnUntil([&] { return front.sipFrontend()->calls() == 0 && front.sipFrontend()->transactions() == 0; },
+              200 * kSecond);
     const Micros toQuiet = net.now() - from;
     turnUntil([] { return false; }, kSecond);  // what was given back last is still on its way to its box
     if (ledgerFile) {
@@ -373,7 +374,7 @@
     std::map<int, int> finals;
     int charged = 0, twice = 0, never = 0, plays = 0, given = 0;
     std::set<std::string> paid;
-    for (const standins::Line& l : ledger.lines()) {
+    for (const fakes::Line& l : ledger.lines()) {
         if (l.what == "answer") ++finals[l.status];
         if (l.what == "second-answer") ++twice;
         if (l.what == "no-answer") ++never;
@@ -388,7 +389,7 @@
     terms.rooms["open"] = {4 * kSecond, false, 0, 0};
     terms.rooms["paid"] = {4 * kSecond, true, 0, 0};
     const auto breaches = audit::all(ledger, terms, {});
-    const auto& c = front.sip()->counts();
+    const auto& c = front.sipFrontend()->counts();
     std::printf(
         "\n%d calls in weather (10%% lost each way, 5%% twice, up to 800 ms late and out of order):\n", many);
     for (const auto& [status, n] : finals) std::printf("  answered %d: %d\n", status, n);
@@ -399,12 +400,13 @@
         "%llu, expired %llu\n  left after %.0f s: calls %zu, transactions %zu, subscriptions %zu; played at "
         "boxes %d, given back %d\n  rules broken: %zu\n",
         twice, never, charged, paid.size(), static_cast<unsigned long long>(c.invites),
-        static_cast<unsigned long long>(c.messages), static_cast<unsigned long long>(front.sip()->absorbed()),
+        static_cast<unsigned long long>(c.messages),
+        static_cast<unsigned long long>(front.sipFrontend()->absorbed()),
         static_cast<unsigned long long>(c.cancelled), static_cast<unsigned long long>(c.unacknowledged),
-        static_cast<unsigned long long>(c.expired), seconds(toQuiet), front.sip()->calls(),
-        front.sip()->transactions(), front.core().held(), plays, given, breaches.size());
+        static_cast<unsigned long long>(c.expired), seconds(toQuiet), front.sipFrontend()->calls(),
+        front.sipFrontend()->transactions(), front.core().subscriptionCount(), plays, given, breaches.size());
     for (const auto& b : breaches) std::printf("  rule %d: %s\n", b.rule, b.what.c_str());
-    return breaches.empty() && twice == 0 && front.sip()->calls() == 0 ? 0 : 1;
+    return breaches.empty() && twice == 0 && front.sipFrontend()->calls() == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/bench/structures.cpp
+++ b/bench/structures.cpp
@@ -6,9 +6,9 @@
 #include <random>
 #include <vector>
 
-#include "admission/networks.hpp"
-#include "crowd/fairshare.hpp"
-#include "net/wheel.hpp"
+#include "admission/prefix_trie.hpp"
+#include "net/timer_wheel.hpp"
+#include "workload/fairshare.hpp"
 
 namespace valekeel {
 namespace {
@@ -21,18 +21,18 @@
 void wheel(benchmark::State& state) {
     const auto many = static_cast<std::size_t>(state.range(0));
     std::mt19937_64 chance(1);
-    std::vector<net::WheelNode> nodes(many);
-    net::Wheel w(0);
+    std::vector<net::TimerNode> nodes(many);
+    net::TimerWheel w(0);
     Micros now = 0;
     for (auto& n : nodes) w.add(n, now + static_cast<Micros>(chance() % kSpan));
     const Micros step = std::max<Micros>(1, kSpan / static_cast<Micros>(many) * (10 - kCancelledOfTen) / 10);
     std::size_t at = 0;
     for (auto _ : state) {
-        net::WheelNode& n = nodes[at];
+        net::TimerNode& n = nodes[at];
         at = (at + 7919) % many;
         w.add(n, now + kSpan);  // the one that waited there is cancelled by it, if it has not fired
         now += step;
-        while (net::WheelNode* due = w.due(now)) benchmark::DoNotOptimize(due);
+        while (net::TimerNode* due = w.due(now)) benchmark::DoNotOptimize(due);
     }
 }
 
@@ -174,14 +174,14 @@
 void fairShareIndexed(benchmark::State& state) {
     const auto many = static_cast<std::size_t>(state.range(0));
     Sites sites(many);
-    crowd::FairShare share;
+    workload::FairShare share;
     for (const double c : sites.capacities) share.addLink(c);
     const auto one = [&] {
         const auto p = sites.path();
-        return share.join(std::array{crowd::LinkNo{p[0]}, crowd::LinkNo{p[1]}, crowd::LinkNo{p[2]}},
+        return share.join(std::array{workload::LinkNo{p[0]}, workload::LinkNo{p[1]}, workload::LinkNo{p[2]}},
                           sites.cap());
     };
-    std::vector<crowd::BundleNo> flows;
+    std::vector<workload::BundleNo> flows;
     for (std::size_t i = 0; i < many; ++i) flows.push_back(one());
     share.settle();
     for (auto _ : state) {
--- a/fuzz/hints.cpp
+++ b/fuzz/hints.cpp
@@ -4,7 +4,7 @@
 
 #include "hints/cmcd.hpp"
 #include "hints/cmsd.hpp"
-#include "record/trace.hpp"
+#include "logging/trace_context.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace valekeel::hints;
@@ -25,8 +25,8 @@
         if (!write(*dictionary)) std::abort();
     CmsdEntry entry;
     entry.by = "f";
-    if (!parseList(appended(text, entry))) std::abort();
+    if (!parseList(appendEntry(text, entry))) std::abort();
     parseCmsdStatic(text);
-    valekeel::record::parseTraceParent(text);
+    valekeel::logging::parseTraceParent(text);
     return 0;
 }
--- a/src/wirehost/wire.hpp
+++ b/src/adapter/simulator_adapter.hpp
@@ -10,16 +10,16 @@
 
 #include "setup/values.hpp"
 
-namespace valekeel::wire {
+namespace valekeel::adapter {
 
-using BadLine = setup::Bad;  // what is wrong with a line, and where
+using InvalidMessage = setup::InvalidValue;  // what is wrong with a line, and where
 
 class Front;
 
-class Wire {
+class SimulatorAdapter {
   public:
-    Wire();
-    ~Wire();
+    SimulatorAdapter();
+    ~SimulatorAdapter();
     std::string reply(const std::string& batch);  // one line in, one line out, without the line end
 
   private:
@@ -27,4 +27,4 @@
     std::map<std::int64_t, nlohmann::json> lists_;  // by number: kinds and zones are named by each front
 };
 
-}  // namespace valekeel::wire
+}  // namespace valekeel::adapter
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -12,13 +12,13 @@
 #include <random>
 
 #include "experiment/experiment.hpp"
+#include "fakes/list_server.hpp"
 #include "front/front.hpp"
 #include "net/epoll.hpp"
 #include "net/process.hpp"
 #include "node/node.hpp"
-#include "rehearse/baselines.hpp"
-#include "rehearse/drill.hpp"
-#include "standins/list.hpp"
+#include "simulation/baselines.hpp"
+#include "simulation/drill.hpp"
 
 namespace valekeel::cli {
 namespace {
@@ -33,19 +33,20 @@
 
 int serve(const std::string& file, std::uint64_t seed, const std::string& portFile,
           const std::string& decisions, bool withParent) {
-    if (withParent) net::endWithParent();
+    if (withParent) net::killOnParentExit();
     const auto document = settings::Document::fromFile(file);
     net::raiseDescriptorLimit();
     const std::uint64_t used = seed ? seed : someSeed();
     net::EpollNet real(used);
-    const front::OtherDecide other = decisions.empty() ? front::OtherDecide{} : rehearse::baseline(decisions);
+    const front::ModuleOverride other =
+        decisions.empty() ? front::ModuleOverride{} : simulation::baseline(decisions);
     front::Front front(real, document, used, static_cast<std::uint64_t>(real.wallNow() / 1000), other);
-    std::fprintf(stderr, "valekeel: serving on http://%s\n", net::text(front.http()).c_str());
+    std::fprintf(stderr, "valekeel: serving on http://%s\n", net::toString(front.http()).c_str());
     if (!portFile.empty()) {
         {
             std::ofstream out(portFile + ".new");
-            out << net::text(front.http()) << "\n";
-            if (front.sip()) out << net::text(front.sip()->at()) << "\n";
+            out << net::toString(front.http()) << "\n";
+            if (front.sipFrontend()) out << net::toString(front.sipFrontend()->endpoint()) << "\n";
         }
         std::filesystem::rename(portFile + ".new", portFile);
     }
@@ -53,7 +54,7 @@
     real.onSignals({SIGTERM, SIGINT}, [&](int) {
         if (++stops > 1) return real.stop();  // asked twice: at once
         std::fprintf(stderr, "valekeel: stopping; what was taken is answered first\n");
-        front.stop(front.stopWithin(), [&] { real.stop(); });
+        front.stop(front.stopTimeout(), [&] { real.stop(); });
     });
     real.run();
     return kDone;
@@ -63,19 +64,19 @@
 int node(const std::string& level) {
     const char* path = std::getenv("BALANCER_CONFIG");
     if (!path) throw std::invalid_argument("BALANCER_CONFIG names no file");
-    const std::string text = settings::textOfFile(path);
+    const std::string text = settings::readFile(path);
     net::EpollNet real(node::seedOf(node::readConfiguration(path, text)));
-    record::Log log("-", record::levelOf(level), 5);
+    logging::Log log("-", logging::parseLevel(level), 5);
     node::Node front(real, path, text, log);
     real.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int which) {
         if (which != SIGHUP) return front.stop([&] { real.stop(); });
         try {
-            front.reread(settings::textOfFile(path));
+            front.reread(settings::readFile(path));
         } catch (const std::exception& e) {  // half way through being replaced: the one held applies
             std::fprintf(stderr, "valekeel: %s\n", e.what());
         }
     });
-    std::fprintf(stderr, "valekeel: front node on %s\n", net::text(front.at()).c_str());
+    std::fprintf(stderr, "valekeel: front node on %s\n", net::toString(front.endpoint()).c_str());
     real.run();
     log.flush();
     return kDone;
@@ -85,7 +86,7 @@
     const auto document = settings::Document::fromFile(file);
     front::Front::check(document);
     if (print)
-        std::cout << document.inForce();
+        std::cout << document.effectiveText();
     else
         std::cout << file << ": in order\n";
     return kDone;
@@ -95,33 +96,32 @@
 int boxes(const std::string& site, int count, int firstPort, double linkKb, const std::string& listFile,
           const std::string& ledgerFile, Micros length) {
     const auto document = settings::Document::fromFile(site);
-    settings::Cursor top(document);
+    settings::NodeReader top(document);
     const Ladder ladder = settings::readLadder(top);
     const settings::RoomTypes rooms = settings::readRoomTypes(top, ladder);
     const settings::Machines machines = settings::readMachines(top);
     net::raiseDescriptorLimit();
     net::EpollNet net(7);
-    standins::Ledger ledger;
-    standins::BoxMake make;
+    fakes::Ledger ledger;
+    fakes::BoxConfig make;
     make.rungKb = ladder.kb;
     for (const RoomType& r : rooms.types) make.rateFactors[r.name] = r.rateFactor;
-    standins::BoxFleet fleet(net, make, machines.fleet.racks, machines.fleet.uplinkKb, 7, ledger);
-    list::BoxList told;
+    fakes::BoxFleet fleet(net, make, machines.fleet.racks, machines.fleet.uplinkKb, 7, ledger);
+    discovery::ServerList told;
     told.version = 1;
     for (int id = 0; id < count; ++id) {
-        auto at = *net::endpointOf("127.0.0.1:0");
+        auto at = *net::parseEndpoint("127.0.0.1:0");
         if (firstPort > 0) at.port = static_cast<std::uint16_t>(firstPort + id);
         const double link = linkKb > 0 ? linkKb : std::max(1.0, machines.fleet.linkKbPerSize);
-        standins::Box& box =
-            fleet.add(id, id % machines.fleet.cells, link, machines.fleet.places.front(), at);
-        list::BoxLine line;
+        fakes::Box& box = fleet.add(id, id % machines.fleet.cells, link, machines.fleet.places.front(), at);
+        discovery::ServerListEntry line;
         line.sfu.id = SfuId{static_cast<std::uint32_t>(id)};
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
-        line.at = box.at();
+        line.at = box.endpoint();
         told.boxes.push_back(line);
-        std::cerr << "valekeel: box " << id << " on " << net::text(box.at()) << "\n";
+        std::cerr << "valekeel: box " << id << " on " << net::toString(box.endpoint()) << "\n";
     }
-    list::keepList(listFile, told, machines.kinds);
+    discovery::saveServerList(listFile, told, machines.kinds);
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
     net::Timer end(net, [&] { net.stop(); });
     if (length > 0) end.after(length);
@@ -135,11 +135,11 @@
 
 // The list as a stream of server-sent events, out of a file in the list's own form.
 int serveList(const std::string& file, const std::string& listen) {
-    const auto at = net::endpointOf(listen);
+    const auto at = net::parseEndpoint(listen);
     if (!at) throw std::invalid_argument("--listen takes an address and port, as 127.0.0.1:9000");
     net::EpollNet net(5);
-    standins::Ledger ledger;
-    standins::ListServer server(net, *at, ledger);
+    fakes::Ledger ledger;
+    fakes::ListServer server(net, *at, ledger);
     std::string last;
     net::Timer look(net, [&] {
         look.after(200'000);
@@ -149,11 +149,11 @@
         if (text.str() == last || text.str().empty()) return;
         last = text.str();
         const auto document = settings::Document::fromText(file, last);
-        settings::Cursor top(document);
-        top.one("version");
-        std::vector<standins::ListedBox> all;
-        for (settings::Cursor& node : top.each("box")) {
-            standins::ListedBox box;
+        settings::NodeReader top(document);
+        top.optionalChild("version");
+        std::vector<fakes::ListedBox> all;
+        for (settings::NodeReader& node : top.childrenNamed("box")) {
+            fakes::ListedBox box;
             box.id = static_cast<int>(node.numbers("a box's number", 0, 1e9).front());
             box.at = node.text("at", "");
             box.standing = node.choice("standing", {"on", "fading", "off"}, "on");
@@ -161,13 +161,13 @@
             box.kind = node.text("kind", "");
             box.size = node.number("size", 0.001, 1e6, 1);
             box.launchedWall = node.whole("launched-us", 0, 4'000'000'000'000'000, 0);
-            node.finish();
+            node.rejectUnread();
             all.push_back(box);
         }
         server.put(all);
     });
     look.after(0);
-    std::cerr << "valekeel: list on http://" << net::text(server.at()) << "/boxes\n";
+    std::cerr << "valekeel: list on http://" << net::toString(server.endpoint()) << "/boxes\n";
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
     net.run();
     return kDone;
@@ -175,26 +175,26 @@
 
 int play(const std::string& frontText, const std::string& title, const std::string& room, int count,
          Micros watch, const std::string& ledgerFile) {
-    const auto front = net::endpointOf(frontText);
+    const auto front = net::parseEndpoint(frontText);
     if (!front) throw std::invalid_argument("--front takes an address and port, as 127.0.0.1:8080");
     net::raiseDescriptorLimit();
     net::EpollNet net(11);
-    standins::Ledger ledger;
-    std::vector<std::unique_ptr<standins::Player>> players;
+    fakes::Ledger ledger;
+    std::vector<std::unique_ptr<fakes::Player>> players;
     int active = count;
     for (int i = 0; i < count; ++i) {
-        standins::PlayerPlan plan;
+        fakes::PlayerPlan plan;
         plan.title = title;
         plan.room.name = room;
         plan.room.clientTimeout = 5 * kSecond;
         plan.watch = watch;
-        players.push_back(std::make_unique<standins::Player>(
+        players.push_back(std::make_unique<fakes::Player>(
             net, i, plan,
             [&] {
-                return standins::Player::FrontAt{"front", *front};
+                return fakes::Player::FrontAt{"front", *front};
             },
             100 + i, std::vector<double>{}, ledger,
-            [&](standins::Player&) {
+            [&](fakes::Player&) {
                 if (--active == 0) net.stop();
             }));
         players.back()->start();
@@ -202,7 +202,7 @@
     if (active > 0) net.run();
     std::uint64_t segments = 0;
     std::map<int, int> answers;
-    for (const standins::Line& l : ledger.lines()) {
+    for (const fakes::Line& l : ledger.lines()) {
         if (l.what == "segment") ++segments;
         if (l.what == "answer") ++answers[l.status];
         if (l.what == "no-answer") ++answers[0];
@@ -228,7 +228,7 @@
 int playDay(const Played& how) {
     const auto& [file, decisions, given, ledgerFile, jsonFile, sets, seed, real, quiet] = how;
     std::string folder = given;
-    const std::string text = settings::textOfFile(file);
+    const std::string text = settings::readFile(file);
     std::vector<std::pair<std::string, std::string>> changes;
     for (const std::string& one : sets) {
         const auto equals = one.find('=');
@@ -236,8 +236,8 @@
         changes.emplace_back(one.substr(0, equals), one.substr(equals + 1));
     }
     const auto document = settings::Document::fromText(
-        file, changes.empty() ? text : rehearse::withSettings(file, text, changes));
-    rehearse::Day day = rehearse::readDay(document);
+        file, changes.empty() ? text : simulation::withSettings(file, text, changes));
+    simulation::Scenario day = simulation::readScenario(document);
     if (seed) day.seed = seed;
     const bool own = folder.empty();
     if (own)
@@ -246,17 +246,17 @@
                    std::to_string(std::chrono::steady_clock::now().time_since_epoch().count())))
                      .string();
     std::filesystem::create_directories(folder);
-    rehearse::DrillWays ways;
+    simulation::DrillOptions ways;
     ways.real = real;
     ways.program = net::ownProgram();
     ways.folder = folder;
     ways.decisions = decisions;
     if (!quiet) ways.say = [](const std::string& words) { std::cerr << "drill: " << words << std::endl; };
-    standins::Ledger ledger;
-    const rehearse::DrillResult result = rehearse::drill(day, ways, ledger);
-    if (!quiet || jsonFile.empty()) std::cout << rehearse::told(result);
+    fakes::Ledger ledger;
+    const simulation::DrillResult result = simulation::drill(day, ways, ledger);
+    if (!quiet || jsonFile.empty()) std::cout << simulation::summary(result);
     if (!jsonFile.empty()) {  // whole or not at all
-        std::ofstream(jsonFile + ".new") << rehearse::asJson(result);
+        std::ofstream(jsonFile + ".new") << simulation::asJson(result);
         std::filesystem::rename(jsonFile + ".new", jsonFile);
     }
     if (!ledgerFile.empty()) {
@@ -273,7 +273,7 @@
 int experimentPlan(const std::string& file, std::string store, std::string out, bool reportOnly) {
     const auto plan = experiment::readPlan(settings::Document::fromFile(file));
     const std::filesystem::path place(file);
-    experiment::Ways ways;
+    experiment::ExperimentOptions ways;
     ways.program = net::ownProgram();
     ways.folder = place.has_parent_path() ? place.parent_path().string() : ".";
     ways.out = out.empty() ? plan.name + "-report" : out;
@@ -282,7 +282,7 @@
     ways.terminal = ::isatty(STDERR_FILENO) == 1;
     const int failed = reportOnly ? 0 : experiment::carryOut(plan, ways);
     experiment::report(plan, ways);
-    std::cout << settings::textOfFile(ways.out + "/report.md");
+    std::cout << settings::readFile(ways.out + "/report.md");
     return failed ? kFound : kDone;
 }
 
@@ -293,12 +293,12 @@
     const auto first = experiment::measuresOf(experiment::Store(here).of(plan.name));
     const auto second =
         against.empty() ? first : experiment::measuresOf(experiment::Store(against).of(plan.name));
-    std::cout << experiment::compared(first, a, second, b.empty() ? a : b);
+    std::cout << experiment::comparisonTable(first, a, second, b.empty() ? a : b);
     return kDone;
 }
 
 int listTroubles() {
-    for (const rehearse::TroubleKind& k : rehearse::troubleKinds()) {
+    for (const simulation::FaultKind& k : simulation::faultKinds()) {
         std::string takes;
         for (const std::string& t : k.takes) takes += (takes.empty() ? "" : " ") + t;
         std::printf("%-17s %s\n%-17s takes: %s%s\n", k.name.c_str(), k.what.c_str(), "",
@@ -491,7 +491,7 @@
     }
     try {
         return chosen();
-    } catch (const settings::Wrong& e) {
+    } catch (const settings::SettingsError& e) {
         std::cerr << e.what() << "\n";
         return kWrongCall;
     } catch (const std::invalid_argument& e) {
--- a/src/list/list.cpp
+++ b/src/discovery/server_list.cpp
@@ -1,11 +1,11 @@
-#include "list/list.hpp"
+#include "discovery/server_list.hpp"
 
 #include <algorithm>
 #include <set>
 
-#include "settings/reading.hpp"
+#include "settings/document.hpp"
 
-namespace valekeel::list {
+namespace valekeel::discovery {
 namespace {
 
 // Days since 1970 of a date of the proleptic Gregorian calendar.
@@ -36,58 +36,59 @@
 
 }  // namespace
 
-BoxList parseList(const std::string& file, const std::string& text, const Names& names,
-                  const ListLimits& limits) {
+ServerList parseServerList(const std::string& file, const std::string& text, const ListNames& names,
+                           const ServerListLimits& limits) {
     const settings::Document document = settings::Document::fromText(file, text);
     if (text.size() > limits.bytes)
-        document.wrong({}, "the list is longer than " + std::to_string(limits.bytes) + " bytes");
-    settings::Cursor top(document);
-    BoxList out;
-    if (auto version = top.one("version")) {
+        document.fail({}, "the list is longer than " + std::to_string(limits.bytes) + " bytes");
+    settings::NodeReader top(document);
+    ServerList out;
+    if (auto version = top.optionalChild("version")) {
         const auto number = version->numbers("the version", 0, 9e15);
         out.version = static_cast<std::int64_t>(number.front());
-        version->finish();
+        version->rejectUnread();
     }
     std::set<std::uint32_t> seen;
-    const auto placeOf = [](settings::Cursor& box, const char* what, const std::vector<std::string>& known,
+    const auto placeOf = [](settings::NodeReader& box, const char* what,
+                            const std::vector<std::string>& known,
                             const char* title) {  // the first if the line does not say
-        return box.placeOf(what, known, known.empty() ? "" : known.front(), title, "in the settings");
+        return box.indexOf(what, known, known.empty() ? "" : known.front(), title, "in the settings");
     };
-    for (settings::Cursor& box : top.each("box")) {
+    for (settings::NodeReader& box : top.childrenNamed("box")) {
         if (out.boxes.size() >= limits.boxes)
-            box.wrong("the list names more than " + std::to_string(limits.boxes) + " boxes");
-        BoxLine line;
+            box.fail("the list names more than " + std::to_string(limits.boxes) + " boxes");
+        ServerListEntry line;
         const auto id = box.numbers("a box's number", 0, 4294967295.0);
         if (id.size() != 1 || id[0] != static_cast<double>(static_cast<std::uint32_t>(id[0])))
-            box.wrong("'box' is followed by one whole number");
+            box.fail("'box' is followed by one whole number");
         line.sfu.id = SfuId{static_cast<std::uint32_t>(id[0])};
         if (!seen.insert(line.sfu.id.v).second)
-            box.wrong("box " + std::to_string(line.sfu.id.v) + " stands here a second time");
+            box.fail("box " + std::to_string(line.sfu.id.v) + " stands here a second time");
         const std::string standing = box.choice("standing", {"on", "fading", "off"}, "on");
-        line.sfu.standing = standing == "on"       ? Standing::On
-                            : standing == "fading" ? Standing::Fading
-                                                   : Standing::Off;
-        if (line.sfu.standing != Standing::Off || box.has("at")) line.at = box.address("at");
+        line.sfu.standing = standing == "on"       ? ServerState::On
+                            : standing == "fading" ? ServerState::Draining
+                                                   : ServerState::Off;
+        if (line.sfu.standing != ServerState::Off || box.has("at")) line.at = box.address("at");
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
         line.sfu.size = box.number("size", 0.001, 1'000'000, 1);
         if (!names.kinds.empty())
-            line.sfu.kind = KindId{placeOf(box, "kind", names.kinds, "a kind of machine")};
+            line.sfu.kind = MachineKindId{placeOf(box, "kind", names.kinds, "a kind of machine")};
         line.sfu.zone = ZoneId{placeOf(box, "zone", names.zones, "a zone")};
         if (box.has("launched")) {
             const std::string launched = box.text("launched", "");
             const auto at = instantOf(launched);
-            if (!at) box.wrongOf("launched", "a time in UTC is expected, as \"2026-12-01T09:00:00Z\"");
+            if (!at) box.failProperty("launched", "a time in UTC is expected, as \"2026-12-01T09:00:00Z\"");
             line.sfu.launched = *at;
         }
         if (box.has("launched-us")) line.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
-        box.finish();
+        box.rejectUnread();
         out.boxes.push_back(line);
     }
-    top.finish();
+    top.rejectUnread();
     return out;
 }
 
-std::string writeList(const BoxList& list, const Names& names) {
+std::string formatServerList(const ServerList& list, const ListNames& names) {
     std::vector<settings::Node> nodes;
     const auto number = [](std::int64_t v) {
         return settings::Value{
@@ -98,17 +99,17 @@
     version.name = "version";
     version.arguments.push_back(number(list.version));
     nodes.push_back(version);
-    for (const BoxLine& line : list.boxes) {
+    for (const ServerListEntry& line : list.boxes) {
         settings::Node box;
         box.name = "box";
         box.arguments.push_back(number(line.sfu.id.v));
         const auto put = [&](const char* name, settings::Value v) {
             box.properties.emplace_back(name, std::move(v));
         };
-        if (line.at.port != 0) put("at", text(net::text(line.at)));
-        put("standing", text(line.sfu.standing == Standing::On       ? "on"
-                             : line.sfu.standing == Standing::Fading ? "fading"
-                                                                     : "off"));
+        if (line.at.port != 0) put("at", text(net::toString(line.at)));
+        put("standing", text(line.sfu.standing == ServerState::On         ? "on"
+                             : line.sfu.standing == ServerState::Draining ? "fading"
+                                                                          : "off"));
         put("cell", number(line.sfu.cell.v));
         if (line.sfu.kind.v < names.kinds.size()) put("kind", text(names.kinds[line.sfu.kind.v]));
         if (line.sfu.zone.v < names.zones.size()) put("zone", text(names.zones[line.sfu.zone.v]));
@@ -121,4 +122,4 @@
     return settings::printKdl(nodes);
 }
 
-}  // namespace valekeel::list
+}  // namespace valekeel::discovery
--- a/src/experiment/experiment.cpp
+++ b/src/experiment/experiment.cpp
@@ -14,7 +14,7 @@
 #include "charts/charts.hpp"
 #include "net/epoll.hpp"
 #include "net/process.hpp"
-#include "rehearse/day.hpp"
+#include "simulation/scenario.hpp"
 
 namespace valekeel::experiment {
 namespace {
@@ -64,9 +64,9 @@
 
 }  // namespace
 
-int carryOut(const Plan& plan, const Ways& ways) {
+int carryOut(const Plan& plan, const ExperimentOptions& ways) {
     Store store(ways.store);
-    const std::string program = hashOf(settings::textOfFile(ways.program));
+    const std::string program = hashOf(settings::readFile(ways.program));
     const std::vector<Case> cases = plan.cases();
     const std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("valekeel-experiment-" + hashOf(ways.store + program));
@@ -83,8 +83,8 @@
     for (const Run& run : plan.runs()) {
         const Case& c = cases[run.of];
         Job job;
-        const std::string day = rehearse::withSettings(c.day, settings::textOfFile(ways.folder + "/" + c.day),
-                                                       plan.settingsOf(c));
+        const std::string day = simulation::withSettings(c.day, settings::readFile(ways.folder + "/" + c.day),
+                                                         plan.settingsOf(c));
         job.kept.plan = plan.name;
         job.kept.caseName = plan.nameOf(c);
         job.kept.seed = run.seed;
@@ -97,7 +97,7 @@
             continue;
         }
         // Checked before anything starts: a wrong level must not be found after an hour.
-        rehearse::readDay(settings::Document::fromText(c.day, day));
+        simulation::readScenario(settings::Document::fromText(c.day, day));
         job.day = (folder / (job.kept.key + ".kdl")).string();
         job.json = (folder / (job.kept.key + ".json")).string();
         std::ofstream(job.day) << day;
@@ -121,7 +121,7 @@
             job.process = net::Process(args);
             going.push_back(std::move(job));
         }
-        net.turn(50'000);
+        net.runOnce(50'000);
         for (auto it = going.begin(); it != going.end();) {
             if (it->process.running()) {
                 ++it;
@@ -130,7 +130,7 @@
             ++done;
             ++fresh;
             if (std::filesystem::exists(it->json)) {
-                it->kept.result = settings::textOfFile(it->json);
+                it->kept.result = settings::readFile(it->json);
                 it->kept.load = loadNow();
                 it->kept.seconds = seconds(net.now() - it->begun);
                 store.keep(it->kept);
@@ -149,7 +149,7 @@
     return failed;
 }
 
-void report(const Plan& plan, const Ways& ways) {
+void report(const Plan& plan, const ExperimentOptions& ways) {
     const Store store(ways.store);
     const std::vector<Kept> kept = store.of(plan.name);
     const Measures all = measuresOf(kept);
@@ -255,8 +255,8 @@
     }
 }
 
-std::string compared(const Measures& a, const std::string& caseA, const Measures& b,
-                     const std::string& caseB) {
+std::string comparisonTable(const Measures& a, const std::string& caseA, const Measures& b,
+                            const std::string& caseB) {
     const auto ia = a.find(caseA);
     const auto ib = b.find(caseB);
     if (ia == a.end() || ib == b.end())
--- a/src/standins/box.cpp
+++ b/src/fakes/box.cpp
@@ -1,10 +1,10 @@
-#include "standins/box.hpp"
+#include "fakes/box.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 namespace {
 
 constexpr Micros kTick = 20'000;
@@ -43,24 +43,24 @@
 }  // namespace
 
 // One request that is being worked on.
-class Box::Job final : public http::ExchangeUser {
+class Box::Job final : public http::ExchangeHandler {
   public:
     Job(Box& box, std::uint64_t key, http::Exchange& exchange)
         : box(box),
           key(key),
           exchange(&exchange),
           due(box.fleet_.net_, [this] { this->box.finishSetUp(*this); }) {
-        exchange.heldBy(this);
+        exchange.setHandler(this);
     }
     ~Job() override {
-        if (exchange) exchange->heldBy(nullptr);
+        if (exchange) exchange->setHandler(nullptr);
         if (travels) {
             box.fleet_.roads_->jobs.erase(travels);
             box.fleet_.roads_->transfers.cancel(box.fleet_.net_.now(), travels);
             box.fleet_.arrive_.soon();
         }
     }
-    void gone() override {
+    void onConnectionLost() override {
         exchange = nullptr;
         if (kind == Kind::SetUp) {
             Line l = line;
@@ -87,7 +87,7 @@
     double kb = 0;
     double credit = 0;
     std::uint64_t left = 0;
-    crowd::Transfers::Id travels = 0;
+    workload::Transfers::Id travels = 0;
 };
 
 Box::Box(BoxFleet& fleet, int id, int cell, int rack, double linkKb, int places, const net::Endpoint& at)
@@ -117,10 +117,10 @@
 
 void Box::start(bool cold) {
     if (server_) return;
-    http::WireLimits limits;
+    http::HttpLimits limits;
     limits.idleFor = 30 * kSecond;
     server_ = std::make_unique<http::Server>(fleet_.net_, at_, limits, *this);
-    at_ = server_->at();
+    at_ = server_->endpoint();
     startedAt_ = fleet_.net_.now();
     cold_ = cold;
     arrivals_.clear();
@@ -162,7 +162,7 @@
 
 double Box::warmShare() const {
     const Micros age = fleet_.net_.now() - startedAt_;
-    const BoxMake& m = fleet_.make_;
+    const BoxConfig& m = fleet_.make_;
     if (!cold_ || m.warmUp <= 0 || age >= m.warmUp) return 1;
     return m.firstShare + (1 - m.firstShare) * seconds(age) / seconds(m.warmUp);
 }
@@ -202,7 +202,7 @@
 
 // ================= requests =================
 
-void Box::asked(http::Exchange& exchange) {
+void Box::onRequest(http::Exchange& exchange) {
     const Micros now = fleet_.net_.now();
     const bool stands = trouble.silent || now < trouble.pausedUntil;
     if (!stands && trouble.answersLate == 0) return serve(exchange);
@@ -223,7 +223,7 @@
         const auto it = jobs_.find(key);
         if (it == jobs_.end() || !it->second->exchange) continue;
         http::Exchange* exchange = std::exchange(it->second->exchange, nullptr);
-        exchange->heldBy(nullptr);
+        exchange->setHandler(nullptr);
         drop(key);
         serve(*exchange);
     }
@@ -283,7 +283,7 @@
 }
 
 void Box::setUp(http::Exchange& exchange, const std::string& title, const std::string& query) {
-    const BoxMake& make = fleet_.make_;
+    const BoxConfig& make = fleet_.make_;
     const Micros now = fleet_.net_.now();
     Line l = line("arrive");
     l.trace = traceOf(exchange.head());
@@ -346,7 +346,7 @@
 void Box::finishSetUp(Job& job) {
     if (job.kind == Job::Kind::Held) {  // it was only answered late
         http::Exchange* exchange = std::exchange(job.exchange, nullptr);
-        if (exchange) exchange->heldBy(nullptr);
+        if (exchange) exchange->setHandler(nullptr);
         drop(job.key);
         if (exchange) serve(*exchange);
         return;
@@ -358,7 +358,7 @@
     --setUpsNow_;
     job.working = false;
     http::Exchange* exchange = std::exchange(job.exchange, nullptr);
-    if (exchange) exchange->heldBy(nullptr);
+    if (exchange) exchange->setHandler(nullptr);
     Line l = job.line;
     l.at = fleet_.net_.now();
     drop(job.key);
@@ -370,7 +370,7 @@
         exchange->abort();
         return;
     }
-    const BoxMake& make = fleet_.make_;
+    const BoxConfig& make = fleet_.make_;
     const auto factor = make.rateFactors.find(l.room);
     const int rung = std::clamp(l.rung, 0, static_cast<int>(make.rungKb.size()) - 1);
     Sub& sub = subs_[l.sub];
@@ -390,7 +390,7 @@
 
 void Box::segment(http::Exchange& exchange, const std::string&, int rung, const std::string& file,
                   const std::string& query) {
-    const BoxMake& make = fleet_.make_;
+    const BoxConfig& make = fleet_.make_;
     const std::string key = http::queryValue(query, "sub").value_or("");
     const auto it = subs_.find(key);
     if (it == subs_.end()) return exchange.respond(410, fields("m", 0, false), "");
@@ -455,7 +455,7 @@
     const std::string head = fragmentHead(bytes);
     if (unpaced) {
         http::Exchange* out = std::exchange(job->exchange, nullptr);
-        out->heldBy(nullptr);
+        out->setHandler(nullptr);
         drop(jobKey);
         out->begin(status, f, bytes);
         out->send(head);
@@ -470,7 +470,7 @@
 
 void Box::travel(Job& job) {
     BoxFleet::Roads& r = *fleet_.roads_;
-    std::vector<crowd::LinkNo> path{r.boxes.at(id_)};
+    std::vector<workload::LinkNo> path{r.boxes.at(id_)};
     if (!r.racks.empty()) path.push_back(r.racks[static_cast<std::size_t>(rack_)]);
     const auto sub = subs_.find(job.sub);
     const int member = sub == subs_.end() ? -1 : r.memberOf(sub->second.trace);
@@ -487,7 +487,7 @@
     it->second->travels = 0;
     http::Exchange* exchange = std::exchange(it->second->exchange, nullptr);
     const std::uint64_t left = it->second->left;
-    if (exchange) exchange->heldBy(nullptr);
+    if (exchange) exchange->setHandler(nullptr);
     drop(key);
     if (!exchange) return;
     fleet_.sentBytes += left;
@@ -539,13 +539,13 @@
         }
         if (!jobs_.count(key) || job.left > 0 || !job.exchange) continue;
         http::Exchange* exchange = std::exchange(job.exchange, nullptr);
-        exchange->heldBy(nullptr);
+        exchange->setHandler(nullptr);
         drop(key);
         exchange->finish();
     }
 }
 
-BoxFleet::BoxFleet(net::Net& net, const BoxMake& make, int racks, double uplinkKb, std::uint64_t seed,
+BoxFleet::BoxFleet(net::Net& net, const BoxConfig& make, int racks, double uplinkKb, std::uint64_t seed,
                    Ledger& ledger)
     : uplinkFactor(static_cast<std::size_t>(racks), 1.0),
       net_(net),
@@ -589,7 +589,7 @@
 
 void BoxFleet::capacities() {
     const Micros now = net_.now();
-    const auto set = [&](crowd::LinkNo link, double bytes) {
+    const auto set = [&](workload::LinkNo link, double bytes) {
         if (std::abs(roads_->links.capacity(link) - bytes) > 1e-9 * bytes)
             roads_->transfers.capacity(now, link, bytes);
     };
@@ -604,7 +604,7 @@
 }
 
 void BoxFleet::arrive() {
-    for (const crowd::Transfers::Id id : roads_->transfers.ended(net_.now())) {
+    for (const workload::Transfers::Id id : roads_->transfers.ended(net_.now())) {
         const auto it = roads_->jobs.find(id);
         if (it == roads_->jobs.end()) continue;
         const auto [box, job] = it->second;
@@ -625,4 +625,4 @@
     for (auto& [id, box] : boxes_) box->tick(dt);
 }
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/box.hpp
+++ b/src/fakes/box.hpp
@@ -16,14 +16,14 @@
 #include <string>
 #include <vector>
 
-#include "crowd/fairshare.hpp"
+#include "fakes/ledger.hpp"
 #include "http/server.hpp"
 #include "net/net.hpp"
-#include "standins/ledger.hpp"
+#include "workload/fairshare.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
-struct BoxMake {  // of all boxes of a fleet
+struct BoxConfig {  // of all boxes of a fleet
     std::vector<double> rungKb;
     std::map<std::string, double> rateFactors;  // by room type
     std::map<std::string, int> floors;
@@ -38,7 +38,7 @@
     bool byteRanges = false;
 };
 
-struct Trouble {  // what a script may set, at any time
+struct BoxFaults {  // what a script may set, at any time
     double failPart = 0, losePart = 0, linkFactor = 1, setUpFactor = 1;
     bool liesIdle = false, silent = false, draining = false;
     Micros reportsLate = 0, answersLate = 0, pausedUntil = 0;
@@ -55,8 +55,8 @@
     int rack() const { return rack_; }
     double linkKb() const { return linkKb_; }
     int places() const { return places_; }
-    net::Endpoint at() const { return at_; }
-    Trouble trouble;
+    net::Endpoint endpoint() const { return at_; }
+    BoxFaults trouble;
     bool unpaced = false;  // segments come as fast as the socket takes them
     bool up() const { return server_ != nullptr; }
     Micros startedAt() const { return startedAt_; }
@@ -75,7 +75,7 @@
         double kb = 0;
         Micros heardAt = 0;
     };
-    void asked(http::Exchange&) override;
+    void onRequest(http::Exchange&) override;
     void serve(http::Exchange&);
     void setUp(http::Exchange&, const std::string& title, const std::string& query);
     void segment(http::Exchange&, const std::string& title, int rung, const std::string& file,
@@ -116,7 +116,7 @@
 
 class BoxFleet {
   public:
-    BoxFleet(net::Net&, const BoxMake&, int racks, double uplinkKb, std::uint64_t seed, Ledger&);
+    BoxFleet(net::Net&, const BoxConfig&, int racks, double uplinkKb, std::uint64_t seed, Ledger&);
     Box& add(int id, int cell, double linkKb, int places, const net::Endpoint&);
     Box& box(int id) { return *boxes_.at(id); }
     std::map<int, std::unique_ptr<Box>>& boxes() { return boxes_; }
@@ -134,20 +134,20 @@
   private:
     friend class Box;
     struct Roads {
-        crowd::FairShare links;
-        crowd::Transfers transfers{links};
-        std::vector<crowd::LinkNo> members, racks;
-        std::map<int, crowd::LinkNo> boxes;
+        workload::FairShare links;
+        workload::Transfers transfers{links};
+        std::vector<workload::LinkNo> members, racks;
+        std::map<int, workload::LinkNo> boxes;
         std::vector<double> memberKb;
         std::function<int(const std::string&)> memberOf;
-        std::map<crowd::Transfers::Id, std::pair<int, std::uint64_t>> jobs;  // box, and job there
+        std::map<workload::Transfers::Id, std::pair<int, std::uint64_t>> jobs;  // box, and job there
     };
     void tick();
     void arrive();  // of what the roads brought to an end
     void capacities();
     net::Net& net_;
     std::unique_ptr<Roads> roads_;
-    BoxMake make_;
+    BoxConfig make_;
     int racks_;
     double uplinkKb_;
     std::mt19937_64 chance_;
@@ -157,4 +157,4 @@
     Micros lastTick_;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/caller.hpp
+++ b/src/fakes/caller.hpp
@@ -10,12 +10,12 @@
 #include <random>
 #include <string>
 
+#include "fakes/ledger.hpp"
 #include "net/net.hpp"
-#include "standins/ledger.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
-struct Weather {  // each way
+struct NetworkConditions {  // each way
     double lose = 0, twice = 0;
     Micros delayMost = 0;
 };
@@ -31,10 +31,10 @@
     std::string more;  // further header lines
 };
 
-class Caller final : net::DatagramUser {
+class Caller final : net::DatagramHandler {
   public:
     Caller(net::Net&, int number, const net::Endpoint& front, std::string frontName, const CallPlan&,
-           const Weather&, std::uint64_t seed, Ledger&, std::function<void()> done);
+           const NetworkConditions&, std::uint64_t seed, Ledger&, std::function<void()> done);
     ~Caller() override;
     void start();
     int finals() const { return static_cast<int>(finals_.size()); }
@@ -42,7 +42,7 @@
     bool byed() const { return byed_; }
 
   private:
-    void received(const net::Endpoint&, std::string_view) override;
+    void onDatagram(const net::Endpoint&, std::string_view) override;
     void heard(std::string);  // by value: the timer that brought it may be gone meanwhile
     void put(const std::string&);
     void through(std::function<void()>);
@@ -56,7 +56,7 @@
     net::Endpoint front_;
     std::string frontName_;
     CallPlan plan_;
-    Weather weather_;
+    NetworkConditions weather_;
     std::mt19937_64 chance_;
     Ledger& ledger_;
     std::function<void()> done_;
@@ -70,4 +70,4 @@
     std::vector<std::unique_ptr<net::Timer>> onTheWay_;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/list.hpp
+++ b/src/fakes/list_server.hpp
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
+#include "fakes/ledger.hpp"
 #include "http/server.hpp"
 #include "net/net.hpp"
-#include "standins/ledger.hpp"
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 
 struct ListedBox {
     int id = 0, cell = 0;
@@ -27,7 +27,7 @@
   public:
     ListServer(net::Net&, const net::Endpoint&, Ledger&);
     ~ListServer() override;
-    net::Endpoint at() const { return server_->at(); }
+    net::Endpoint endpoint() const { return server_->endpoint(); }
     void put(const std::vector<ListedBox>&);  // changes; told to all that follow
     // ---- faults ----
     Micros late = 0;         // each event goes out so much later
@@ -38,7 +38,7 @@
 
   private:
     class Stream;
-    void asked(http::Exchange&) override;
+    void onRequest(http::Exchange&) override;
     std::string text(const std::vector<ListedBox>&) const;
     void send(const std::string& type, std::int64_t version, const std::vector<ListedBox>&);
     net::Net& net_;
@@ -53,4 +53,4 @@
     std::vector<std::unique_ptr<net::Timer>> later_;
 };
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/standins/player.cpp
+++ b/src/fakes/player.cpp
@@ -1,9 +1,9 @@
-#include "standins/player.hpp"
+#include "fakes/player.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace valekeel::standins {
+namespace valekeel::fakes {
 Player::Player(net::Net& net, int number, const PlayerPlan& plan, Pick pick, std::uint64_t seed,
                const std::vector<double>& worth, Ledger& ledger, std::function<void(Player&)> done)
     : net_(net),
@@ -54,7 +54,7 @@
 }
 
 void Player::closeConnection() {
-    if (conn_ && conn_->spokeUnasked()) ledger_.add(line("second-answer"));
+    if (conn_ && conn_->receivedUnsolicitedBytes()) ledger_.add(line("second-answer"));
     if (conn_) conn_->abandon();
     dead_ = std::move(conn_);
     bury_.soon();
@@ -127,7 +127,7 @@
                                   target);
     if (!conn_ || !conn_->idle()) {
         closeConnection();
-        conn_ = std::make_unique<http::Connection>(net_, at_, http::WireLimits{}, 2 * kSecond);
+        conn_ = std::make_unique<http::Connection>(net_, at_, http::HttpLimits{}, 2 * kSecond);
     }
     head_ = {};
     body_.clear();
@@ -201,8 +201,8 @@
     timer_.cancel();
     const bool timeLeft = until_ == 0 || net_.now() < until_;
     if (state_ == State::Asking) waited_ += net_.now() - askedAt_;
-    const auto wait = crowd::comesAgain({plan_.returns, plan_.back, plan_.honours, plan_.atOnce}, returns_,
-                                        told, std::uniform_real_distribution<double>(0, 1)(chance_));
+    const auto wait = workload::comesAgain({plan_.returns, plan_.back, plan_.honours, plan_.atOnce}, returns_,
+                                           told, std::uniform_real_distribution<double>(0, 1)(chance_));
     if (!mayRepeat || !wait || !timeLeft) return leave();
     ++returns_;
     state_ = State::Idle;
@@ -221,15 +221,15 @@
     done_(*this);
 }
 
-void Player::answered(const http::ResponseHead& head) {
+void Player::onHead(const http::ResponseHead& head) {
     head_ = head;
 }
-void Player::piece(std::string_view bytes) {
+void Player::onBody(std::string_view bytes) {
     bytes_ += bytes.size();
     if (state_ == State::Asking || state_ == State::Playlist) body_ += bytes;
 }
 
-void Player::failed(http::Failed) {
+void Player::onFailed(http::FetchError) {
     const State was = state_;
     if (was == State::Asking) {
         Line l = line("no-answer");
@@ -243,7 +243,7 @@
     comeAgain(true, std::nullopt);  // it played, and broke: it may come again
 }
 
-void Player::fetched(bool kept) {
+void Player::onFetched(bool kept) {
     if (!kept) closeConnection();
     const int status = head_.status;
     if (state_ == State::Asking) {
@@ -254,9 +254,9 @@
         l.told = head_.fields.find("Retry-After") != nullptr;
         ledger_.add(l);
         if (status == 200) {
-            const auto read = hls::readMultivariant(body_);
+            const auto read = hls::parseMultivariantPlaylist(body_);
             if (!read.got) return leave();
-            media_ = hls::resolved("/talk/x/main.m3u8", read.got->variants.front().uri).value_or("");
+            media_ = hls::resolveReference("/talk/x/main.m3u8", read.got->variants.front().uri).value_or("");
             base_ = media_;
             if (until_ == 0) until_ = net_.now() + plan_.watch;
             waited_ = 0;
@@ -285,7 +285,7 @@
     }
     timer_.cancel();
     if (state_ == State::Playlist) {
-        auto read = hls::readMedia(body_);
+        auto read = hls::parseMediaPlaylist(body_);
         if (!read.got) {
             ledger_.add(line("segment-lost"));
             return comeAgain(true, std::nullopt);
@@ -341,12 +341,12 @@
         if (!map_.empty()) ledger_.add(line("switch"));
         map_ = list_.maps[static_cast<std::size_t>(s.map)].uri;
         state_ = State::Init;
-        return fetch(hls::resolved(base_, map_).value_or("/"));
+        return fetch(hls::resolveReference(base_, map_).value_or("/"));
     }
     buffered_ = std::max(
         0.0, seconds(s.duration) * static_cast<double>(segments_) - seconds(net_.now() - startedAt_));
     state_ = State::Segment;
-    fetch(hls::resolved(base_, s.uri).value_or("/"));
+    fetch(hls::resolveReference(base_, s.uri).value_or("/"));
 }
 
-}  // namespace valekeel::standins
+}  // namespace valekeel::fakes
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -6,14 +6,14 @@
 #include <map>
 #include <sstream>
 
-#include "admission/gate.hpp"
-#include "learnt/learnt.hpp"
-#include "record/log.hpp"
+#include "admission/admission_controller.hpp"
+#include "evidence/evidence_file.hpp"
+#include "logging/log.hpp"
 
 namespace valekeel::front {
 namespace {
 
-using settings::Cursor;
+using settings::NodeReader;
 
 constexpr Micros kHour = 3'600 * kSecond;
 
@@ -23,43 +23,43 @@
     Ladder ladder;
     settings::RoomTypes rooms;
     settings::Machines machines;
-    ColdTerms cold;
+    ColdStartLimits cold;
     std::optional<JoinBudget> budget;
-    Tidings tidings;
-    Allowed allowed;
-    Prices prices;
+    ReportTiming tidings;
+    SubscriptionLimits allowed;
+    ServingCosts prices;
     settings::Talks talks;
     net::Endpoint http;
     std::optional<net::Endpoint> sip;
-    faces::SipTerms sipTerms;
-    http::WireLimits wire;
+    frontends::SipFrontendSettings sipTerms;
+    http::HttpLimits wire;
     hints::HintLimits hints;
-    faces::HttpTerms terms;
-    boxes::BoxLimits boxes;
+    frontends::HttpFrontendSettings terms;
+    upstream::UpstreamLimits boxes;
     core::CoreLimits core;
     Micros deliveryWindow = kSecond;
-    list::ListLimits listLimits;
-    list::FollowTimes listTimes;
+    discovery::ServerListLimits listLimits;
+    discovery::FollowTimings listTimes;
     std::string listFile, listPath, listKept;
     std::string learntFile;
     Micros learntEvery = 2 * kSecond, learntFor = 60 * kSecond;
     std::optional<net::Endpoint> listAt;
-    admission::BoundTerms gateBound;
-    admission::ReturnTerms gateReturns;
-    admission::WayTerms gateWays;
+    admission::ConcurrencyLimitSettings gateBound;
+    admission::RetryLimiterSettings gateReturns;
+    admission::PathCapacitySettings gateWays;
     std::size_t gateConnections = 2'000;
     int prefix4 = 24, prefix6 = 56;
     std::vector<std::pair<admission::Prefix, std::string>> networks;
     std::string logFile = "-";
-    record::Level logLevel = record::Level::Info;
+    logging::Level logLevel = logging::Level::Info;
     int logWarnings = 20;
     Micros stopWithin = 10 * kSecond;
 };
 
-void readWire(Cursor& top, Told& t) {
-    if (auto node = top.one("http")) {
+void readWire(NodeReader& top, Told& t) {
+    if (auto node = top.optionalChild("http")) {
         t.http = node->address("listen");
-        http::WireLimits& w = t.wire;
+        http::HttpLimits& w = t.wire;
         w.headBytes = static_cast<std::uint32_t>(node->whole("head-bytes", 1'024, 1'000'000, w.headBytes));
         w.fields = static_cast<std::uint32_t>(node->whole("fields", 8, 10'000, w.fields));
         w.targetBytes = static_cast<std::uint32_t>(node->whole("target-bytes", 128, 100'000, w.targetBytes));
@@ -69,20 +69,20 @@
         w.idleFor = node->time("idle-for", 100'000, kHour, w.idleFor);
         w.stalledFor = node->time("stalled-for", 100'000, kHour, w.stalledFor);
         w.connections = static_cast<std::uint32_t>(node->whole("connections", 1, 10'000'000, w.connections));
-        node->finish();
+        node->rejectUnread();
     } else {
-        top.wrong("a node 'http' is expected: http listen=\"127.0.0.1:8080\"");
+        top.fail("a node 'http' is expected: http listen=\"127.0.0.1:8080\"");
     }
     {
-        Cursor node = top.here("hints");
+        NodeReader node = top.childOrDefaults("hints");
         t.hints.fieldBytes = static_cast<std::size_t>(node.whole("field-bytes", 64, 100'000, 4'096));
         t.hints.keys = static_cast<std::size_t>(node.whole("keys", 1, 1'000, 64));
         t.hints.customBytes = static_cast<std::size_t>(node.whole("custom-bytes", 1, 10'000, 128));
-        node.finish();
+        node.rejectUnread();
     }
     {
-        Cursor node = top.here("viewers");
-        faces::HttpTerms& v = t.terms;
+        NodeReader node = top.childOrDefaults("viewers");
+        frontends::HttpFrontendSettings& v = t.terms;
         v.window.ahead = node.time("ahead", 0, kHour, v.window.ahead);
         v.window.behind = node.time("behind", 0, kHour, v.window.behind);
         v.silentAfter = node.time("silent-after", 100'000, kHour, v.silentAfter);
@@ -96,14 +96,14 @@
         t.core.subs = static_cast<std::size_t>(node.whole("at-most", 1, 10'000'000, 100'000));
         t.core.answerMargin = node.time("answer-margin", 1'000, kSecond, t.core.answerMargin);
         t.deliveryWindow = node.time("delivery-window", 100'000, 60 * kSecond, t.deliveryWindow);
-        node.finish();
+        node.rejectUnread();
     }
     for (const Micros timeout : t.rooms.clientTimeouts)
         if (timeout <= 2 * t.core.answerMargin)
-            top.wrong("a client timeout of a room type is expected to be over twice viewers answer-margin=");
+            top.fail("a client timeout of a room type is expected to be over twice viewers answer-margin=");
     {
-        Cursor node = top.here("boxes");
-        boxes::BoxLimits& b = t.boxes;
+        NodeReader node = top.childOrDefaults("boxes");
+        upstream::UpstreamLimits& b = t.boxes;
         b.connections = static_cast<std::size_t>(node.whole("connections", 1, 100'000, 256));
         b.waiting = static_cast<std::size_t>(node.whole("waiting", 0, 1'000'000, 1'024));
         b.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, b.connectWithin);
@@ -111,16 +111,16 @@
         b.sureFor = node.time("sure-for", 0, kHour, b.sureFor);
         b.releases = static_cast<std::size_t>(node.whole("releases", 1, 10'000'000, b.releases));
         b.releaseTries = static_cast<int>(node.whole("release-tries", 1, 100, b.releaseTries));
-        node.finish();
+        node.rejectUnread();
     }
     t.core.reportEvery = t.tidings.every;
 }
 
-void readSip(Cursor& top, Told& t) {
-    auto node = top.one("sip");
+void readSip(NodeReader& top, Told& t) {
+    auto node = top.optionalChild("sip");
     if (!node) return;
     t.sip = node->address("listen");
-    faces::SipTerms& s = t.sipTerms;
+    frontends::SipFrontendSettings& s = t.sipTerms;
     s.limits.bytes = static_cast<std::size_t>(node->whole("message-bytes", 1'024, 65'535, 65'535));
     s.limits.headers = static_cast<std::size_t>(node->whole("headers", 16, 10'000, 100));
     s.transactions = static_cast<std::size_t>(node->whole("transactions", 1, 10'000'000, 20'000));
@@ -141,119 +141,119 @@
     s.overload.targetUnread = node->time("target-unread", 1'000, 10 * kSecond, s.overload.targetUnread);
     s.overload.every = node->time("look-every", 10'000, 10 * kSecond, s.overload.every);
     s.overload.ratePerSecond = node->number("rate", 1, 1e6, s.overload.ratePerSecond);
-    node->finish();
+    node->rejectUnread();
 }
 
-void readList(Cursor& top, Told& t) {
-    Cursor node = top.need("list");
+void readList(NodeReader& top, Told& t) {
+    NodeReader node = top.requiredChild("list");
     t.listFile = node.text("file", "");
     if (node.has("stream")) t.listAt = node.address("stream");
     t.listPath = node.text("path", "/boxes");
     if (t.listFile.empty() == !t.listAt)
-        node.wrong("'list' is expected to have either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\"");
+        node.fail("'list' is expected to have either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\"");
     t.listKept = node.text("keep", "");
     t.listTimes.lookEvery = node.time("look-every", 1'000, kHour, t.listTimes.lookEvery);
     t.listTimes.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, t.listTimes.connectWithin);
     t.listTimes.silentFor = node.time("silent-for", 100'000, kHour, t.listTimes.silentFor);
     t.listLimits.boxes = static_cast<std::size_t>(node.whole("boxes", 1, 1'000'000, 4'096));
     t.listLimits.bytes = static_cast<std::size_t>(node.whole("bytes", 1'024, 100'000'000, 1'000'000));
-    node.finish();
+    node.rejectUnread();
 }
 
-void readAdmission(Cursor& top, Told& t) {
-    Cursor node = top.here("admission");
+void readAdmission(NodeReader& top, Told& t) {
+    NodeReader node = top.childOrDefaults("admission");
     t.gateBound.most = static_cast<std::size_t>(node.whole("waiting", 1, 1'000'000, 1'000));
     t.gateBound.least = static_cast<std::size_t>(node.whole("waiting-least", 1, 1'000'000, 64));
     t.gateBound.target = node.time("target-wait", 0, kHour, t.gateBound.target);
-    admission::ReturnTerms& r = t.gateReturns;
+    admission::RetryLimiterSettings& r = t.gateReturns;
     r.most = node.time("come-back-most", 0, kHour, r.most);
     r.over = node.number("returns-for-each", 0.1, 100, r.over);
     r.asksForEach = node.number("asks-for-each", 1, 1e6, r.asksForEach);
     r.least = node.number("asks-least", 1, 1e6, r.least);
-    admission::WayTerms& w = t.gateWays;
+    admission::PathCapacitySettings& w = t.gateWays;
     w.on = node.flag("narrow-ways", true);
     w.enough = node.number("way-enough", 0.1, 1, w.enough);
     w.window = node.time("way-window", 100'000, kHour, w.window);
     t.gateConnections = static_cast<std::size_t>(node.whole("connections-each", 1, 1'000'000, 2'000));
     t.prefix4 = static_cast<int>(node.whole("prefix4", 1, 32, 24));
     t.prefix6 = static_cast<int>(node.whole("prefix6", 1, 128, 56));
-    for (Cursor& network : node.each("network")) {
+    for (NodeReader& network : node.childrenNamed("network")) {
         const std::string text = network.argument("its prefix");
         const auto prefix = admission::prefixOf(text);
         if (!prefix)
-            network.wrong(
+            network.fail(
                 "a network is expected as \"10.1.0.0/16\" or \"2001:db8::/32\", with no bits behind its "
                 "length");
         t.networks.emplace_back(*prefix, network.text("member"));
-        network.finish();
+        network.rejectUnread();
     }
-    node.finish();
+    node.rejectUnread();
 }
 
 Told readAll(const settings::Document& document) {
     Told t;
-    Cursor top(document);
-    Cursor front = top.need("front");
+    NodeReader top(document);
+    NodeReader front = top.requiredChild("front");
     t.name = front.argument("its name");
     if (t.name.empty() || t.name.size() > 64 ||
         t.name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
             std::string::npos)
-        front.wrong("a front's name is of letters, digits, '-' and '_', 64 at most");
+        front.fail("a front's name is of letters, digits, '-' and '_', 64 at most");
     t.fronts = static_cast<int>(front.whole("fronts", 1, 100'000, 1));
     t.stopWithin = front.time("stop-within", 0, kHour, t.stopWithin);
     t.ladder = settings::readLadder(top);
     t.rooms = settings::readRoomTypes(top, t.ladder);
     t.machines = settings::readMachines(top);
     t.machines.fleet.zone =
-        ZoneId{front.placeOf("zone", t.machines.zones, "", "a zone", "among those of 'fleet'")};
-    front.finish();
-    t.cold = settings::readColdTerms(top);
+        ZoneId{front.indexOf("zone", t.machines.zones, "", "a zone", "among those of 'fleet'")};
+    front.rejectUnread();
+    t.cold = settings::readColdStartLimits(top);
     t.budget = settings::readJoinBudget(top);
-    t.tidings = settings::readTidings(top);
-    t.allowed = settings::readAllowed(top);
-    t.prices = settings::readPrices(top);
+    t.tidings = settings::readReportTiming(top);
+    t.allowed = settings::readSubscriptionLimits(top);
+    t.prices = settings::readServingCosts(top);
     t.talks = settings::readTalks(top, t.machines.fleet);
     readWire(top, t);
     readSip(top, t);
     readList(top, t);
     readAdmission(top, t);
     {
-        Cursor node = top.here("learnt");
+        NodeReader node = top.childOrDefaults("learnt");
         t.learntFile = node.text("file", "");
         t.learntEvery = node.time("every", 100'000, kHour, t.learntEvery);
         t.learntFor = node.time("keep-for", 0, kHour, t.learntFor);
-        node.finish();
+        node.rejectUnread();
     }
-    Cursor log = top.here("log");
+    NodeReader log = top.childOrDefaults("log");
     t.logFile = log.text("file", "-");
-    t.logLevel = record::levelOf(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
+    t.logLevel = logging::parseLevel(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
     t.logWarnings = static_cast<int>(log.whole("warnings-a-second", 1, 100'000, 20));
-    log.finish();
-    top.finish();
+    log.rejectUnread();
+    top.rejectUnread();
     return t;
 }
 
 }  // namespace
 
-struct Front::Parts final : core::Watcher, list::ListUser {
+struct Front::Parts final : core::CoreObserver, discovery::ServerListHandler {
     net::Net& net;
     Told told;
-    record::Log log;
+    logging::Log log;
     Micros wallOffset;  // of the wall clock over the front's own, as at the start
-    boxes::Boxes boxes;
-    boxes::Joins joins;
-    admission::Gate gate;
+    upstream::UpstreamClient boxes;
+    upstream::JoinClient joins;
+    admission::AdmissionController gate;
     std::unique_ptr<core::Core> core;
-    std::unique_ptr<faces::HttpFace> face;
-    std::unique_ptr<faces::SipFace> sip;
-    std::unique_ptr<list::Follower> follower;
-    list::BoxList held;
-    learnt::Kept earlier;  // what an earlier life had learnt, until the list has come
+    std::unique_ptr<frontends::HttpFrontend> face;
+    std::unique_ptr<frontends::SipFrontend> sip;
+    std::unique_ptr<discovery::ListFollower> follower;
+    discovery::ServerList held;
+    evidence::EvidenceFile earlier;  // what an earlier life had learnt, until the list has come
     net::Timer stopping, flushing, keeping;
     std::function<void()> stopped;
     Micros stopBy = 0;
 
-    Parts(net::Net& net, Told given, std::uint64_t seed, std::uint64_t epoch, const OtherDecide& other)
+    Parts(net::Net& net, Told given, std::uint64_t seed, std::uint64_t epoch, const ModuleOverride& other)
         : net(net),
           told(std::move(given)),
           log(told.logFile, told.logLevel, told.logWarnings),
@@ -275,40 +275,41 @@
               keepLearnt();
               keeping.after(told.learntEvery);
           }) {
-        for (const auto& [prefix, member] : told.networks) gate.name(prefix, member);
-        follower = told.listAt ? list::followStream(net, *told.listAt, told.listPath, names(),
-                                                    told.listLimits, told.listTimes, *this)
-                               : list::followFile(net, told.listFile, names(), told.listLimits,
-                                                  told.listTimes, *this);
+        for (const auto& [prefix, member] : told.networks) gate.addNamedNetwork(prefix, member);
+        follower = told.listAt ? discovery::followStream(net, *told.listAt, told.listPath, names(),
+                                                         told.listLimits, told.listTimes, *this)
+                               : discovery::followFile(net, told.listFile, names(), told.listLimits,
+                                                       told.listTimes, *this);
         core = std::make_unique<core::Core>(
             net, told.rooms.types, told.core, told.deliveryWindow, joins, *this,
-            [&](Host& host, Micros now) -> std::unique_ptr<core::Decides> {
+            [&](Host& host, Micros now) -> std::unique_ptr<core::DecisionModule> {
                 if (other)
                     return other(host, now, seed, told.rooms.types, told.machines.fleet, told.ladder,
                                  told.allowed);
-                return std::make_unique<core::ModuleDecides>(host, now, seed, told.fronts, told.ladder,
-                                                             told.rooms.types, told.machines.fleet, told.cold,
-                                                             told.budget ? &*told.budget : nullptr,
-                                                             told.tidings, told.allowed, told.prices);
+                return std::make_unique<core::LogicModule>(host, now, seed, told.fronts, told.ladder,
+                                                           told.rooms.types, told.machines.fleet, told.cold,
+                                                           told.budget ? &*told.budget : nullptr,
+                                                           told.tidings, told.allowed, told.prices);
             });
         joins.connect(*core);
         readLearnt();
         readKept();
-        const faces::Surroundings around{net,  told.name, told.talks, told.rooms, told.ladder,
-                                         gate, *core,     boxes,      joins,      log};
-        face = std::make_unique<faces::HttpFace>(around, told.http, told.wire, told.terms, told.hints);
-        if (told.sip) sip = std::make_unique<faces::SipFace>(around, *told.sip, told.sipTerms, seed);
+        const frontends::FrontendContext around{net,  told.name, told.talks, told.rooms, told.ladder,
+                                                gate, *core,     boxes,      joins,      log};
+        face =
+            std::make_unique<frontends::HttpFrontend>(around, told.http, told.wire, told.terms, told.hints);
+        if (told.sip) sip = std::make_unique<frontends::SipFrontend>(around, *told.sip, told.sipTerms, seed);
         flushing.after(kSecond);
         if (!told.learntFile.empty()) keeping.after(told.learntEvery);
-        line(record::Level::Info, "started",
-             {{"front", told.name}, {"http", net::text(face->at())}, {"seed", seed}});
+        line(logging::Level::Info, "started",
+             {{"front", told.name}, {"http", net::toString(face->endpoint())}, {"seed", seed}});
     }
 
-    void line(record::Level level, std::string_view what, nlohmann::ordered_json fields) {
-        log.line(level, net.now(), net.wallNow(), what, std::move(fields));
+    void line(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
+        log.write(level, net.now(), net.wallNow(), what, std::move(fields));
     }
 
-    list::Names names() const { return {told.machines.kinds, told.machines.zones}; }
+    discovery::ListNames names() const { return {told.machines.kinds, told.machines.zones}; }
 
     // ---- core::Watcher ----
     nlohmann::ordered_json of(SubId id) const {
@@ -320,7 +321,7 @@
         out["sub"] = id.v;
         return out;
     }
-    void chose(SubId id, SfuId at, const double* score, int among, std::uint64_t slot) override {
+    void onPlacement(SubId id, SfuId at, const double* score, int among, std::uint64_t slot) override {
         auto fields = of(id);
         fields["box"] = at.v;
         fields["slot"] = slot;
@@ -329,99 +330,102 @@
             fields["score"] = std::round(*score * 1e4) / 1e4;
         else
             fields["fits"] = false;
-        line(record::Level::Info, "chosen", std::move(fields));
+        line(logging::Level::Info, "chosen", std::move(fields));
     }
-    void joinSent(SubId id, int joinNo, SfuId at, int rung, Micros timeOut) override {
+    void onJoinSent(SubId id, int joinNo, SfuId at, int rung, Micros timeOut) override {
         auto fields = of(id);
         fields["join"] = joinNo;
         fields["box"] = at.v;
         fields["rung"] = rung;
         fields["within_us"] = timeOut;
-        line(record::Level::Info, "join-sent", std::move(fields));
+        line(logging::Level::Info, "join-sent", std::move(fields));
     }
-    void joinEnded(SubId id, int joinNo, SfuId at, const core::JoinOutcome& outcome) override {
+    void onJoinEnded(SubId id, int joinNo, SfuId at, const core::JoinOutcome& outcome) override {
         auto fields = of(id);
         fields["join"] = joinNo;
         fields["box"] = at.v;
         fields["outcome"] = outcome.why;
         fields["never_ran"] = outcome.neverRan;
         fields["took_us"] = outcome.took;
-        line(record::Level::Info, "join-ended", std::move(fields));
+        line(logging::Level::Info, "join-ended", std::move(fields));
     }
-    void answered(SubId id, std::string_view how, Micros took) override {
+    void onAnswer(SubId id, std::string_view how, Micros took) override {
         if (how == "throttled")
-            gate.throttled(net.now());
+            gate.onThrottled(net.now());
         else
-            gate.took(net.now(), took);
-        if (how == "plays") gate.placed(net.now());
+            gate.onAnswerTime(net.now(), took);
+        if (how == "plays") gate.onPlaced(net.now());
         auto fields = of(id);
         fields["how"] = how;
         fields["took_us"] = took;
-        line(record::Level::Info, "answered", std::move(fields));
+        line(logging::Level::Info, "answered", std::move(fields));
+    }
+    void onGuardTriggered(SubId id) override { line(logging::Level::Error, "guard-answered", of(id)); }
+    void onModuleLog(const std::string& words) override {
+        line(logging::Level::Debug, "module", {{"words", words}});
     }
-    void guarded(SubId id) override { line(record::Level::Error, "guard-answered", of(id)); }
-    void said(const std::string& words) override { line(record::Level::Debug, "module", {{"words", words}}); }
 
     // ---- list::ListUser ----
-    std::vector<ListedSfu> taken(const std::vector<list::BoxLine>& lines) {
-        std::vector<ListedSfu> out;
-        for (const list::BoxLine& one : lines) {
-            ListedSfu sfu = one.sfu;
+    std::vector<SfuEntry> taken(const std::vector<discovery::ServerListEntry>& lines) {
+        std::vector<SfuEntry> out;
+        for (const discovery::ServerListEntry& one : lines) {
+            SfuEntry sfu = one.sfu;
             // The list speaks of the wall clock. A start that seems to lie ahead is one of just now.
             if (sfu.launched > 0)
                 sfu.launched =
                     std::clamp<Micros>(sfu.launched - wallOffset, 1, std::max<Micros>(1, net.now()));
             if (sfu.cell.v >= static_cast<std::uint32_t>(told.machines.fleet.cells)) {
-                line(record::Level::Warning, "list-odd",
+                line(logging::Level::Warning, "list-odd",
                      {{"why", "box " + std::to_string(sfu.id.v) +
                                   " stands in a cell that the settings do not have"}});
                 continue;
             }
             if (one.at.port != 0) {
-                boxes.at(sfu.id, one.at);
-                joins.endEarlierLives(sfu.id);
+                boxes.setAddress(sfu.id, one.at);
+                joins.releaseEarlierSessions(sfu.id);
             }
             out.push_back(sfu);
         }
         return out;
     }
-    void merge(const std::vector<list::BoxLine>& lines, bool whole) {
+    void merge(const std::vector<discovery::ServerListEntry>& lines, bool whole) {
         if (whole) held.boxes.clear();
-        for (const list::BoxLine& one : lines) {
-            const auto same = std::find_if(held.boxes.begin(), held.boxes.end(),
-                                           [&](const list::BoxLine& b) { return b.sfu.id == one.sfu.id; });
+        for (const discovery::ServerListEntry& one : lines) {
+            const auto same =
+                std::find_if(held.boxes.begin(), held.boxes.end(),
+                             [&](const discovery::ServerListEntry& b) { return b.sfu.id == one.sfu.id; });
             if (same == held.boxes.end())
                 held.boxes.push_back(one);
-            else if (one.sfu.standing == Standing::Off)
+            else if (one.sfu.standing == ServerState::Off)
                 held.boxes.erase(same);
             else
                 *same = one;
         }
         if (told.listKept.empty()) return;
         try {
-            list::keepList(told.listKept, held, names());
+            discovery::saveServerList(told.listKept, held, names());
         } catch (const std::exception& e) {
-            line(record::Level::Warning, "list-not-kept", {{"why", e.what()}});
+            line(logging::Level::Warning, "list-not-kept", {{"why", e.what()}});
         }
     }
-    void listIs(const std::vector<list::BoxLine>& lines, bool stale) override {
-        line(record::Level::Info, "list", {{"boxes", lines.size()}, {"stale", stale}});
-        core->listed(taken(lines), stale);
+    void onList(const std::vector<discovery::ServerListEntry>& lines, bool stale) override {
+        line(logging::Level::Info, "list", {{"boxes", lines.size()}, {"stale", stale}});
+        core->onServerList(taken(lines), stale);
         if (stale) return;
         merge(lines, true);
         recall();
     }
-    void listChangedBy(const std::vector<list::BoxLine>& lines) override {
-        line(record::Level::Info, "list-changed", {{"boxes", lines.size()}});
-        core->listChanged(taken(lines));
+    void onListChange(const std::vector<discovery::ServerListEntry>& lines) override {
+        line(logging::Level::Info, "list-changed", {{"boxes", lines.size()}});
+        core->onServerListChange(taken(lines));
         merge(lines, false);
     }
-    void listUnreachable(const std::string& why) override {
-        line(record::Level::Warning, "list-unreachable", {{"why", why}});
-        core->listFailed();
+    void onListUnreachable(const std::string& why) override {
+        line(logging::Level::Warning, "list-unreachable", {{"why", why}});
+        core->onServerListFailure();
     }
-    void listOdd(const std::string& why) override {
-        line(record::Level::Warning, "list-odd", {{"why", why}});
+    void onListAnomaly(const std::string& why) override {
+        line(logging::Level::Warning, "list-odd", {{"why", why}});
     }
 
     // A file that is missing, torn, of another version or too old is said, and all begins afresh.
@@ -429,70 +433,70 @@
         if (told.learntFile.empty()) return;
         try {
             if (!std::filesystem::exists(told.learntFile)) throw std::runtime_error("there is none");
-            learnt::Kept kept = learnt::parseKept(told.learntFile, settings::textOfFile(told.learntFile),
-                                                  told.listLimits.boxes);
+            evidence::EvidenceFile kept = evidence::parseEvidenceFile(
+                told.learntFile, settings::readFile(told.learntFile), told.listLimits.boxes);
             const Micros since = net.wallNow() - kept.savedAt;
             if (since < 0 || since > told.learntFor) throw std::runtime_error("it is of another time");
-            for (learnt::BoxLearnt& b : kept.boxes) b.what.age += since;
+            for (evidence::EvidenceEntry& b : kept.boxes) b.what.age += since;
             earlier = std::move(kept);
         } catch (const std::exception& e) {
-            line(record::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
+            line(logging::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
         }
     }
     std::map<SfuId, Micros> launchedOf() const {  // of all boxes listed, on the wall clock
         std::map<SfuId, Micros> out;
-        for (const list::BoxLine& box : held.boxes) out.emplace(box.sfu.id, box.sfu.launched);
+        for (const discovery::ServerListEntry& box : held.boxes) out.emplace(box.sfu.id, box.sfu.launched);
         return out;
     }
     // Only of boxes that the list has now, and whose process is still the same.
     void recall() {
         if (earlier.boxes.empty()) return;
         const auto launched = launchedOf();
-        std::vector<Learnt> same;
-        for (const learnt::BoxLearnt& b : earlier.boxes)
+        std::vector<ServerEvidence> same;
+        for (const evidence::EvidenceEntry& b : earlier.boxes)
             if (const auto now = launched.find(b.what.id); now != launched.end() && now->second == b.launched)
                 same.push_back(b.what);
-        line(record::Level::Info, "learnt-taken",
+        line(logging::Level::Info, "learnt-taken",
              {{"boxes", same.size()}, {"passed_over", earlier.boxes.size() - same.size()}});
         earlier.boxes.clear();
-        core->recall(same);
+        core->restoreServerEvidence(same);
     }
     void keepLearnt() {
         if (!earlier.boxes.empty()) return;  // no list has come yet: what was kept is all that is known
-        learnt::Kept kept{net.wallNow(), {}};
+        evidence::EvidenceFile kept{net.wallNow(), {}};
         const auto launched = launchedOf();
-        for (const Learnt& what : core->learnt())
+        for (const ServerEvidence& what : core->serverEvidence())
             if (const auto now = launched.find(what.id); now != launched.end())
                 kept.boxes.push_back({what, now->second});
         try {
-            learnt::keep(told.learntFile, kept);
+            evidence::saveEvidenceFile(told.learntFile, kept);
         } catch (const std::exception& e) {
-            line(record::Level::Warning, "learnt-not-kept", {{"why", e.what()}});
+            line(logging::Level::Warning, "learnt-not-kept", {{"why", e.what()}});
         }
     }
 
     void readKept() {
         if (told.listKept.empty() || !std::filesystem::exists(told.listKept)) return;
         try {
-            held =
-                list::parseList(told.listKept, settings::textOfFile(told.listKept), names(), told.listLimits);
-            listIs(held.boxes, true);
+            held = discovery::parseServerList(told.listKept, settings::readFile(told.listKept), names(),
+                                              told.listLimits);
+            onList(held.boxes, true);
         } catch (const std::exception& e) {
-            line(record::Level::Warning, "kept-list-odd", {{"why", e.what()}});
+            line(logging::Level::Warning, "kept-list-odd", {{"why", e.what()}});
         }
     }
 
     void lookWhetherDone() {
         const bool plays = face->viewers() > 0 || (sip && sip->calls() > 0);
-        if (core->unanswered() > 0 || (plays && net.now() < stopBy)) {
+        if (core->unansweredCount() > 0 || (plays && net.now() < stopBy)) {
             stopping.after(20'000);
             return;
         }
         if (!told.learntFile.empty()) keepLearnt();
-        if (sip) sip->finishUp();
-        face->finishUp([this] {
-            const core::Counts& c = core->counts();
-            line(record::Level::Info, "stopped",
+        if (sip) sip->shutDown();
+        face->shutDown([this] {
+            const core::CoreCounts& c = core->counts();
+            line(logging::Level::Info, "stopped",
                  {{"asked", c.asked},
                   {"played", c.played},
                   {"throttled", c.throttled},
@@ -504,7 +508,7 @@
 };
 
 Front::Front(net::Net& net, const settings::Document& document, std::uint64_t seed, std::uint64_t epoch,
-             const OtherDecide& other)
+             const ModuleOverride& other)
     : parts_(std::make_unique<Parts>(net, readAll(document), seed, epoch, other)) {}
 Front::~Front() {
     if (parts_) {
@@ -515,26 +519,26 @@
 }
 
 net::Endpoint Front::http() const {
-    return parts_->face->at();
+    return parts_->face->endpoint();
 }
-faces::HttpFace& Front::face() {
+frontends::HttpFrontend& Front::httpFrontend() {
     return *parts_->face;
 }
-faces::SipFace* Front::sip() {
+frontends::SipFrontend* Front::sipFrontend() {
     return parts_->sip.get();
 }
 core::Core& Front::core() {
     return *parts_->core;
 }
 void Front::stop(Micros playOn, std::function<void()> done) {
-    parts_->line(record::Level::Info, "stopping", {{"play_on_us", playOn}});
-    parts_->face->stopTaking();
-    if (parts_->sip) parts_->sip->stopTaking();
+    parts_->line(logging::Level::Info, "stopping", {{"play_on_us", playOn}});
+    parts_->face->stopAccepting();
+    if (parts_->sip) parts_->sip->stopAccepting();
     parts_->stopped = std::move(done);
     parts_->stopBy = parts_->net.now() + playOn;
     parts_->stopping.after(0);
 }
-Micros Front::stopWithin() const {
+Micros Front::stopTimeout() const {
     return parts_->told.stopWithin;
 }
 void Front::flush() {
--- a/src/faces/asking.hpp
+++ b/src/frontends/frontend_context.hpp
@@ -4,38 +4,39 @@
 #include <algorithm>
 #include <string>
 
-#include "admission/gate.hpp"
-#include "boxes/joins.hpp"
+#include "admission/admission_controller.hpp"
 #include "core/core.hpp"
-#include "record/log.hpp"
-#include "settings/site.hpp"
+#include "logging/log.hpp"
+#include "settings/site_settings.hpp"
+#include "upstream/join_client.hpp"
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 
 // What each face of a front stands among: the talks and room types that it may be asked for, and the one
 // gate, core and record that it shares with the others. All of it outlives the faces.
-struct Surroundings {
+struct FrontendContext {
     net::Net& net_;
     std::string name_;  // of the front
     const settings::Talks& talks_;
     const settings::RoomTypes& rooms_;
     const Ladder& ladder_;
-    admission::Gate& gate_;
+    admission::AdmissionController& gate_;
     core::Core& core_;
-    boxes::Boxes& boxes_;
-    boxes::Joins& joins_;
-    record::Log& log_;
+    upstream::UpstreamClient& boxes_;
+    upstream::JoinClient& joins_;
+    logging::Log& log_;
 };
 
 // Whole seconds, rounded up, one at least: as Retry-After and the SIP timers' headers want them.
-inline std::string wholeSecondsUp(Micros t) {
+inline std::string ceilToSeconds(Micros t) {
     return std::to_string(std::max<Micros>(1, (t + kSecond - 1) / kSecond));
 }
 
 // For a viewer that can use so many kbit/s: the best rung under that, never under the room type's floor.
-inline Wish wishFor(RoomTypeId room, const std::string& title, const settings::Talk& talk,
-                    const Ladder& ladder, const RoomType& type, double kbits) {
-    Wish wish;
+inline SubscriptionRequest subscriptionRequestFor(RoomTypeId room, const std::string& title,
+                                                  const settings::Talk& talk, const Ladder& ladder,
+                                                  const RoomType& type, double kbits) {
+    SubscriptionRequest wish;
     wish.room = room;
     wish.title = TitleId{title};
     wish.firstCell = talk.firstCell;
@@ -47,4 +48,4 @@
     return wish;
 }
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/http/face.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -1,65 +1,65 @@
-#include "faces/http/face.hpp"
+#include "frontends/http/http_frontend.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 namespace {
 
 constexpr std::string_view kPlaylistType = "application/vnd.apple.mpegurl";
 
 }  // namespace
 
-struct HttpFace::Viewer {
+struct HttpFrontend::Viewer {
     std::string token, sidKey, title;
     SubId sub;
     RoomTypeId room;
     std::uint32_t network = 0;
     bool inGate = false, playing = false, paused = false;
-    record::TraceContext trace;
+    logging::TraceContext trace;
     hints::Cmcd hints;
     SfuId at;
     int rung = 0, rungSeen = 0;
     Micros startedAt = 0;
     std::optional<Micros> delivered;  // kbit/s, of the last segment
-    Window window;
+    PlaylistWindow window;
     std::vector<std::unique_ptr<Waiter>> waiters;
     std::size_t fetches = 0;
     std::uint64_t segments = 0, bytes = 0;
     std::unique_ptr<net::Timer> silence;
-    Viewer(const WindowTerms& terms) : window(terms) {}
+    Viewer(const PlaylistWindowSettings& terms) : window(terms) {}
 };
 
 // A request that waits for its subscription's answer.
-class HttpFace::Waiter final : public http::ExchangeUser {
+class HttpFrontend::Waiter final : public http::ExchangeHandler {
   public:
-    Waiter(HttpFace& face, std::string token, http::Exchange& exchange)
+    Waiter(HttpFrontend& face, std::string token, http::Exchange& exchange)
         : face_(face), token_(std::move(token)), exchange_(&exchange) {
-        exchange.heldBy(this);
+        exchange.setHandler(this);
     }
     ~Waiter() override {
-        if (exchange_) exchange_->heldBy(nullptr);
+        if (exchange_) exchange_->setHandler(nullptr);
     }
     http::Exchange* release() { return std::exchange(exchange_, nullptr); }
 
   private:
-    void gone() override {
+    void onConnectionLost() override {
         exchange_ = nullptr;
         // Once the last connection that waits is lost, the viewer may still come back by its sid.
         if (Viewer* viewer = face_.byToken(token_)) viewer->silence->after(face_.terms_.closedAfter);
     }
-    HttpFace& face_;
+    HttpFrontend& face_;
     std::string token_;
     http::Exchange* exchange_;
 };
 
 // One fetch from a box for a viewer: the playlist first, where it isn't known, then what was asked for.
-class HttpFace::Relay final : public boxes::RequestUser, public http::ExchangeUser {
+class HttpFrontend::Relay final : public upstream::UpstreamRequestHandler, public http::ExchangeHandler {
   public:
-    enum class What { Window, Init, Segment };
-    Relay(HttpFace& face, std::uint64_t key, Viewer& viewer, http::Exchange& exchange, What what,
+    enum class What { PlaylistWindow, Init, Segment };
+    Relay(HttpFrontend& face, std::uint64_t key, Viewer& viewer, http::Exchange& exchange, What what,
           std::uint64_t no, int rung)
         : face_(face),
           key_(key),
@@ -71,34 +71,34 @@
           no_(no),
           rung_(rung),
           exchange_(&exchange) {
-        exchange.heldBy(this);
+        exchange.setHandler(this);
         ++viewer.fetches;
     }
     ~Relay() override {
-        if (exchange_) exchange_->heldBy(nullptr);
-        face_.core_.delivery().forget(core::FetchId{key_});
+        if (exchange_) exchange_->setHandler(nullptr);
+        face_.core_.delivery().discard(core::FetchId{key_});
     }
     void start() {
         Viewer* viewer = face_.byToken(token_);
         if (!viewer) return end(410, "the subscription is over");
         const auto known = face_.cache_.find({title_, rung_});
         if (known == face_.cache_.end()) {
-            const auto* answer = face_.joins_.answerOf(sub_);
+            const auto* answer = face_.joins_.responseOf(sub_);
             if (!answer) return end(410, "the subscription is over");
             playlist_ = true;
-            path_ =
-                hls::resolved(answer->path, answer->variants.variants[static_cast<std::size_t>(rung_)].uri)
-                    .value_or("");
+            path_ = hls::resolveReference(answer->path,
+                                          answer->variants.variants[static_cast<std::size_t>(rung_)].uri)
+                        .value_or("");
             if (path_.empty()) return end(502, "the box's playlist leads elsewhere");
             send(path_, std::nullopt);
             return;
         }
         Cached& cached = known->second;
         cached.usedAt = ++face_.cacheUse_;
-        if (what_ == What::Window) {
+        if (what_ == What::PlaylistWindow) {
             http::Exchange* exchange = std::exchange(exchange_, nullptr);
             over();
-            exchange->heldBy(nullptr);
+            exchange->setHandler(nullptr);
             return face_.sendWindow(*exchange, *viewer);
         }
         const hls::Segment* segment =
@@ -115,7 +115,7 @@
             uri = cached.list.maps.front().uri;
             range = cached.list.maps.front().range;
         }
-        const auto path = hls::resolved(cached.path, uri);
+        const auto path = hls::resolveReference(cached.path, uri);
         if (!path) return end(502, "the box's playlist leads elsewhere");
         send(*path, range);
     }
@@ -133,9 +133,9 @@
                 const std::string value = hints::writeCmcdHeader(on, i);
                 if (!value.empty()) fields.add(hints::kCmcdHeaders[i], value);
             }
-            record::TraceContext trace = viewer->trace;
-            trace.parent = record::hex64(face_.net_.draw() | 1);
-            fields.add("traceparent", record::write(trace));
+            logging::TraceContext trace = viewer->trace;
+            trace.parent = logging::toHex(face_.net_.randomBits() | 1);
+            fields.add("traceparent", logging::write(trace));
         }
         if (range)
             fields.add("Range", "bytes=" + std::to_string(range->offset) + "-" +
@@ -149,9 +149,9 @@
             face_.boxes_.send(at_, "GET", path + sub, fields, again_, face_.terms_.segmentWithin, *this);
     }
 
-    void head(const http::ResponseHead& head) override {
+    void onHead(const http::ResponseHead& head) override {
         status_ = head.status;
-        const Load load = boxes::loadOf(head.fields);
+        const LoadReport load = upstream::loadOf(head.fields);
         toHead_ = face_.net_.now() - sentAt_;
         if (status_ == wanted_ && !playlist_ && exchange_) {
             Viewer* viewer = face_.byToken(token_);
@@ -168,15 +168,15 @@
                 fields.add("Cache-Control", "no-store");
                 begun_ = true;
                 if (what_ == What::Segment)
-                    face_.core_.delivery().began(face_.net_.now(), core::FetchId{key_}, sub_, at_, playTime_,
+                    face_.core_.delivery().start(face_.net_.now(), core::FetchId{key_}, sub_, at_, playTime_,
                                                  length_);
                 exchange_->begin(200, fields, length_);
             }
         }
-        face_.core_.figures(sub_, at_, load.linkUse, load.uplinkUse);
+        face_.core_.onLoadReport(sub_, at_, load.linkUse, load.uplinkUse);
     }
 
-    void piece(std::string_view bytes) override {
+    void onBody(std::string_view bytes) override {
         if (playlist_) {
             if (body_.size() <= 1'000'000) body_ += bytes;
             return;
@@ -184,21 +184,21 @@
         if (!begun_ || !exchange_) return;
         if (got_ + bytes.size() > length_) bytes = bytes.substr(0, length_ - got_);
         got_ += bytes.size();
-        face_.core_.delivery().got(core::FetchId{key_}, bytes.size());
+        face_.core_.delivery().addBytes(core::FetchId{key_}, bytes.size());
         exchange_->send(bytes);
         if (exchange_ && exchange_->unsent() > face_.terms_.relayBytes && !held_) {
             held_ = heldEver_ = true;
             request_->pause();
-            face_.core_.delivery().heldBack(face_.net_.now(), core::FetchId{key_});
+            face_.core_.delivery().pause(face_.net_.now(), core::FetchId{key_});
         }
     }
 
-    void whole() override {
+    void onComplete() override {
         if (playlist_) {
             playlist_ = false;
-            if (status_ == 410) return lost(boxes::WireEnd::BrokenAnswer);
+            if (status_ == 410) return lost(upstream::RequestResult::BrokenAnswer);
             if (status_ != 200) return end(502, "the box has no playlist");
-            auto read = hls::readMedia(body_);
+            auto read = hls::parseMediaPlaylist(body_);
             std::string().swap(body_);
             if (!read.got) return end(502, "the box's playlist is broken: " + read.why);
             Cached cached{std::move(*read.got), {}, path_, ++face_.cacheUse_};
@@ -213,11 +213,11 @@
             finished_ = std::move(request_);
             return start();
         }
-        if (status_ == 410) return lost(boxes::WireEnd::BrokenAnswer);
+        if (status_ == 410) return lost(upstream::RequestResult::BrokenAnswer);
         if (!begun_) return end(502, "the box answered " + std::to_string(status_));
         if (got_ < length_) return cutShort();
         const Micros now = face_.net_.now();
-        if (what_ == What::Segment) face_.core_.delivery().ended(now, core::FetchId{key_});
+        if (what_ == What::Segment) face_.core_.delivery().finish(now, core::FetchId{key_});
         if (Viewer* viewer = face_.byToken(token_)) {
             const Micros took = std::max<Micros>(1, now - sentAt_);
             if (what_ == What::Segment) {
@@ -232,20 +232,20 @@
         http::Exchange* exchange = std::exchange(exchange_, nullptr);
         over();  // first: what finishes may bring the viewer's next request at once
         if (exchange) {
-            exchange->heldBy(nullptr);
+            exchange->setHandler(nullptr);
             exchange->finish();
         }
     }
 
-    void failed(boxes::WireEnd how) override {
+    void onFailed(upstream::RequestResult how) override {
         // A kept connection that the box had just closed: what is fetched may be fetched again, on a fresh
         // one.
-        if (how == boxes::WireEnd::BrokenOutKept && !again_ && !begun_ && exchange_) {
+        if (how == upstream::RequestResult::BrokenOutKept && !again_ && !begun_ && exchange_) {
             again_ = true;
             finished_ = std::move(request_);
             return start();
         }
-        if (how == boxes::WireEnd::NoRoomToSend || how == boxes::WireEnd::NoDescriptor)
+        if (how == upstream::RequestResult::NoRoomToSend || how == upstream::RequestResult::NoDescriptor)
             return end(503, "too much is being fetched from the box");
         if (const Viewer* viewer = face_.byToken(token_)) tellWay(*viewer, face_.net_.now());
         lost(how);
@@ -259,17 +259,17 @@
             return;
         const double share = static_cast<double>(playTime_) / static_cast<double>(took) *
                              static_cast<double>(got_) / static_cast<double>(length_);
-        face_.gate_.delivered(now, viewer.network, share, rung_ <= face_.rooms_.types[viewer.room.v].floor);
+        face_.gate_.onDelivered(now, viewer.network, share, rung_ <= face_.rooms_.types[viewer.room.v].floor);
     }
 
     // The viewer's side.
-    void drained() override {
+    void onDrained() override {
         if (!held_ || !request_) return;
         held_ = false;
-        face_.core_.delivery().goesOn(face_.net_.now(), core::FetchId{key_});
+        face_.core_.delivery().resume(face_.net_.now(), core::FetchId{key_});
         request_->resume();
     }
-    void gone() override {
+    void onConnectionLost() override {
         exchange_ = nullptr;
         if (Viewer* viewer = face_.byToken(token_)) {
             tellWay(*viewer, face_.net_.now());
@@ -278,16 +278,17 @@
         over();
     }
 
-    void lost(boxes::WireEnd how) {
+    void lost(upstream::RequestResult how) {
         const SubId sub = sub_;
-        HttpFace& face = face_;
-        end(how == boxes::WireEnd::TimedOutOut ? 504 : 502, boxes::meaningOf(how).name);
-        face.core_.lost(sub,
-                        how == boxes::WireEnd::BrokenAnswer ? JoinEnd::Reset : boxes::meaningOf(how).end);
+        HttpFrontend& face = face_;
+        end(how == upstream::RequestResult::TimedOutOut ? 504 : 502, upstream::meaningOf(how).name);
+        face.core_.onPlaybackEnded(sub, how == upstream::RequestResult::BrokenAnswer
+                                            ? JoinResult::Reset
+                                            : upstream::meaningOf(how).end);
     }
     void cutShort() {
         if (http::Exchange* exchange = std::exchange(exchange_, nullptr)) {
-            exchange->heldBy(nullptr);
+            exchange->setHandler(nullptr);
             exchange->abort();
         }
         over();
@@ -295,10 +296,10 @@
     void end(int status, std::string_view why) {
         if (begun_) return cutShort();
         http::Exchange* exchange = std::exchange(exchange_, nullptr);
-        HttpFace& face = face_;
+        HttpFrontend& face = face_;
         over();
         if (!exchange) return;
-        exchange->heldBy(nullptr);
+        exchange->setHandler(nullptr);
         face.refuse(*exchange, status, why, status == 503 ? face.terms_.retryWhenFull : 0);
     }
     void over() {
@@ -309,7 +310,7 @@
         face_.relays_.erase(it);
     }
 
-    HttpFace& face_;
+    HttpFrontend& face_;
     std::uint64_t key_;
     std::string token_;
     SubId sub_;
@@ -319,7 +320,7 @@
     std::uint64_t no_;
     int rung_;
     http::Exchange* exchange_;
-    std::unique_ptr<boxes::Request> request_, finished_;
+    std::unique_ptr<upstream::UpstreamRequest> request_, finished_;
     std::string path_, body_;
     bool playlist_ = false, begun_ = false, held_ = false, heldEver_ = false, again_ = false;
     int status_ = 0, wanted_ = 200;
@@ -327,67 +328,68 @@
     Micros playTime_ = 0, sentAt_ = 0, toHead_ = 0;
 };
 
-HttpFace::HttpFace(const Surroundings& around, const net::Endpoint& at, const http::WireLimits& limits,
-                   const HttpTerms& terms, const hints::HintLimits& hintLimits)
-    : Surroundings(around), terms_(terms), hintLimits_(hintLimits), bury_(net_, [this] {
+HttpFrontend::HttpFrontend(const FrontendContext& around, const net::Endpoint& at,
+                           const http::HttpLimits& limits, const HttpFrontendSettings& terms,
+                           const hints::HintLimits& hintLimits)
+    : FrontendContext(around), terms_(terms), hintLimits_(hintLimits), bury_(net_, [this] {
           dead_.clear();
           deadViewers_.clear();
       }) {
     server_ = std::make_unique<http::Server>(net_, at, limits, *this);
 }
 
-HttpFace::~HttpFace() {
+HttpFrontend::~HttpFrontend() {
     relays_.clear();
     dead_.clear();
     viewers_.clear();
     deadViewers_.clear();
 }
 
-HttpFace::Viewer* HttpFace::byToken(const std::string& token) {
+HttpFrontend::Viewer* HttpFrontend::byToken(const std::string& token) {
     const auto it = viewers_.find(token);
     return it == viewers_.end() ? nullptr : it->second.get();
 }
-HttpFace::Viewer* HttpFace::bySub(SubId id) {
+HttpFrontend::Viewer* HttpFrontend::bySub(SubId id) {
     const auto it = subs_.find(id);
     return it == subs_.end() ? nullptr : it->second;
 }
-const record::TraceContext* HttpFace::traceOf(SubId id) const {
+const logging::TraceContext* HttpFrontend::traceOf(SubId id) const {
     const auto it = subs_.find(id);
     return it == subs_.end() ? nullptr : &it->second->trace;
 }
-void HttpFace::bury(std::unique_ptr<Relay> relay) {
+void HttpFrontend::bury(std::unique_ptr<Relay> relay) {
     dead_.push_back(std::move(relay));
     bury_.soon();
 }
 
 // ================= requests =================
 
-bool HttpFace::admits(const net::Endpoint& peer) {
-    if (gate_.connect(gate_.networkOf(peer.ip))) return true;
+bool HttpFrontend::acceptsConnection(const net::Endpoint& peer) {
+    if (gate_.openConnection(gate_.networkOf(peer.ip))) return true;
     ++turnedAway_;
     return false;
 }
-void HttpFace::closed(const net::Endpoint& peer) {
-    gate_.disconnect(gate_.networkOf(peer.ip));
+void HttpFrontend::onConnectionClosed(const net::Endpoint& peer) {
+    gate_.closeConnection(gate_.networkOf(peer.ip));
 }
-void HttpFace::malformed(const net::Endpoint& peer, int status, const std::string& why) {
+void HttpFrontend::onMalformedRequest(const net::Endpoint& peer, int status, const std::string& why) {
     ++badRequests_;
-    log_.line(record::Level::Warning, net_.now(), net_.wallNow(), "bad-request",
-              {{"peer", net::text(peer)}, {"status", status}, {"why", why}});
+    log_.write(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-request",
+               {{"peer", net::toString(peer)}, {"status", status}, {"why", why}});
 }
 
-void HttpFace::refuse(http::Exchange& exchange, int status, std::string_view why, Micros comeBack) {
+void HttpFrontend::refuse(http::Exchange& exchange, int status, std::string_view why, Micros retryAfter) {
     http::Fields fields;
-    if (comeBack > 0) fields.add("Retry-After", wholeSecondsUp(comeBack));
+    if (retryAfter > 0) fields.add("Retry-After", ceilToSeconds(retryAfter));
     fields.add("Content-Type", "text/plain; charset=utf-8");
     fields.add("Cache-Control", "no-store");
     if (const auto* dynamic = exchange.head().fields.find("traceparent");
-        dynamic && record::parseTraceParent(*dynamic))
+        dynamic && logging::parseTraceParent(*dynamic))
         fields.add("traceparent", *dynamic);
     exchange.respond(status, fields, std::string(why) + "\n");
 }
 
-void HttpFace::asked(http::Exchange& exchange) {
+void HttpFrontend::onRequest(http::Exchange& exchange) {
     const http::RequestHead& head = exchange.head();
     const std::string path = head.path();
     if (head.method == "POST" && path == "/cmcd") return takeJson(exchange);
@@ -419,11 +421,11 @@
     refuse(exchange, 404, "nothing lies here");
 }
 
-void HttpFace::countDropped(const hints::CmcdReader& reader) {
+void HttpFrontend::countDropped(const hints::CmcdReader& reader) {
     for (std::size_t i = 0; i < hints::kDroppedKinds; ++i) hintsDropped_[i] += reader.dropped()[i];
 }
 
-hints::Cmcd HttpFace::hintsOf(const http::RequestHead& head) {
+hints::Cmcd HttpFrontend::hintsOf(const http::RequestHead& head) {
     hints::CmcdReader reader(hintLimits_);
     for (std::size_t i = 0; i < hints::kCmcdHeaders.size(); ++i)
         if (const auto value = head.fields.joined(hints::kCmcdHeaders[i])) reader.header(i, *value);
@@ -433,7 +435,7 @@
     return out;
 }
 
-void HttpFace::takeJson(http::Exchange& exchange) {
+void HttpFrontend::takeJson(http::Exchange& exchange) {
     hints::CmcdReader reader(hintLimits_);
     reader.json(exchange.body());
     const hints::Cmcd got = reader.done();
@@ -444,7 +446,7 @@
     exchange.respond(204, {}, "");
 }
 
-void HttpFace::heardFrom(Viewer& viewer, const hints::Cmcd& got) {
+void HttpFrontend::heardFrom(Viewer& viewer, const hints::Cmcd& got) {
     if (got.starved.value_or(false)) ++starved_;
     if (got.pr) viewer.paused = got.pr->thousandths == 0;
     // What identifies it stays; what tells of now is replaced.
@@ -458,7 +460,7 @@
     viewer.silence->after(viewer.paused ? terms_.pausedAfter : terms_.silentAfter);
 }
 
-void HttpFace::askTalk(http::Exchange& exchange, const std::string& title) {
+void HttpFrontend::askTalk(http::Exchange& exchange, const std::string& title) {
     const http::RequestHead& head = exchange.head();
     const auto talk = talks_.find(title);
     if (talk == talks_.end()) return refuse(exchange, 404, "no such talk");
@@ -482,10 +484,11 @@
     }
     if (stopping_) return refuse(exchange, 503, "this front is stopping", terms_.retryWhenFull);
     const std::uint32_t network = gate_.networkOf(exchange.peer().ip);
-    if (const auto let = gate_.ask(net_.now(), network); let != admission::Gate::Let::In) {
+    if (const auto let = gate_.admit(net_.now(), network);
+        let != admission::AdmissionController::Decision::Admitted) {
         ++turnedAway_;
-        return refuse(exchange, 503, admission::Gate::why(let),
-                      gate_.comeBack(net_.now(), terms_.retryWhenFull));
+        return refuse(exchange, 503, admission::AdmissionController::reasonText(let),
+                      gate_.retryAfter(net_.now(), terms_.retryWhenFull));
     }
 
     const RoomType& type = rooms_.types[room->v];
@@ -495,23 +498,23 @@
     if (hint.tb && *hint.tb > 0) kbits = std::min(kbits, static_cast<double>(*hint.tb));
     if (hint.rtp && *hint.rtp > 0) kbits = std::min(kbits, static_cast<double>(*hint.rtp));
     if (hint.mtp && *hint.mtp > 0) kbits = std::min(kbits, 1.5 * static_cast<double>(*hint.mtp));
-    if (gate_.lowestOnly(network)) kbits = 0;
-    Wish wish = wishFor(*room, title, talk->second, ladder_, type, kbits);
+    if (gate_.isLimitedToLowestRung(network)) kbits = 0;
+    SubscriptionRequest wish = subscriptionRequestFor(*room, title, talk->second, ladder_, type, kbits);
     for (const auto& [key, value] : hint.custom) {
         if (key != "org.valekeel-watch") continue;
         if (const auto* whole = std::get_if<std::int64_t>(&value); whole && *whole > 0 && *whole < 100'000)
             wish.watchSeconds = static_cast<double>(*whole);
     }
 
-    const auto id = core_.ask(*this, wish, rooms_.clientTimeouts[room->v]);
+    const auto id = core_.subscribe(*this, wish, rooms_.clientTimeouts[room->v]);
     if (!id) {
-        gate_.answered(network);
+        gate_.onAnswered(network);
         ++turnedAway_;
         return refuse(exchange, 503, "this front holds all that it can", terms_.retryWhenFull);
     }
     auto made = std::make_unique<Viewer>(terms_.window);
     Viewer& viewer = *made;
-    viewer.token = record::hex64(net_.draw()) + record::hex64(net_.draw());
+    viewer.token = logging::toHex(net_.randomBits()) + logging::toHex(net_.randomBits());
     viewer.sidKey = sidKey;
     viewer.title = title;
     viewer.sub = *id;
@@ -520,8 +523,9 @@
     viewer.inGate = true;
     viewer.hints = hint;
     const std::string* parent = head.fields.find("traceparent");
-    auto trace = parent ? record::parseTraceParent(*parent) : std::nullopt;
-    viewer.trace = trace ? *trace : record::newTrace(net_.draw(), net_.draw(), net_.draw());
+    auto trace = parent ? logging::parseTraceParent(*parent) : std::nullopt;
+    viewer.trace =
+        trace ? *trace : logging::newTrace(net_.randomBits(), net_.randomBits(), net_.randomBits());
     viewer.silence = std::make_unique<net::Timer>(net_, [this, token = viewer.token] {
         Viewer* silent = byToken(token);
         if (!silent) return;
@@ -535,7 +539,7 @@
     viewer.waiters.push_back(std::make_unique<Waiter>(*this, viewer.token, exchange));
     subs_[*id] = &viewer;
     if (!sidKey.empty()) sids_[sidKey] = &viewer;
-    joins_.scribe(*id, *this);
+    joins_.setRequestSource(*id, *this);
     nlohmann::ordered_json fields{{"trace", viewer.trace.trace},
                                   {"sub", id->v},
                                   {"title", title},
@@ -543,21 +547,21 @@
                                   {"max_rung", wish.maxRung},
                                   {"network", gate_.nameOf(network)}};
     if (hint.sid) fields["sid"] = *hint.sid;
-    log_.line(record::Level::Info, net_.now(), net_.wallNow(), "asked", std::move(fields));
+    log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "asked", std::move(fields));
     viewers_.emplace(viewer.token, std::move(made));
-    core_.begin(*id);
+    core_.start(*id);
 }
 
-void HttpFace::askMedia(http::Exchange& exchange, Viewer& viewer) {
+void HttpFrontend::askMedia(http::Exchange& exchange, Viewer& viewer) {
     if (cache_.count({viewer.title, viewer.rung})) return sendWindow(exchange, viewer);
     if (viewer.fetches >= terms_.fetchesEach) return refuse(exchange, 429, "too many fetches at once");
     const std::uint64_t key = nextFetch_++;
     auto& relay = relays_[key] =
-        std::make_unique<Relay>(*this, key, viewer, exchange, Relay::What::Window, 0, viewer.rung);
+        std::make_unique<Relay>(*this, key, viewer, exchange, Relay::What::PlaylistWindow, 0, viewer.rung);
     relay->start();
 }
 
-void HttpFace::sendWindow(http::Exchange& exchange, Viewer& viewer) {
+void HttpFrontend::sendWindow(http::Exchange& exchange, Viewer& viewer) {
     const auto known = cache_.find({viewer.title, viewer.rung});
     if (known == cache_.end()) return refuse(exchange, 502, "no playlist");
     known->second.usedAt = ++cacheUse_;
@@ -569,7 +573,7 @@
     exchange.respond(200, fields, hls::write(viewer.window.playlist(durations)));
 }
 
-void HttpFace::askSegment(http::Exchange& exchange, Viewer& viewer, std::string_view file) {
+void HttpFrontend::askSegment(http::Exchange& exchange, Viewer& viewer, std::string_view file) {
     auto what = Relay::What::Segment;
     constexpr std::string_view kInit = "init-";
     std::string_view number = file;
@@ -591,7 +595,7 @@
         if (value >= ladder_.kb.size()) return refuse(exchange, 404, "nothing lies here");
         rung = static_cast<int>(value);
     } else {
-        const Window::Listed* listed = viewer.window.find(value);
+        const PlaylistWindow::Listed* listed = viewer.window.find(value);
         if (!listed) return refuse(exchange, 404, "this segment is not listed");
         rung = listed->rung;
     }
@@ -601,14 +605,14 @@
     if (what == Relay::What::Segment) viewer.window.fetched(value);
     if (what == Relay::What::Segment && rung != viewer.rungSeen) {
         viewer.rungSeen = rung;
-        core_.rungFetched(viewer.sub, rung);
+        core_.onRungFetched(viewer.sub, rung);
     }
     relay->start();
 }
 
-http::Fields HttpFace::cmsdFields(const Viewer& viewer, std::string_view standingStatic,
-                                  std::string_view standingDynamic, std::string_view objectType,
-                                  std::optional<Micros> toHead) const {
+http::Fields HttpFrontend::cmsdFields(const Viewer& viewer, std::string_view standingStatic,
+                                      std::string_view standingDynamic, std::string_view objectType,
+                                      std::optional<Micros> toHead) const {
     http::Fields fields;
     if (!standingStatic.empty() && hints::parseCmsdStatic(standingStatic)) {
         fields.add("CMSD-Static", standingStatic);
@@ -627,27 +631,27 @@
         std::llround(ladder_.kb[static_cast<std::size_t>(viewer.rung)] * type.rateFactor * 8));
     if (viewer.delivered) entry.etp = *viewer.delivered;
     if (toHead) entry.rd = *toHead / 1000;
-    entry.du = gate_.held() * 2 > gate_.bound();
-    fields.add("CMSD-Dynamic", hints::appended(standingDynamic, entry));
-    fields.add("traceparent", record::write(viewer.trace));
+    entry.du = gate_.pendingCount() * 2 > gate_.limit();
+    fields.add("CMSD-Dynamic", hints::appendEntry(standingDynamic, entry));
+    fields.add("traceparent", logging::write(viewer.trace));
     return fields;
 }
 
 // ================= answers =================
 
-void HttpFace::answerWaiters(Viewer& viewer, const std::function<void(http::Exchange&)>& how) {
-    if (std::exchange(viewer.inGate, false)) gate_.answered(viewer.network);
+void HttpFrontend::answerWaiters(Viewer& viewer, const std::function<void(http::Exchange&)>& how) {
+    if (std::exchange(viewer.inGate, false)) gate_.onAnswered(viewer.network);
     std::vector<std::unique_ptr<Waiter>> waiters;
     waiters.swap(viewer.waiters);
     for (auto& waiter : waiters) {
         http::Exchange* exchange = waiter->release();
         if (!exchange) continue;
-        exchange->heldBy(nullptr);
+        exchange->setHandler(nullptr);
         how(*exchange);
     }
 }
 
-void HttpFace::plays(SubId id, SfuId at, int rung) {
+void HttpFrontend::onPlaying(SubId id, SfuId at, int rung) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     viewer->playing = true;
@@ -661,8 +665,8 @@
     });
 }
 
-void HttpFace::answerPlaying(Viewer& viewer, http::Exchange& exchange) {
-    const boxes::JoinAnswer* answer = joins_.answerOf(viewer.sub);
+void HttpFrontend::answerPlaying(Viewer& viewer, http::Exchange& exchange) {
+    const upstream::JoinResponse* answer = joins_.responseOf(viewer.sub);
     if (!answer) return refuse(exchange, 410, "the subscription is over");
     // One variant: which rung plays is the front's to say, and the window's maps carry each change.
     hls::Variant best;
@@ -677,39 +681,39 @@
     exchange.respond(200, fields, hls::write(hls::Multivariant{{best}}));
 }
 
-void HttpFace::throttled(SubId id, Micros comeBack) {
+void HttpFrontend::onThrottled(SubId id, Micros retryAfter) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
-    const Micros told = comeBack > 0 ? gate_.comeBack(net_.now(), comeBack) : 0;
+    const Micros told = retryAfter > 0 ? gate_.retryAfter(net_.now(), retryAfter) : 0;
     answerWaiters(*viewer, [&](http::Exchange& e) { refuse(e, 503, "no room for it now", told); });
     endViewer(*viewer, false);
 }
 
-void HttpFace::terminated(SubId id, core::Ended how) {
+void HttpFrontend::onTerminated(SubId id, core::TerminationReason how) {
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     answerWaiters(*viewer, [&](http::Exchange& e) {
-        refuse(e, how == core::Ended::TimedOut ? 504 : 502, "its set-up failed");
+        refuse(e, how == core::TerminationReason::TimedOut ? 504 : 502, "its set-up failed");
     });
     endViewer(*viewer, false);
 }
 
-void HttpFace::rungSet(SubId id, int rung) {
+void HttpFrontend::onRungChanged(SubId id, int rung) {
     if (Viewer* viewer = bySub(id)) viewer->rung = rung;
 }
 
-void HttpFace::broke(SubId id) {
+void HttpFrontend::onServerLost(SubId id) {
     if (Viewer* viewer = bySub(id)) endViewer(*viewer, false);
 }
 
-void HttpFace::endViewer(Viewer& viewer, bool tellCore) {
+void HttpFrontend::endViewer(Viewer& viewer, bool tellCore) {
     const SubId id = viewer.sub;
-    log_.line(record::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
-              {{"trace", viewer.trace.trace},
-               {"sub", id.v},
-               {"segments", viewer.segments},
-               {"bytes", viewer.bytes}});
-    if (std::exchange(viewer.inGate, false)) gate_.answered(viewer.network);
+    log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
+               {{"trace", viewer.trace.trace},
+                {"sub", id.v},
+                {"segments", viewer.segments},
+                {"bytes", viewer.bytes}});
+    if (std::exchange(viewer.inGate, false)) gate_.onAnswered(viewer.network);
     viewer.silence->cancel();
     subs_.erase(id);
     if (!viewer.sidKey.empty()) {
@@ -720,12 +724,12 @@
     deadViewers_.push_back(std::move(it->second));
     viewers_.erase(it);
     bury_.soon();
-    if (tellCore) core_.left(id);
+    if (tellCore) core_.unsubscribe(id);
     joins_.forget(id);
 }
 
-boxes::JoinWords HttpFace::wordsFor(SubId id, int) {
-    boxes::JoinWords words;
+upstream::JoinRequest HttpFrontend::joinRequestFor(SubId id, int) {
+    upstream::JoinRequest words;
     const Viewer* viewer = bySub(id);
     if (!viewer) return words;
     words.title = viewer->title;
@@ -737,22 +741,22 @@
         const std::string value = hints::writeCmcdHeader(on, i);
         if (!value.empty()) words.fields.add(hints::kCmcdHeaders[i], value);
     }
-    record::TraceContext trace = viewer->trace;
-    trace.parent = record::hex64(net_.draw() | 1);
-    words.fields.add("traceparent", record::write(trace));
+    logging::TraceContext trace = viewer->trace;
+    trace.parent = logging::toHex(net_.randomBits() | 1);
+    words.fields.add("traceparent", logging::write(trace));
     return words;
 }
 
-void HttpFace::finishUp(std::function<void()> done) {
+void HttpFrontend::shutDown(std::function<void()> done) {
     stopping_ = true;
     std::vector<Viewer*> all;
     for (auto& [token, viewer] : viewers_) all.push_back(viewer.get());
     for (Viewer* viewer : all) endViewer(*viewer, true);
-    server_->finishUp(std::move(done));
+    server_->shutDown(std::move(done));
 }
 
-std::string HttpFace::statusText() const {
-    const core::Counts& c = core_.counts();
+std::string HttpFrontend::statusText() const {
+    const core::CoreCounts& c = core_.counts();
     nlohmann::ordered_json out{{"front", name_},
                                {"asked", c.asked},
                                {"played", c.played},
@@ -764,7 +768,7 @@
                                {"guarded", c.guarded},
                                {"turned_away", turnedAway_},
                                {"playing", viewers_.size()},
-                               {"unanswered", core_.unanswered()},
+                               {"unanswered", core_.unansweredCount()},
                                {"connections", server_->connections()},
                                {"box_connections", boxes_.connections()},
                                {"segments", relayedSegments_},
@@ -773,9 +777,9 @@
                                {"bad_requests", badRequests_}};
     nlohmann::ordered_json hints;
     for (std::size_t i = 0; i < hints::kDroppedKinds; ++i)
-        hints[std::string(hints::nameOf(static_cast<hints::Dropped>(i)))] = hintsDropped_[i];
+        hints[std::string(hints::nameOf(static_cast<hints::DropReason>(i)))] = hintsDropped_[i];
     out["hints_dropped"] = std::move(hints);
     return out.dump() + "\n";
 }
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/http/face.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -14,16 +14,16 @@
 #include <memory>
 #include <string>
 
-#include "faces/asking.hpp"
-#include "faces/http/viewer.hpp"
+#include "frontends/frontend_context.hpp"
+#include "frontends/http/playlist_window.hpp"
 #include "hints/cmcd.hpp"
 #include "http/server.hpp"
-#include "record/trace.hpp"
+#include "logging/trace_context.hpp"
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 
-struct HttpTerms {
-    WindowTerms window;
+struct HttpFrontendSettings {
+    PlaylistWindowSettings window;
     Micros silentAfter = 20'000'000;  // without a fetch, a viewer is taken to have left
     Micros closedAfter = 3'000'000;   // the same, once its last connection is closed
     Micros pausedAfter = 60'000'000;  // the same, while its hints say that it is paused (pr=0)
@@ -34,20 +34,23 @@
     Micros retryWhenFull = 1'000'000;   // named to those that admission turns away
 };
 
-class HttpFace final : public core::Face, public http::Handler, public boxes::JoinScribe, Surroundings {
+class HttpFrontend final : public core::SubscriptionHandler,
+                           public http::Handler,
+                           public upstream::JoinRequestSource,
+                           FrontendContext {
   public:
-    HttpFace(const Surroundings&, const net::Endpoint&, const http::WireLimits&, const HttpTerms&,
-             const hints::HintLimits&);
-    ~HttpFace() override;
+    HttpFrontend(const FrontendContext&, const net::Endpoint&, const http::HttpLimits&,
+                 const HttpFrontendSettings&, const hints::HintLimits&);
+    ~HttpFrontend() override;
 
-    net::Endpoint at() const { return server_->at(); }
+    net::Endpoint endpoint() const { return server_->endpoint(); }
     // Nothing new is taken from now on; what plays goes on.
-    void stopTaking() { stopping_ = true; }
+    void stopAccepting() { stopping_ = true; }
     // Ends what plays, and calls back when all is said.
-    void finishUp(std::function<void()> done);
+    void shutDown(std::function<void()> done);
     std::size_t viewers() const { return viewers_.size(); }
     const hints::DropCounts& hintsDropped() const { return hintsDropped_; }
-    const record::TraceContext* traceOf(SubId) const;
+    const logging::TraceContext* traceOf(SubId) const;
     std::string statusText() const;
 
   private:
@@ -61,19 +64,19 @@
     };
 
     // ---- http::Handler ----
-    void asked(http::Exchange&) override;
-    bool admits(const net::Endpoint&) override;
-    void closed(const net::Endpoint&) override;
-    void malformed(const net::Endpoint&, int, const std::string&) override;
+    void onRequest(http::Exchange&) override;
+    bool acceptsConnection(const net::Endpoint&) override;
+    void onConnectionClosed(const net::Endpoint&) override;
+    void onMalformedRequest(const net::Endpoint&, int, const std::string&) override;
 
     // ---- core::Face ----
-    void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros comeBack) override;
-    void terminated(SubId, core::Ended) override;
-    void rungSet(SubId, int rung) override;
-    void broke(SubId) override;
+    void onPlaying(SubId, SfuId, int rung) override;
+    void onThrottled(SubId, Micros retryAfter) override;
+    void onTerminated(SubId, core::TerminationReason) override;
+    void onRungChanged(SubId, int rung) override;
+    void onServerLost(SubId) override;
 
-    boxes::JoinWords wordsFor(SubId, int joinNo) override;
+    upstream::JoinRequest joinRequestFor(SubId, int joinNo) override;
 
     void countDropped(const hints::CmcdReader&);
     hints::Cmcd hintsOf(const http::RequestHead&);
@@ -82,7 +85,7 @@
     void askSegment(http::Exchange&, Viewer&, std::string_view file);
     void takeJson(http::Exchange&);
     void answerPlaying(Viewer&, http::Exchange&);
-    void refuse(http::Exchange&, int status, std::string_view why, Micros comeBack = 0);
+    void refuse(http::Exchange&, int status, std::string_view why, Micros retryAfter = 0);
     void sendWindow(http::Exchange&, Viewer&);
     http::Fields cmsdFields(const Viewer&, std::string_view standingStatic, std::string_view standingDynamic,
                             std::string_view objectType, std::optional<Micros> toHead) const;
@@ -93,7 +96,7 @@
     void answerWaiters(Viewer&, const std::function<void(http::Exchange&)>&);
     void bury(std::unique_ptr<Relay>);
 
-    HttpTerms terms_;
+    HttpFrontendSettings terms_;
     hints::HintLimits hintLimits_;
     std::unique_ptr<http::Server> server_;
     std::map<std::string, std::unique_ptr<Viewer>> viewers_;  // by token
@@ -117,4 +120,4 @@
     bool stopping_ = false;
 };
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/sip/face.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -1,10 +1,10 @@
-#include "faces/sip/face.hpp"
+#include "frontends/sip/sip_frontend.hpp"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 namespace {
 
 constexpr const char* kAllow = "INVITE, ACK, CANCEL, BYE, OPTIONS, UPDATE";
@@ -24,13 +24,13 @@
 
 }  // namespace
 
-struct SipFace::Call {
+struct SipFrontend::Call {
     SubId sub;
     std::string key, dialog, localTag, title;
-    sip::Way way;
+    sip::ReplyRoute way;
     sip::Message invite;
     sip::Offer offer;
-    record::TraceContext trace;
+    logging::TraceContext trace;
     RoomTypeId room;
     std::uint32_t network = 0;
     bool inGate = false, playing = false, updateOut = false, updateDue = false;
@@ -47,15 +47,15 @@
 };
 
 // A request of our own within a dialog: sent again until it is answered (timers E and F).
-struct SipFace::Out {
-    SipFace& face;
+struct SipFrontend::Out {
+    SipFrontend& face;
     std::string branch, method, bytes;
     SubId sub;
-    sip::Way way;
+    sip::ReplyRoute way;
     Micros wait;
     net::Timer again, end;
-    Out(SipFace& face, std::string branch, std::string method, std::string bytes, SubId sub,
-        const sip::Way& way)
+    Out(SipFrontend& face, std::string branch, std::string method, std::string bytes, SubId sub,
+        const sip::ReplyRoute& way)
         : face(face),
           branch(std::move(branch)),
           method(std::move(method)),
@@ -65,7 +65,7 @@
           wait(face.terms_.times.t1),
           again(face.net_,
                 [this] {
-                    this->face.sendOn(this->way, this->bytes);
+                    this->face.sendTo(this->way, this->bytes);
                     wait = std::min(2 * wait, this->face.terms_.times.t2);
                     again.after(wait);
                 }),
@@ -76,7 +76,7 @@
     void over(int status) {
         again.cancel();
         end.cancel();
-        SipFace& f = face;
+        SipFrontend& f = face;
         const SubId id = sub;
         const bool update = method != "BYE";
         const auto it = f.out_.find(branch);
@@ -90,7 +90,7 @@
         if (status == 481 || status == 408) return f.hangUp(*call, true);  // RFC 5057: the dialog is gone
         if (status == 491) {  // glare: the caller's own request crossed ours; we didn't make the Call-ID
             call->updateDue = true;
-            call->updateTimer->after(static_cast<Micros>(f.net_.draw() % 200) * 10'000);
+            call->updateTimer->after(static_cast<Micros>(f.net_.randomBits() % 200) * 10'000);
             return;
         }
         if (status < 300) f.armSession(*call);
@@ -99,21 +99,21 @@
 };
 
 // A stream of messages: framed by Content-Length, given up on when it loses its place.
-class SipFace::Stream final : public net::StreamUser {
+class SipFrontend::Stream final : public net::StreamHandler {
   public:
-    Stream(SipFace& face, std::uint64_t key, std::unique_ptr<net::Stream> s)
+    Stream(SipFrontend& face, std::uint64_t key, std::unique_ptr<net::Stream> s)
         : face_(face),
           stream_(std::move(s)),
           way_{true, key, stream_->peer()},
           framer_(face.terms_.limits.bytes),
           idle_(face.net_, [this] { close(); }) {
-        stream_->handTo(*this);
+        stream_->setHandler(*this);
         idle_.after(face.terms_.streamIdle);
     }
-    void readable() override {
+    void onReadable() override {
         std::array<char, 16'384> buffer;
         while (stream_) {
-            const net::Moved got = stream_->read(buffer);
+            const net::IoResult got = stream_->read(buffer);
             if (got.bytes > 0) {
                 idle_.after(face_.terms_.streamIdle);
                 bool good = framer_.feed(std::string_view(buffer.data(), got.bytes));
@@ -122,11 +122,11 @@
                 if (!good) return close();
                 continue;
             }
-            if (got.then == net::Moved::Then::Again) return;
+            if (got.status == net::IoResult::Status::WouldBlock) return;
             return close();
         }
     }
-    void writable() override { flush(); }
+    void onWritable() override { flush(); }
     void send(const std::string& bytes) {
         if (!stream_ || out_.size() > 8 * face_.terms_.limits.bytes)
             return close();  // it takes nothing any more
@@ -147,56 +147,56 @@
   private:
     void flush() {
         if (!stream_ || out_.empty()) return;
-        const net::Moved put = stream_->write(out_);
+        const net::IoResult put = stream_->write(out_);
         out_.erase(0, put.bytes);
-        if (put.then == net::Moved::Then::Broken) close();
+        if (put.status == net::IoResult::Status::Broken) close();
     }
-    SipFace& face_;
+    SipFrontend& face_;
     std::unique_ptr<net::Stream> stream_;
-    sip::Way way_;
+    sip::ReplyRoute way_;
     sip::Framer framer_;
     std::string out_;
     net::Timer idle_;
 };
 
 // Asks the box whether it still holds what plays.
-class SipFace::Hold final : public boxes::RequestUser {
+class SipFrontend::Hold final : public upstream::UpstreamRequestHandler {
   public:
-    Hold(SipFace& face, SubId sub) : face_(face), sub_(sub) {}
-    std::unique_ptr<boxes::Request> request;
+    Hold(SipFrontend& face, SubId sub) : face_(face), sub_(sub) {}
+    std::unique_ptr<upstream::UpstreamRequest> request;
 
   private:
-    void head(const http::ResponseHead& h) override {
+    void onHead(const http::ResponseHead& h) override {
         status_ = h.status;
-        load_ = boxes::loadOf(h.fields);
+        load_ = upstream::loadOf(h.fields);
     }
-    void piece(std::string_view) override {}
-    void whole() override {
+    void onBody(std::string_view) override {}
+    void onComplete() override {
         Call* call = face_.bySub(sub_);
         if (!call) return;
-        if (status_ == 410) return face_.core_.lost(sub_, JoinEnd::Reset);
-        face_.core_.figures(sub_, call->at, load_.linkUse, load_.uplinkUse);
+        if (status_ == 410) return face_.core_.onPlaybackEnded(sub_, JoinResult::Reset);
+        face_.core_.onLoadReport(sub_, call->at, load_.linkUse, load_.uplinkUse);
         call->holdTimer->after(face_.terms_.holdEvery);
     }
-    void failed(boxes::WireEnd how) override {
+    void onFailed(upstream::RequestResult how) override {
         Call* call = face_.bySub(sub_);
         if (!call) return;
-        if (how == boxes::WireEnd::NoRoomToSend || how == boxes::WireEnd::NoDescriptor ||
-            how == boxes::WireEnd::BrokenOutKept) {  // says nothing of the box
+        if (how == upstream::RequestResult::NoRoomToSend || how == upstream::RequestResult::NoDescriptor ||
+            how == upstream::RequestResult::BrokenOutKept) {  // says nothing of the box
             call->holdTimer->after(face_.terms_.holdEvery / 4);
             return;
         }
-        face_.core_.lost(sub_, boxes::meaningOf(how).end);
+        face_.core_.onPlaybackEnded(sub_, upstream::meaningOf(how).end);
     }
-    SipFace& face_;
+    SipFrontend& face_;
     SubId sub_;
     int status_ = 0;
-    Load load_;
+    LoadReport load_;
 };
 
-SipFace::SipFace(const Surroundings& around, const net::Endpoint& at, const SipTerms& terms,
-                 std::uint64_t seed)
-    : Surroundings(around),
+SipFrontend::SipFrontend(const FrontendContext& around, const net::Endpoint& at,
+                         const SipFrontendSettings& terms, std::uint64_t seed)
+    : FrontendContext(around),
       terms_(terms),
       salt_(seed),
       transactions_(net_, terms.times, terms.transactions, *this),
@@ -214,21 +214,21 @@
     for (int left = at.port == 0 ? 16 : 1; !listener_; --left) {
         datagrams_ = net_.bind(at, *this);
         try {
-            listener_ = net_.listen(datagrams_->at(), *this);
+            listener_ = net_.listen(datagrams_->endpoint(), *this);
         } catch (const std::runtime_error&) {
             if (left <= 1) throw;
         }
     }
     look_.after(terms_.overload.every);
 }
-SipFace::~SipFace() {
+SipFrontend::~SipFrontend() {
     calls_.clear();
     out_.clear();
     streams_.clear();
 }
 
-void SipFace::look() {
-    const double fill = gate_.fill();
+void SipFrontend::look() {
+    const double fill = gate_.fillRatio();
     while (!mergedUntil_.empty() && mergedUntil_.front().first <= net_.now()) {
         std::string key = std::move(mergedUntil_.front().second);
         mergedUntil_.pop_front();
@@ -245,30 +245,30 @@
     look_.after(terms_.overload.every);
 }
 
-SipFace::Call* SipFace::bySub(SubId id) {
+SipFrontend::Call* SipFrontend::bySub(SubId id) {
     const auto it = calls_.find(id);
     return it == calls_.end() ? nullptr : it->second.get();
 }
-SipFace::Call* SipFace::byDialog(const sip::Message& m) {
+SipFrontend::Call* SipFrontend::byDialog(const sip::Message& m) {
     const auto it = byDialog_.find(m.callId + "|" + m.to.tag + "|" + m.from.tag);
     return it == byDialog_.end() ? nullptr : it->second;
 }
-const record::TraceContext* SipFace::traceOf(SubId id) const {
+const logging::TraceContext* SipFrontend::traceOf(SubId id) const {
     const auto it = calls_.find(id);
     return it == calls_.end() ? nullptr : &it->second->trace;
 }
 
 // ================= bytes in and out =================
 
-void SipFace::received(const net::Endpoint& from, std::string_view bytes) {
-    unreadSum_ += datagrams_->waited();
+void SipFrontend::onDatagram(const net::Endpoint& from, std::string_view bytes) {
+    unreadSum_ += datagrams_->queueingDelay();
     ++unreadOf_;
-    const sip::Way way{false, 0, from};
-    if (const auto g = sip::glance(bytes); g && turnedAwayAtAGlance(*g, way)) return;
+    const sip::ReplyRoute way{false, 0, from};
+    if (const auto g = sip::prefilter(bytes); g && turnedAwayAtAGlance(*g, way)) return;
     heard(bytes, way);
 }
 
-void SipFace::accepted(std::unique_ptr<net::Stream> stream) {
+void SipFrontend::onAccepted(std::unique_ptr<net::Stream> stream) {
     if (streams_.size() >= terms_.streams) {
         stream->reset();
         return;
@@ -277,7 +277,7 @@
     streams_[key] = std::make_unique<Stream>(*this, key, std::move(stream));
 }
 
-void SipFace::sendOn(const sip::Way& way, const std::string& bytes) {
+void SipFrontend::sendTo(const sip::ReplyRoute& way, const std::string& bytes) {
     if (!way.stream) {
         datagrams_->send(way.peer, bytes);
         return;
@@ -286,14 +286,14 @@
     if (it != streams_.end()) it->second->send(bytes);
 }
 
-void SipFace::heard(std::string_view bytes, const sip::Way& way) {
+void SipFrontend::heard(std::string_view bytes, const sip::ReplyRoute& way) {
     if (bytes.find_first_not_of("\r\n \t") == std::string_view::npos) return;  // keeps a NAT open
     ++counts_.messages;
     sip::Parsed parsed = sip::parse(bytes, terms_.limits);
     if (!parsed.got) {
         ++counts_.malformed;
-        log_.line(record::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
-                  {{"peer", net::text(way.peer)}, {"status", parsed.status}, {"why", parsed.why}});
+        log_.write(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
+                   {{"peer", net::toString(way.peer)}, {"status", parsed.status}, {"why", parsed.why}});
         if (parsed.enough && parsed.status) replyStateless(*parsed.enough, way, parsed.status);
         return;
     }
@@ -304,7 +304,7 @@
 }
 
 // To one that offered overload control, its topmost Via says what is asked of it.
-sip::Message SipFace::withControl(sip::Message m) const {
+sip::Message SipFrontend::withControl(sip::Message m) const {
     sip::Via& via = m.vias.front();
     if (!via.params.count("oc")) return m;
     const auto algo = via.params.find("oc-algo");
@@ -313,25 +313,26 @@
 }
 
 // Refused without keeping anything: what a flood may cost at most.
-void SipFace::replyStateless(const sip::Message& m, const sip::Way& way, int status, Micros comeBack) {
+void SipFrontend::replyStateless(const sip::Message& m, const sip::ReplyRoute& way, int status,
+                                 Micros retryAfter) {
     std::vector<std::pair<std::string, std::string>> more;
-    if (comeBack > 0) more.emplace_back("Retry-After", wholeSecondsUp(comeBack));
-    sendOn(way, sip::response(withControl(m), status,
-                              record::hex64(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more, "",
-                              &way.peer));
+    if (retryAfter > 0) more.emplace_back("Retry-After", ceilToSeconds(retryAfter));
+    sendTo(way, sip::response(withControl(m), status,
+                              logging::toHex(nameOf(m.vias.front().branch, m.callId, salt_) ^ salt_), more,
+                              "", &way.peer));
 }
 
-void SipFace::reply(const std::string& key, const sip::Message& m, int status,
-                    std::vector<std::pair<std::string, std::string>> more, const std::string& body) {
+void SipFrontend::reply(const std::string& key, const sip::Message& m, int status,
+                        std::vector<std::pair<std::string, std::string>> more, const std::string& body) {
     const auto call = byKey_.find(key);
-    const std::string tag = call != byKey_.end() ? call->second->localTag : record::hex64(net_.draw());
+    const std::string tag = call != byKey_.end() ? call->second->localTag : logging::toHex(net_.randomBits());
     const net::Endpoint* from = call != byKey_.end() ? &call->second->way.peer : nullptr;
     transactions_.answer(key, status, sip::response(withControl(m), status, tag, more, body, from));
 }
 
 // ================= requests =================
 
-void SipFace::onRequest(sip::Message m, const sip::Way& way) {
+void SipFrontend::onRequest(sip::Message m, const sip::ReplyRoute& way) {
     if (m.method == "ACK") {
         if (transactions_.ack(m)) return;
         Call* call = byDialog(m);
@@ -359,13 +360,13 @@
         }
     }
     switch (transactions_.request(m, way)) {
-        case sip::Transactions::Came::Absorbed:
+        case sip::Transactions::RequestDisposition::Absorbed:
             return;
-        case sip::Transactions::Came::Full:
+        case sip::Transactions::RequestDisposition::Full:
             ++counts_.shed;
             refused_.remember(nameOf(m.vias.front().branch, m.callId, salt_));
             return replyStateless(m, way, 503, terms_.retryWhenFull);
-        case sip::Transactions::Came::New:
+        case sip::Transactions::RequestDisposition::New:
             break;
     }
     if (m.maxForwards && *m.maxForwards == 0 && m.method != "OPTIONS") return reply(key, m, 483);
@@ -386,17 +387,18 @@
 
 // Before a transaction is made: overload control, and the gate where it would refuse anyway. What was refused
 // once stays refused: a copy that comes when there is room again must not get a second final answer.
-bool SipFace::turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::Way& way) {
+bool SipFrontend::turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::ReplyRoute& way) {
     if (refused_.knows(name)) return true;
     const double draw = static_cast<double>(name >> 11) / 9007199254740992.0;
-    const bool away = stopping_ || (terms_.shed && (overload_.shed(draw, listens, emergency, gate_.fill()) ||
-                                                    (!emergency && !gate_.wouldLet(way.peer.ip))));
+    const bool away =
+        stopping_ || (terms_.shed && (overload_.shed(draw, listens, emergency, gate_.fillRatio()) ||
+                                      (!emergency && !gate_.wouldAdmit(way.peer.ip))));
     if (away) refused_.remember(name);
     return away;
 }
 
 // What a flood costs at most: no message is read whole, nothing is kept but its name.
-bool SipFace::turnedAwayAtAGlance(const sip::Glance& g, const sip::Way& way) {
+bool SipFrontend::turnedAwayAtAGlance(const sip::PrefilteredRequest& g, const sip::ReplyRoute& way) {
     const std::uint64_t name = nameOf(g.branch, g.callId, salt_);
     if (g.method == "ACK") return refused_.knows(name);
     if (g.toHasTag || transactions_.knows(g.inviteKey())) return false;
@@ -414,12 +416,12 @@
                 ? std::string()
                 : std::string(g.via.substr(at + 9, g.via.find(';', at + 9) - at - 9)));
     }
-    sendOn(way, sip::refusal(g, "503 Service Unavailable", record::hex64(name ^ salt_), more,
+    sendTo(way, sip::refusal(g, "503 Service Unavailable", logging::toHex(name ^ salt_), more,
                              static_cast<long>((terms_.retryWhenFull + kSecond - 1) / kSecond), way.peer));
     return true;
 }
 
-void SipFace::onInvite(sip::Message m, const sip::Way& way) {
+void SipFrontend::onInvite(sip::Message m, const sip::ReplyRoute& way) {
     const std::string key = sip::Transactions::keyOf(m);
     // The same call by another way (section 8.2.2.2): forked upstream, or sent from a second port.
     const std::string mergeKey = m.callId + "|" + m.from.tag + "|" + std::to_string(m.cseq);
@@ -446,44 +448,45 @@
         offer = *read;
     }
     if (m.sessionExpires && static_cast<Micros>(*m.sessionExpires) * kSecond < terms_.minSe)
-        return reply(key, m, 422, {{"Min-SE", wholeSecondsUp(terms_.minSe)}});
+        return reply(key, m, 422, {{"Min-SE", ceilToSeconds(terms_.minSe)}});
 
     if (calls_.size() >= terms_.calls)
-        return reply(key, m, 503, {{"Retry-After", wholeSecondsUp(terms_.retryWhenFull)}});
+        return reply(key, m, 503, {{"Retry-After", ceilToSeconds(terms_.retryWhenFull)}});
     const std::uint32_t network = gate_.networkOf(way.peer.ip);
-    if (gate_.ask(net_.now(), network) != admission::Gate::Let::In)
+    if (gate_.admit(net_.now(), network) != admission::AdmissionController::Decision::Admitted)
         return reply(key, m, 503,
-                     {{"Retry-After", wholeSecondsUp(gate_.comeBack(net_.now(), terms_.retryWhenFull))}});
+                     {{"Retry-After", ceilToSeconds(gate_.retryAfter(net_.now(), terms_.retryWhenFull))}});
 
     const RoomType& type = rooms_.types[room->v];
     double kbits = offer.mostBits ? static_cast<double>(*offer.mostBits) / 1'000 : 1e18;
-    if (gate_.lowestOnly(network)) kbits = 0;
-    const Wish wish = wishFor(*room, m.user, talk->second, ladder_, type, kbits);
+    if (gate_.isLimitedToLowestRung(network)) kbits = 0;
+    const SubscriptionRequest wish =
+        subscriptionRequestFor(*room, m.user, talk->second, ladder_, type, kbits);
     Micros timeout = rooms_.clientTimeouts[room->v];
     if (m.expires && *m.expires > 0) timeout = std::min(timeout, static_cast<Micros>(*m.expires) * kSecond);
-    const auto id = core_.ask(*this, wish, timeout);
+    const auto id = core_.subscribe(*this, wish, timeout);
     if (!id) {
-        gate_.answered(network);
-        return reply(key, m, 503, {{"Retry-After", wholeSecondsUp(terms_.retryWhenFull)}});
+        gate_.onAnswered(network);
+        return reply(key, m, 503, {{"Retry-After", ceilToSeconds(terms_.retryWhenFull)}});
     }
     auto made = std::make_unique<Call>();
     Call& call = *made;
     call.sub = *id;
     call.key = key;
-    call.localTag = record::hex64(net_.draw());
+    call.localTag = logging::toHex(net_.randomBits());
     call.dialog = m.callId + "|" + call.localTag + "|" + m.from.tag;
     call.title = m.user;
     call.way = way;
     call.offer = std::move(offer);
     call.answerDue = m.body.empty();
     const auto parent = m.others.find("traceparent");
-    const auto trace = parent == m.others.end() ? std::nullopt : record::parseTraceParent(parent->second);
-    call.trace = trace ? *trace : record::newTrace(net_.draw(), net_.draw(), net_.draw());
+    const auto trace = parent == m.others.end() ? std::nullopt : logging::parseTraceParent(parent->second);
+    call.trace = trace ? *trace : logging::newTrace(net_.randomBits(), net_.randomBits(), net_.randomBits());
     call.room = *room;
     call.network = network;
     call.inGate = true;
     call.heardCseq = m.cseq;
-    call.session = net_.draw() >> 1;
+    call.session = net_.randomBits() >> 1;
     call.target = m.contact->uri;
     const bool timer = std::find(m.supported.begin(), m.supported.end(), "timer") != m.supported.end();
     call.callerRefreshes = timer && m.refresher != "uas";
@@ -509,20 +512,20 @@
     merged_[mergeKey] = key;
     mergedUntil_.emplace_back(net_.now() + 65 * terms_.times.t1, mergeKey);
     calls_[*id] = std::move(made);
-    joins_.scribe(*id, *this);
-    log_.line(record::Level::Info, net_.now(), net_.wallNow(), "asked",
-              {{"trace", call.trace.trace},
-               {"sub", id->v},
-               {"title", call.title},
-               {"room", type.name},
-               {"face", "sip"},
-               {"call", call.invite.callId},
-               {"network", gate_.nameOf(network)}});
+    joins_.setRequestSource(*id, *this);
+    log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "asked",
+               {{"trace", call.trace.trace},
+                {"sub", id->v},
+                {"title", call.title},
+                {"room", type.name},
+                {"face", "sip"},
+                {"call", call.invite.callId},
+                {"network", gate_.nameOf(network)}});
     reply(key, call.invite, 100);
-    core_.begin(*id);
+    core_.start(*id);
 }
 
-void SipFace::onCancel(const sip::Message& m, const std::string& key) {
+void SipFrontend::onCancel(const sip::Message& m, const std::string& key) {
     std::string invite = key.substr(0, key.size() - 7);  // less "|CANCEL"
     const auto it = byKey_.find(invite);
     reply(key, m, transactions_.knows(invite) ? 200 : 481);
@@ -534,7 +537,7 @@
     forget(call, true);
 }
 
-void SipFace::inDialog(Call& call, const sip::Message& m, const std::string& key) {
+void SipFrontend::inDialog(Call& call, const sip::Message& m, const std::string& key) {
     if (m.cseq <= call.heardCseq && m.method != "CANCEL") return reply(key, m, 500);  // out of order (12.2.2)
     call.heardCseq = m.cseq;
     if (m.method == "BYE") {
@@ -563,7 +566,7 @@
     reply(key, m, 200, dialogFields(call), body);
 }
 
-void SipFace::onAnswer(const sip::Message& m) {
+void SipFrontend::onAnswer(const sip::Message& m) {
     const auto it = out_.find(m.vias.front().branch);
     if (it == out_.end() || m.status < 200 || it->second->method != m.method) return;
     it->second->over(m.status);
@@ -571,27 +574,27 @@
 
 // ================= what the core says =================
 
-std::string SipFace::answerBody(const Call& call) const {
-    const net::Endpoint* at = boxes_.whereIs(call.at);
+std::string SipFrontend::answerBody(const Call& call) const {
+    const net::Endpoint* at = boxes_.addressOf(call.at);
     const RoomType& type = rooms_.types[call.room.v];
     const double kb = ladder_.kb[static_cast<std::size_t>(call.rung)] * type.rateFactor;
-    return sip::writeAnswer(call.offer, at ? *at : datagrams_->at(),
+    return sip::writeAnswer(call.offer, at ? *at : datagrams_->endpoint(),
                             static_cast<std::uint64_t>(std::llround(kb * 8'000)), call.session, call.version);
 }
 
-std::vector<std::pair<std::string, std::string>> SipFace::dialogFields(const Call& call) const {
-    return {{"Contact", "<sip:" + name_ + "@" + net::text(datagrams_->at()) + ">"},
+std::vector<std::pair<std::string, std::string>> SipFrontend::dialogFields(const Call& call) const {
+    return {{"Contact", "<sip:" + name_ + "@" + net::toString(datagrams_->endpoint()) + ">"},
             {"Allow", kAllow},
             {"Supported", "timer"},
             {"Session-Expires",
-             wholeSecondsUp(call.expires) + (call.callerRefreshes ? ";refresher=uac" : ";refresher=uas")}};
+             ceilToSeconds(call.expires) + (call.callerRefreshes ? ";refresher=uac" : ";refresher=uas")}};
 }
 
-void SipFace::plays(SubId id, SfuId at, int rung) {
+void SipFrontend::onPlaying(SubId id, SfuId at, int rung) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
-    if (std::exchange(call->inGate, false)) gate_.answered(call->network);
+    if (std::exchange(call->inGate, false)) gate_.onAnswered(call->network);
     call->playing = true;
     call->at = at;
     call->rung = rung;
@@ -599,29 +602,30 @@
     call->holdTimer->after(terms_.holdEvery);
     auto more = dialogFields(*call);
     if (call->callerRefreshes) more.emplace_back("Require", "timer");
-    more.emplace_back("traceparent", record::write(call->trace));
+    more.emplace_back("traceparent", logging::write(call->trace));
     reply(call->key, call->invite, 200, std::move(more), answerBody(*call));
 }
 
-void SipFace::throttled(SubId id, Micros comeBack) {
+void SipFrontend::onThrottled(SubId id, Micros retryAfter) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
     std::vector<std::pair<std::string, std::string>> more;
-    if (comeBack > 0) more.emplace_back("Retry-After", wholeSecondsUp(gate_.comeBack(net_.now(), comeBack)));
+    if (retryAfter > 0)
+        more.emplace_back("Retry-After", ceilToSeconds(gate_.retryAfter(net_.now(), retryAfter)));
     reply(call->key, call->invite, 486, std::move(more));
     forget(*call, false);
 }
 
-void SipFace::terminated(SubId id, core::Ended how) {
+void SipFrontend::onTerminated(SubId id, core::TerminationReason how) {
     Call* call = bySub(id);
     if (!call) return;
     ++servedNow_;
-    reply(call->key, call->invite, how == core::Ended::TimedOut ? 504 : 500);
+    reply(call->key, call->invite, how == core::TerminationReason::TimedOut ? 504 : 500);
     forget(*call, false);
 }
 
-void SipFace::rungSet(SubId id, int rung) {
+void SipFrontend::onRungChanged(SubId id, int rung) {
     Call* call = bySub(id);
     if (!call || call->rung == rung) return;
     call->rung = rung;
@@ -632,11 +636,11 @@
     if (!call->updateOut) call->updateTimer->after(0);
 }
 
-void SipFace::broke(SubId id) {
+void SipFrontend::onServerLost(SubId id) {
     if (Call* call = bySub(id)) hangUp(*call, false);
 }
 
-void SipFace::neverAcknowledged(const std::string& key) {
+void SipFrontend::onAckTimeout(const std::string& key) {
     const auto it = byKey_.find(key);
     if (it == byKey_.end()) return;
     ++counts_.unacknowledged;
@@ -645,12 +649,13 @@
 
 // ================= within a dialog =================
 
-void SipFace::sendInDialog(Call& call, const char* method, const std::string& body) {
-    const std::string branch = "z9hG4bK" + record::hex64(net_.draw());
+void SipFrontend::sendInDialog(Call& call, const char* method, const std::string& body) {
+    const std::string branch = "z9hG4bK" + logging::toHex(net_.randomBits());
     const sip::Message& m = call.invite;
     std::string text = std::string(method) + " " + sip::headerSafe(call.target) +
                        " SIP/2.0\r\nVia: SIP/2.0/" + (call.way.stream ? "TCP " : "UDP ") +
-                       net::text(datagrams_->at()) + ";branch=" + branch + ";rport\r\nMax-Forwards: 70\r\n";
+                       net::toString(datagrams_->endpoint()) + ";branch=" + branch +
+                       ";rport\r\nMax-Forwards: 70\r\n";
     for (const std::string& route : m.recordRoutes) text += "Route: " + sip::headerSafe(route) + "\r\n";
     text += "From: " + sip::headerSafe(m.to.written) + ";tag=" + call.localTag +
             "\r\nTo: " + sip::headerSafe(m.from.written) + "\r\nCall-ID: " + sip::headerSafe(m.callId) +
@@ -659,11 +664,11 @@
     if (!body.empty()) text += "Content-Type: application/sdp\r\n";
     text += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     if (out_.size() >= terms_.transactions) return;
-    sendOn(call.way, text);
+    sendTo(call.way, text);
     out_[branch] = std::make_unique<Out>(*this, branch, method, text, call.sub, call.way);
 }
 
-void SipFace::sendUpdate(Call& call) {
+void SipFrontend::sendUpdate(Call& call) {
     if (call.updateOut) return;
     call.updateDue = false;
     call.updateOut = true;
@@ -674,16 +679,16 @@
     sendInDialog(call, may ? "UPDATE" : "OPTIONS", may ? answerBody(call) : "");
 }
 
-void SipFace::hangUp(Call& call, bool tellCore) {
+void SipFrontend::hangUp(Call& call, bool tellCore) {
     sendInDialog(call, "BYE", "");
     forget(call, tellCore);
 }
 
-void SipFace::forget(Call& call, bool tellCore) {
+void SipFrontend::forget(Call& call, bool tellCore) {
     const SubId id = call.sub;
-    log_.line(record::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
-              {{"trace", call.trace.trace}, {"sub", id.v}, {"face", "sip"}});
-    if (std::exchange(call.inGate, false)) gate_.answered(call.network);
+    log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
+               {{"trace", call.trace.trace}, {"sub", id.v}, {"face", "sip"}});
+    if (std::exchange(call.inGate, false)) gate_.onAnswered(call.network);
     transactions_.acknowledged(call.key);  // whatever became of its 200, it is sent no more
     byKey_.erase(call.key);
     byDialog_.erase(call.dialog);
@@ -694,18 +699,18 @@
     deadCalls_.push_back(std::move(it->second));
     calls_.erase(it);
     bury_.soon();
-    if (tellCore) core_.left(id);
+    if (tellCore) core_.unsubscribe(id);
     joins_.forget(id);
 }
 
 // A caller that refreshes is given up on a little before its time is over, as RFC 4028, section 10, asks.
-void SipFace::armSession(Call& call) {
+void SipFrontend::armSession(Call& call) {
     const Micros wait = call.callerRefreshes ? call.expires - std::min<Micros>(32 * kSecond, call.expires / 3)
                                              : call.expires / 2;
     call.sessionTimer->after(wait);
 }
 
-void SipFace::askHold(Call& call) {
+void SipFrontend::askHold(Call& call) {
     if (call.hold) deadHolds_.push_back(std::move(call.hold));
     bury_.soon();
     call.hold = std::make_unique<Hold>(*this, call.sub);
@@ -713,22 +718,22 @@
                                      terms_.holdWithin, *call.hold);
 }
 
-boxes::JoinWords SipFace::wordsFor(SubId id, int) {
-    boxes::JoinWords words;
+upstream::JoinRequest SipFrontend::joinRequestFor(SubId id, int) {
+    upstream::JoinRequest words;
     const Call* call = bySub(id);
     if (!call) return words;
     words.title = call->title;
     words.room = rooms_.types[call->room.v].name;
     // A front that was started again knows nothing of this INVITE, and its copies go on coming: the box must
     // tell that it began this very one already.
-    if (rooms_.types[call->room.v].paid) words.once = record::hex64(hashOf(call->key, 0));
-    record::TraceContext trace = call->trace;
-    trace.parent = record::hex64(net_.draw() | 1);
-    words.fields.add("traceparent", record::write(trace));
+    if (rooms_.types[call->room.v].paid) words.once = logging::toHex(hashOf(call->key, 0));
+    logging::TraceContext trace = call->trace;
+    trace.parent = logging::toHex(net_.randomBits() | 1);
+    words.fields.add("traceparent", logging::write(trace));
     return words;
 }
 
-void SipFace::finishUp() {
+void SipFrontend::shutDown() {
     stopping_ = true;
     std::vector<Call*> all;
     for (auto& [id, call] : calls_) all.push_back(call.get());
@@ -736,4 +741,4 @@
         if (call->playing) hangUp(*call, true);
 }
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/faces/sip/face.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -16,18 +16,18 @@
 #include <memory>
 #include <string>
 
-#include "faces/asking.hpp"
-#include "record/trace.hpp"
-#include "sip/glance.hpp"
+#include "frontends/frontend_context.hpp"
+#include "logging/trace_context.hpp"
 #include "sip/overload.hpp"
+#include "sip/prefilter.hpp"
 #include "sip/transactions.hpp"
 
-namespace valekeel::faces {
+namespace valekeel::frontends {
 
-struct SipTerms {
+struct SipFrontendSettings {
     sip::SipTimes times;
     sip::SipLimits limits;
-    sip::OverloadTerms overload;
+    sip::OverloadSettings overload;
     bool shed = true;                  // overload control; without it only the bounds hold
     std::size_t refusedKept = 65'536;  // refusals without a transaction that are remembered
     std::size_t transactions = 20'000, calls = 20'000, streams = 2'000;
@@ -42,25 +42,25 @@
                   unacknowledged = 0, expired = 0, updates = 0;
 };
 
-class SipFace final : public core::Face,
-                      public boxes::JoinScribe,
-                      sip::TransactionUser,
-                      net::DatagramUser,
-                      net::ListenerUser,
-                      Surroundings {
+class SipFrontend final : public core::SubscriptionHandler,
+                          public upstream::JoinRequestSource,
+                          sip::TransactionHandler,
+                          net::DatagramHandler,
+                          net::ListenerHandler,
+                          FrontendContext {
   public:
     // Listens for datagrams and streams at the same place.
-    SipFace(const Surroundings&, const net::Endpoint&, const SipTerms&, std::uint64_t seed);
-    ~SipFace() override;
-    net::Endpoint at() const { return datagrams_->at(); }
-    void stopTaking() { stopping_ = true; }
-    void finishUp();  // BYE to all that play
+    SipFrontend(const FrontendContext&, const net::Endpoint&, const SipFrontendSettings&, std::uint64_t seed);
+    ~SipFrontend() override;
+    net::Endpoint endpoint() const { return datagrams_->endpoint(); }
+    void stopAccepting() { stopping_ = true; }
+    void shutDown();  // BYE to all that play
     std::size_t calls() const { return calls_.size(); }
     std::size_t transactions() const { return transactions_.size(); }
     std::uint64_t absorbed() const { return transactions_.absorbed(); }
     const SipCounts& counts() const { return counts_; }
     const sip::Overload& overload() const { return overload_; }
-    const record::TraceContext* traceOf(SubId) const;
+    const logging::TraceContext* traceOf(SubId) const;
 
   private:
     struct Call;
@@ -68,30 +68,30 @@
     class Hold;
     struct Out;
 
-    void received(const net::Endpoint& from, std::string_view bytes) override;
-    void accepted(std::unique_ptr<net::Stream>) override;
-    void heard(std::string_view bytes, const sip::Way&);
-    void onRequest(sip::Message, const sip::Way&);
+    void onDatagram(const net::Endpoint& from, std::string_view bytes) override;
+    void onAccepted(std::unique_ptr<net::Stream>) override;
+    void heard(std::string_view bytes, const sip::ReplyRoute&);
+    void onRequest(sip::Message, const sip::ReplyRoute&);
     void onAnswer(const sip::Message&);
-    void onInvite(sip::Message, const sip::Way&);
+    void onInvite(sip::Message, const sip::ReplyRoute&);
     void onCancel(const sip::Message&, const std::string& key);
     void inDialog(Call&, const sip::Message&, const std::string& key);
     void reply(const std::string& key, const sip::Message&, int status,
                std::vector<std::pair<std::string, std::string>> more = {}, const std::string& body = "");
     sip::Message withControl(sip::Message) const;
-    bool turnedAwayAtAGlance(const sip::Glance&, const sip::Way&);
-    bool turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::Way&);
-    void replyStateless(const sip::Message&, const sip::Way&, int status, Micros comeBack = 0);
+    bool turnedAwayAtAGlance(const sip::PrefilteredRequest&, const sip::ReplyRoute&);
+    bool turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::ReplyRoute&);
+    void replyStateless(const sip::Message&, const sip::ReplyRoute&, int status, Micros retryAfter = 0);
 
-    void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros comeBack) override;
-    void terminated(SubId, core::Ended) override;
-    void rungSet(SubId, int rung) override;
-    void broke(SubId) override;
-    boxes::JoinWords wordsFor(SubId, int joinNo) override;
+    void onPlaying(SubId, SfuId, int rung) override;
+    void onThrottled(SubId, Micros retryAfter) override;
+    void onTerminated(SubId, core::TerminationReason) override;
+    void onRungChanged(SubId, int rung) override;
+    void onServerLost(SubId) override;
+    upstream::JoinRequest joinRequestFor(SubId, int joinNo) override;
 
-    void sendOn(const sip::Way&, const std::string& bytes) override;
-    void neverAcknowledged(const std::string& key) override;
+    void sendTo(const sip::ReplyRoute&, const std::string& bytes) override;
+    void onAckTimeout(const std::string& key) override;
 
     std::string answerBody(const Call&) const;
     std::vector<std::pair<std::string, std::string>> dialogFields(const Call&) const;
@@ -105,11 +105,11 @@
     Call* byDialog(const sip::Message&);
     void look();
 
-    SipTerms terms_;
+    SipFrontendSettings terms_;
     std::uint64_t salt_;
     sip::Transactions transactions_;
     sip::Overload overload_;
-    sip::Refused refused_;
+    sip::RefusedRequests refused_;
     std::unique_ptr<net::Datagrams> datagrams_;
     std::unique_ptr<net::Listener> listener_;
     std::map<std::uint64_t, std::unique_ptr<Stream>> streams_;
@@ -131,4 +131,4 @@
     bool stopping_ = false;
 };
 
-}  // namespace valekeel::faces
+}  // namespace valekeel::frontends
--- a/src/hls/playlist.hpp
+++ b/src/hls/playlist.hpp
@@ -55,17 +55,17 @@
 
 // Nothing, with why, if it is none: the first line, a needed tag or a number is missing or broken.
 template <class What>
-struct Read {
+struct ParseResult {
     std::optional<What> got;
     std::string why;
 };
-Read<MediaPlaylist> readMedia(std::string_view text, const PlaylistLimits& = {});
-Read<Multivariant> readMultivariant(std::string_view text, const PlaylistLimits& = {});
+ParseResult<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& = {});
+ParseResult<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& = {});
 std::string write(const MediaPlaylist&);
 std::string write(const Multivariant&);
 
 // A reference against the path it was found at (RFC 3986, section 5, for paths alone). Nothing if it leads to
 // another host.
-std::optional<std::string> resolved(std::string_view base, std::string_view reference);
+std::optional<std::string> resolveReference(std::string_view base, std::string_view reference);
 
 }  // namespace valekeel::hls
--- a/src/record/log.cpp
+++ b/src/logging/log.cpp
@@ -1,13 +1,13 @@
-#include "record/log.hpp"
+#include "logging/log.hpp"
 
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/sinks/null_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
-namespace valekeel::record {
+namespace valekeel::logging {
 
-Level levelOf(const std::string& name) {
+Level parseLevel(const std::string& name) {
     if (name == "debug") return Level::Debug;
     if (name == "warning") return Level::Warning;
     if (name == "error") return Level::Error;
@@ -31,12 +31,12 @@
     out_->flush();
 }
 
-bool Log::wants(Level level) const {
+bool Log::isEnabled(Level level) const {
     return level >= least_;
 }
 
-void Log::line(Level level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields) {
-    if (!wants(level)) return;
+void Log::write(Level level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields) {
+    if (!isEnabled(level)) return;
     if (level == Level::Warning) {
         auto it = kinds_.find(what);
         if (it == kinds_.end()) it = kinds_.emplace(std::string(what), Kind{}).first;
@@ -65,4 +65,4 @@
     out_->flush();
 }
 
-}  // namespace valekeel::record
+}  // namespace valekeel::logging
--- a/src/record/log.hpp
+++ b/src/logging/log.hpp
@@ -16,7 +16,7 @@
 class logger;
 }
 
-namespace valekeel::record {
+namespace valekeel::logging {
 
 enum class Level { Debug, Info, Warning, Error };
 
@@ -25,9 +25,9 @@
     // `path`: a file that is appended to; "-" for standard output; empty for nowhere.
     Log(const std::string& path, Level least, int warningsASecond);
     ~Log();
-    bool wants(Level) const;
+    bool isEnabled(Level) const;
     // `now` on the front's own clock; `wall` since 1970. Both go into the line.
-    void line(Level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields);
+    void write(Level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields);
     void flush();
 
   private:
@@ -42,6 +42,6 @@
     std::map<std::string, Kind, std::less<>> kinds_;
 };
 
-Level levelOf(const std::string& name);  // "debug", "info", "warning", "error"
+Level parseLevel(const std::string& name);  // "debug", "info", "warning", "error"
 
-}  // namespace valekeel::record
+}  // namespace valekeel::logging
--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -22,41 +22,41 @@
         const auto [end, wrong] = std::from_chars(text.data() + 2, text.data() + 10, id, 16);
         if (wrong == std::errc{} && end == text.data() + 10) return id;
     }
-    setup::bad(where, "'instanceId' is not 's-' and 8 hex digits");
+    setup::throwInvalid(where, "'instanceId' is not 's-' and 8 hex digits");
 }
 
-Standing standingOf(const std::string& text, const std::string& where) {
-    if (text == "active") return Standing::On;
-    if (text == "leaving") return Standing::Fading;
-    if (text == "left") return Standing::Off;
-    setup::bad(where, "lifecycle '" + text + "' is none of active, leaving, left");
+ServerState standingOf(const std::string& text, const std::string& where) {
+    if (text == "active") return ServerState::On;
+    if (text == "leaving") return ServerState::Draining;
+    if (text == "left") return ServerState::Off;
+    setup::throwInvalid(where, "lifecycle '" + text + "' is none of active, leaving, left");
 }
 
 }  // namespace
 
-std::vector<ChangeEvent> knownEvents(const setup::Json& known, const list::Names& names) {
+std::vector<ChangeEvent> knownEvents(const setup::Json& known, const discovery::ListNames& names) {
     std::vector<ChangeEvent> out;
     std::size_t at = 0;
     for (const setup::Json& result : setup::array(known, "results", "known")) {
         const std::string where = "known.results[" + std::to_string(at++) + "]";
         ChangeEvent event;
-        event.number = static_cast<std::uint64_t>(setup::whole(result, "seq", where));
-        const setup::Json& fleet = setup::part(result, "fleet", where);
+        event.number = static_cast<std::uint64_t>(setup::integer(result, "seq", where));
+        const setup::Json& fleet = setup::objectAt(result, "fleet", where);
         event.whole = setup::flag(fleet, "reset", where) || out.empty();
         for (const setup::Json& one : setup::array(fleet, "instances", where)) {
-            list::BoxLine line;
+            discovery::ServerListEntry line;
             line.sfu.id = SfuId{idOf(setup::text(one, "instanceId", where), where)};
             line.sfu.standing = standingOf(setup::text(one, "lifecycle", where), where);
-            if (const auto to = net::endpointOf(setup::textOr(one, "hostPort", "", where)))
+            if (const auto to = net::parseEndpoint(setup::textOr(one, "hostPort", "", where)))
                 line.at = *to;
-            else if (line.sfu.standing != Standing::Off)
-                setup::bad(where, "'hostPort' is no address and port");
+            else if (line.sfu.standing != ServerState::Off)
+                setup::throwInvalid(where, "'hostPort' is no address and port");
             if (setup::find(one, "zone"))
-                line.sfu.zone = ZoneId{setup::placeOf(names.zones, setup::text(one, "zone", where), where)};
+                line.sfu.zone = ZoneId{setup::indexOf(names.zones, setup::text(one, "zone", where), where)};
             if (setup::find(one, "machineType"))
                 line.sfu.kind =
-                    KindId{setup::placeOf(names.kinds, setup::text(one, "machineType", where), where)};
-            line.sfu.cell = Cell{setup::find(one, "cell") ? setup::id32(one, "cell", where) : 0};
+                    MachineKindId{setup::indexOf(names.kinds, setup::text(one, "machineType", where), where)};
+            line.sfu.cell = Cell{setup::find(one, "cell") ? setup::uint32(one, "cell", where) : 0};
             line.sfu.size = setup::numberOr(one, "weight", 1, where);
             line.sfu.launched = static_cast<Micros>(setup::numberOr(one, "startedAtMs", 0, where)) * 1000;
             event.boxes.push_back(line);
@@ -84,7 +84,7 @@
         event.whole = kind == 1;
         for (std::size_t record = kHead; record < length; record += kRecord) {
             const char* r = at + record;
-            list::BoxLine line;
+            discovery::ServerListEntry line;
             const auto state = bigEndian(r + 10, 1), zone = bigEndian(r + 11, 1),
                        kindOf = bigEndian(r + 12, 1);
             if (state > 2 || zone >= std::max<std::size_t>(1, zones_) || kindOf >= kinds_) return false;
@@ -92,9 +92,11 @@
             line.at.ip =
                 net::IpAddress(boost::asio::ip::address_v4(static_cast<std::uint32_t>(bigEndian(r + 4, 4))));
             line.at.port = static_cast<std::uint16_t>(bigEndian(r + 8, 2));
-            line.sfu.standing = state == 0 ? Standing::On : state == 1 ? Standing::Fading : Standing::Off;
+            line.sfu.standing = state == 0   ? ServerState::On
+                                : state == 1 ? ServerState::Draining
+                                             : ServerState::Off;
             line.sfu.zone = ZoneId{static_cast<std::uint32_t>(zone)};
-            line.sfu.kind = KindId{static_cast<std::uint32_t>(kindOf)};
+            line.sfu.kind = MachineKindId{static_cast<std::uint32_t>(kindOf)};
             line.sfu.cell = Cell{static_cast<std::uint32_t>(bigEndian(r + 13, 2))};
             line.sfu.size = static_cast<double>(bigEndian(r + 15, 4)) / 1000;
             line.sfu.launched = static_cast<Micros>(bigEndian(r + 19, 8)) * 1000;
@@ -108,7 +110,7 @@
 }
 
 ChangeLog::ChangeLog(net::Net& net, const net::Endpoint& at, std::uint64_t last, FrameReader reader,
-                     const ChangeLogTimes& times, ChangeLogUser& user)
+                     const ChangeLogTimes& times, ChangeLogHandler& user)
     : net_(net),
       at_(at),
       last_(last),
@@ -117,14 +119,14 @@
       user_(user),
       silent_(net, [this] { silence(); }),
       again_(net, [this] { open(); }),
-      more_(net, [this] { readable(); }),
+      more_(net, [this] { onReadable(); }),
       wait_(times.again),
       patience_(times.silent) {}
 ChangeLog::~ChangeLog() = default;
 
 void ChangeLog::open() {
     // What lies unread on a connection that is left was told in time, and the next one to ask may not be up.
-    if (stream_) readable();
+    if (stream_) onReadable();
     again_.cancel();
     more_.cancel();
     reader_.reset();
@@ -141,26 +143,26 @@
     wait_ = times_.again;
     patience_ = times_.silent;
     well_ = true;
-    again_.after(static_cast<Micros>(net_.draw() % static_cast<std::uint64_t>(times_.again)));
+    again_.after(static_cast<Micros>(net_.randomBits() % static_cast<std::uint64_t>(times_.again)));
 }
 
-void ChangeLog::connected() {
+void ChangeLog::onConnected() {
     std::array<char, 8> number;
     for (std::size_t i = 0; i < 8; ++i) number[i] = static_cast<char>(last_ >> (56 - 8 * i) & 0xff);
-    const net::Moved put = stream_->write(std::string_view(number.data(), number.size()));
+    const net::IoResult put = stream_->write(std::string_view(number.data(), number.size()));
     if (put.bytes != number.size()) return lost("can't be asked");
     sent_ = true;
     askedAt_ = net_.now();
     silent_.after(patience_);
 }
 
-void ChangeLog::readable() {
+void ChangeLog::onReadable() {
     if (!stream_ || !sent_) return;
     std::array<char, 8192> buffer;
     for (int portion = 0; portion < 16; ++portion) {
-        const net::Moved got = stream_->read(buffer);
-        if (got.then == net::Moved::Then::Again) return;
-        if (got.then != net::Moved::Then::More) return lost("it broke off");
+        const net::IoResult got = stream_->read(buffer);
+        if (got.status == net::IoResult::Status::WouldBlock) return;
+        if (got.status != net::IoResult::Status::Ready) return lost("it broke off");
         gap_ = false;
         const bool readable =
             reader_.feed(std::string_view(buffer.data(), got.bytes),
@@ -213,7 +215,7 @@
     // Only one that has held is asked again at once: guards against a handshake for each word of one that
     // breaks whenever it is asked, times all fronts.
     if (heard_ && net_.now() - askedAt_ >= times_.beat) wait_ = times_.again;
-    const Micros apart = static_cast<Micros>(net_.draw() % static_cast<std::uint64_t>(wait_));
+    const Micros apart = static_cast<Micros>(net_.randomBits() % static_cast<std::uint64_t>(wait_));
     again_.after(wait_ / 2 + apart);  // all fronts may have lost it at once
     wait_ = std::min(2 * wait_, times_.againAtMost);
     if (std::exchange(well_, false)) user_.unreachable(why);
--- a/src/node/changelog.hpp
+++ b/src/node/changelog.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "list/list.hpp"
+#include "discovery/server_list.hpp"
 #include "net/net.hpp"
 #include "setup/values.hpp"
 
@@ -15,12 +15,12 @@
 
 struct ChangeEvent {
     std::uint64_t number = 0;
-    bool whole = false;                // the whole list, else changes
-    std::vector<list::BoxLine> boxes;  // `launched` in Unix microseconds
+    bool whole = false;                             // the whole list, else changes
+    std::vector<discovery::ServerListEntry> boxes;  // `launched` in Unix microseconds
 };
 
 // What `known` of the configuration holds. Throws setup::Bad.
-std::vector<ChangeEvent> knownEvents(const setup::Json& known, const list::Names&);
+std::vector<ChangeEvent> knownEvents(const setup::Json& known, const discovery::ListNames&);
 
 class FrameReader {
   public:
@@ -45,18 +45,18 @@
     Micros againAtMost = 400'000;
 };
 
-class ChangeLogUser {
+class ChangeLogHandler {
   public:
-    virtual ~ChangeLogUser() = default;
+    virtual ~ChangeLogHandler() = default;
     virtual void changed(const ChangeEvent&) = 0;
     virtual void current() = 0;                            // all that there was has been told
     virtual void unreachable(const std::string& why) = 0;  // at the first failure: of a start, or since well
 };
 
-class ChangeLog final : private net::StreamUser {
+class ChangeLog final : private net::StreamHandler {
   public:
     ChangeLog(net::Net&, const net::Endpoint&, std::uint64_t last, FrameReader, const ChangeLogTimes&,
-              ChangeLogUser&);
+              ChangeLogHandler&);
     ~ChangeLog() override;
     void start() { open(); }
     // From here on it is asked there; also from within a call to the user.
@@ -68,17 +68,17 @@
     void lost(const std::string& why);
     void silence();
     void frame(const ChangeEvent&, bool empty);
-    void connected() override;
-    void connectFailed(net::NoStream) override { lost("no connection"); }
-    void readable() override;
-    void writable() override {}
+    void onConnected() override;
+    void onConnectFailed(net::ConnectError) override { lost("no connection"); }
+    void onReadable() override;
+    void onWritable() override {}
 
     net::Net& net_;
     net::Endpoint at_;
     std::uint64_t last_;
     FrameReader reader_;
     ChangeLogTimes times_;
-    ChangeLogUser& user_;
+    ChangeLogHandler& user_;
     std::unique_ptr<net::Stream> stream_;
     net::Timer silent_, again_, more_;
     Micros wait_, patience_, askedAt_ = 0;
--- a/src/node/wire.cpp
+++ b/src/node/line_connection.cpp
@@ -1,4 +1,4 @@
-#include "node/wire.hpp"
+#include "node/line_connection.hpp"
 
 #include <algorithm>
 #include <array>
@@ -11,60 +11,61 @@
 
 }  // namespace
 
-const char* nameOf(Gone gone) {
+const char* nameOf(DisconnectReason gone) {
     static constexpr const char* kNames[] = {"refused", "no connection", "no descriptor", "closed",
                                              "broken",  "garbled",       "slow"};
     return kNames[static_cast<int>(gone)];
 }
 
-Wire::Wire(net::Net& net, State state, const Limits& limits, WireUser& user)
+LineConnection::LineConnection(net::Net& net, State state, const Limits& limits, LineConnectionHandler& user)
     : net_(net),
       limits_(limits),
       user_(user),
       state_(state),
       heardAt_(net.now()),
       usedAt_(net.now()),
-      late_(net, [this] { lose(Gone::NoConnect); }),
-      more_(net, [this] { readable(); }),
+      late_(net, [this] { lose(DisconnectReason::NoConnect); }),
+      more_(net, [this] { onReadable(); }),
       unfinished_(net, [this] { stillUnfinished(); }) {}
 
 // ================= lingering close =================
 
-class Lingering::One final : public net::StreamUser {
+class LingeringCloser::One final : public net::StreamHandler {
   public:
-    One(Lingering& all, std::unique_ptr<net::Stream> stream, std::string unsent)
+    One(LingeringCloser& all, std::unique_ptr<net::Stream> stream, std::string unsent)
         : all_(all),
           stream_(std::move(stream)),
           out_(std::move(unsent)),
           late_(all.net_, [this] { all_.end(*this); }),
-          more_(all.net_, [this] { readable(); }) {
-        stream_->handTo(*this);
+          more_(all.net_, [this] { onReadable(); }) {
+        stream_->setHandler(*this);
         late_.after(all_.limits_.time);
         more_.soon();  // what lies there unread makes no further edge
-        writable();
+        onWritable();
     }
-    void readable() override {
+    void onReadable() override {
         std::array<char, 8192> buffer;
         for (std::size_t left = kPortion; left > 0 && stream_;) {
-            const net::Moved got = stream_->read(buffer);
-            if (got.then == net::Moved::Then::Again) return;
+            const net::IoResult got = stream_->read(buffer);
+            if (got.status == net::IoResult::Status::WouldBlock) return;
             // After the end of its writing it may still read: what is unsent here goes on.
-            if (got.then == net::Moved::Then::Ended && !out_.empty()) return;
+            if (got.status == net::IoResult::Status::EndOfStream && !out_.empty()) return;
             discarded_ += got.bytes;
-            if (got.then != net::Moved::Then::More || discarded_ > all_.limits_.discarded)
+            if (got.status != net::IoResult::Status::Ready || discarded_ > all_.limits_.discarded)
                 return all_.end(*this);
             left -= std::min(left, got.bytes);
         }
         if (stream_) more_.soon();
     }
-    void writable() override {
+    void onWritable() override {
         if (!stream_ || finished_) return;
-        const net::Moved put = stream_->write(out_);
+        const net::IoResult put = stream_->write(out_);
         out_.erase(0, put.bytes);
-        if (put.then == net::Moved::Then::Broken) return more_.soon();  // reading finds it, and ends this
+        if (put.status == net::IoResult::Status::Broken)
+            return more_.soon();  // reading finds it, and ends this
         if (!out_.empty()) return;
         finished_ = true;
-        stream_->finishWriting();
+        stream_->shutdownWrite();
         more_.soon();
     }
     void free() {
@@ -74,7 +75,7 @@
     }
 
   private:
-    Lingering& all_;
+    LingeringCloser& all_;
     std::unique_ptr<net::Stream> stream_;
     std::string out_;
     std::size_t discarded_ = 0;
@@ -82,21 +83,21 @@
     net::Timer late_, more_;
 };
 
-Lingering::Lingering(net::Net& net, const Limits& limits)
+LingeringCloser::LingeringCloser(net::Net& net, const Limits& limits)
     : net_(net), limits_(limits), bury_(net, [this] { dead_.clear(); }) {}
-Lingering::~Lingering() = default;
+LingeringCloser::~LingeringCloser() = default;
 
-void Lingering::take(std::unique_ptr<net::Stream> stream, std::string unsent) {
+void LingeringCloser::take(std::unique_ptr<net::Stream> stream, std::string unsent) {
     if (all_.size() >= limits_.most) freeOldest();
     all_.push_back(std::make_unique<One>(*this, std::move(stream), std::move(unsent)));
 }
 
-void Lingering::freeOldest() {
+void LingeringCloser::freeOldest() {
     if (!all_.empty()) end(*all_.front());
 }
 
 // The descriptor is free at once; the rest a turn later, as this may be called from within.
-void Lingering::end(One& one) {
+void LingeringCloser::end(One& one) {
     one.free();
     const auto it =
         std::find_if(all_.begin(), all_.end(), [&](const auto& held) { return held.get() == &one; });
@@ -106,23 +107,24 @@
 
 // ================= wires =================
 
-Wire::Wire(net::Net& net, std::unique_ptr<net::Stream> stream, const Limits& limits, WireUser& user,
-           Lingering& lingering)
-    : Wire(net, State::Open, limits, user) {
+LineConnection::LineConnection(net::Net& net, std::unique_ptr<net::Stream> stream, const Limits& limits,
+                               LineConnectionHandler& user, LingeringCloser& lingering)
+    : LineConnection(net, State::Open, limits, user) {
     lingering_ = &lingering;
     stream_ = std::move(stream);
-    stream_->handTo(*this);
+    stream_->setHandler(*this);
 }
 
-Wire::Wire(net::Net& net, const net::Endpoint& to, Micros connectWithin, const Limits& limits, WireUser& user)
-    : Wire(net, State::Connecting, limits, user) {
+LineConnection::LineConnection(net::Net& net, const net::Endpoint& to, Micros connectWithin,
+                               const Limits& limits, LineConnectionHandler& user)
+    : LineConnection(net, State::Connecting, limits, user) {
     stream_ = net.connect(to, *this);
     late_.after(connectWithin);
 }
 
-Wire::~Wire() = default;
+LineConnection::~LineConnection() = default;
 
-std::uint64_t Wire::say(std::string_view line) {
+std::uint64_t LineConnection::say(std::string_view line) {
     const std::uint64_t at = said_;
     if (state_ == State::Closed) return at;
     said_ += line.size();
@@ -134,16 +136,16 @@
 
 // A write that finds the connection broken is told of by the next turn's edge, or by a slow reader's limit:
 // never from within say(), whose caller is in the middle of something.
-void Wire::flush() {
+void LineConnection::flush() {
     if (out_.empty() || state_ != State::Open) return;
-    const net::Moved put = stream_->write(out_);
+    const net::IoResult put = stream_->write(out_);
     taken_ += put.bytes;
     out_.erase(0, put.bytes);
     if (out_.empty() && out_.capacity() > 4096) std::string().swap(out_);
-    if (put.then == net::Moved::Then::Broken || out_.size() > limits_.unsent) more_.soon();
+    if (put.status == net::IoResult::Status::Broken || out_.size() > limits_.unsent) more_.soon();
 }
 
-void Wire::connected() {
+void LineConnection::onConnected() {
     state_ = State::Open;
     late_.cancel();
     heardAt_ = net_.now();
@@ -151,28 +153,29 @@
     user_.opened();
 }
 
-void Wire::connectFailed(net::NoStream why) {
-    lose(why == net::NoStream::Refused            ? Gone::Refused
-         : why == net::NoStream::OutOfDescriptors ? Gone::NoSocket
-                                                  : Gone::NoConnect);
+void LineConnection::onConnectFailed(net::ConnectError why) {
+    lose(why == net::ConnectError::Refused            ? DisconnectReason::Refused
+         : why == net::ConnectError::OutOfDescriptors ? DisconnectReason::NoSocket
+                                                      : DisconnectReason::NoConnect);
 }
 
-void Wire::writable() {
+void LineConnection::onWritable() {
     const bool waited = !out_.empty();
     flush();
-    if (waited && canSend()) user_.drained();
+    if (waited && canSend()) user_.onDrained();
 }
 
-void Wire::readable() {
+void LineConnection::onReadable() {
     if (state_ != State::Open) return;
     // Guards against a peer that asks on and on and never reads what it is told.
-    if (out_.size() > limits_.unsent) return lose(Gone::Slow);
+    if (out_.size() > limits_.unsent) return lose(DisconnectReason::Slow);
     std::array<char, 8192> buffer;
     for (std::size_t left = kPortion; left > 0;) {
-        const net::Moved got = stream_->read(buffer);
-        if (got.then == net::Moved::Then::Again) return;
-        if (got.then == net::Moved::Then::Ended) return lose(in_.empty() ? Gone::Closed : Gone::Garbled);
-        if (got.then == net::Moved::Then::Broken) return lose(Gone::Broken);
+        const net::IoResult got = stream_->read(buffer);
+        if (got.status == net::IoResult::Status::WouldBlock) return;
+        if (got.status == net::IoResult::Status::EndOfStream)
+            return lose(in_.empty() ? DisconnectReason::Closed : DisconnectReason::Garbled);
+        if (got.status == net::IoResult::Status::Broken) return lose(DisconnectReason::Broken);
         heardAt_ = net_.now();
         if (!takeLines(std::string_view(buffer.data(), got.bytes))) return;
         left -= std::min(left, got.bytes);
@@ -181,11 +184,11 @@
 }
 
 // False once the wire is closed.
-bool Wire::takeLines(std::string_view bytes) {
+bool LineConnection::takeLines(std::string_view bytes) {
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
         if (in_.size() + std::min(end, bytes.size()) > limits_.line) {
-            lose(Gone::Garbled);
+            lose(DisconnectReason::Garbled);
             return false;
         }
         if (end == std::string_view::npos) {
@@ -213,26 +216,26 @@
 
 // Its rest may lie unread: a process that had no turn for a while comes to its timers before it reads. So it
 // is read, a turn of the loop passes, and only then is it too late.
-void Wire::stillUnfinished() {
-    if (++unfinishedLooks_ > 1) return lose(Gone::Garbled);
+void LineConnection::stillUnfinished() {
+    if (++unfinishedLooks_ > 1) return lose(DisconnectReason::Garbled);
     unfinished_.after(kLookAgain);
-    readable();
+    onReadable();
 }
 
-void Wire::lose(Gone how) {
+void LineConnection::lose(DisconnectReason how) {
     if (state_ == State::Closed) return;
     // One that has gone, or does not read, is owed nothing more; one that has only finished writing may still
     // read what is unsent here.
-    const bool reads = how == Gone::Garbled || (how == Gone::Closed && !out_.empty());
+    const bool reads = how == DisconnectReason::Garbled || (how == DisconnectReason::Closed && !out_.empty());
     shut(reads ? How::Lingering : How::AtOnce);
     user_.gone(how);
 }
 
-void Wire::close(bool hard) {
+void LineConnection::close(bool hard) {
     shut(hard ? How::Reset : How::Lingering);
 }
 
-void Wire::shut(How how) {
+void LineConnection::shut(How how) {
     if (state_ == State::Closed) return;
     // A connect that failed is told from within the stream: that one dies with this wire. Its descriptor is
     // free at once, as the next connect may come before that.
