--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -7,24 +7,24 @@
 
 // What a release before the answer proves. One table: whether a paid set-up may be sent again rests on it.
 struct Meaning {
-    JoinEnd end;
+    JoinResult end;
     bool neverRan;
     const char* why;
 };
 Meaning meaningOf(int cause) {
     switch (cause) {
         case 34:
-            return {JoinEnd::Full, true, "full: the protocol vouches that it never ran"};
+            return {JoinResult::Full, true, "full: the protocol vouches that it never ran"};
         case 47:
-            return {JoinEnd::Error, false, "error: it was looked at"};
+            return {JoinResult::Error, false, "error: it was looked at"};
         case 102:
-            return {JoinEnd::NeverSent, true, "moot: it never left"};
+            return {JoinResult::NeverSent, true, "moot: it never left"};
         default:
-            return {JoinEnd::Reset, false, "reset: it broke on its way and may have run"};
+            return {JoinResult::Reset, false, "reset: it broke on its way and may have run"};
     }
 }
-JoinEnd endOfStanding(int cause) {
-    return cause == 16 ? JoinEnd::Played : cause == 31 ? JoinEnd::Cancelled : JoinEnd::Reset;
+JoinResult endOfStanding(int cause) {
+    return cause == 16 ? JoinResult::Played : cause == 31 ? JoinResult::Cancelled : JoinResult::Reset;
 }
 
 std::string endOf(const std::string& tag) {
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-Load loadOf(const Message& message) {
-    Load load;
+LoadReport loadOf(const Message& message) {
+    LoadReport load;
     const std::string* told = message.text("load");
     if (!told) return load;
     std::string_view rest = *told;
@@ -63,26 +63,26 @@
     return load;
 }
 
-class Servers::Link final : public WireUser {
+class Servers::Link final : public LineConnectionHandler {
   public:
-    Link(Servers& all, Server& server, const net::Endpoint& to, const Wire::Limits& limits)
+    Link(Servers& all, Server& server, const net::Endpoint& to, const LineConnection::Limits& limits)
         : all(all),
           server(&server),
           begunAt(all.net_.now()),
           wire(all.net_, to, std::max(all.limits_.connectWithin, all.limits_.lookWithin), limits, *this) {}
     void opened() override;
-    void drained() override { all.sendWaiting(*this); }
+    void onDrained() override { all.sendWaiting(*this); }
     void line(std::string_view bytes) override {
         const auto message = messageOf(bytes);
         // After what can't be read nothing on this connection can be trusted to begin where it should.
         if (!message) {
             all.odd_("a media server's line can't be read", bytes.substr(0, 200));
             wire.close(true);
-            return gone(Gone::Garbled);
+            return gone(DisconnectReason::Garbled);
         }
         all.heard(*this, *message);
     }
-    void gone(Gone how) override {
+    void gone(DisconnectReason how) override {
         if (server) all.linkGone(*this, how);
     }
 
@@ -93,7 +93,7 @@
     bool doubted = false;       // silent while it should speak: takes no more joins
     Micros begunAt, openedAt = 0;
     bool isConnecting() const { return !wire.isOpen() && !wire.isClosed(); }
-    Wire wire;
+    LineConnection wire;
 };
 
 struct Servers::Server {
@@ -141,11 +141,11 @@
     openedAt = all.net_.now();
     server->livesAt(openedAt);
     server->payPause = 0;
-    all.pay(*server);  // before anything new: an end may be of the same id
+    all.sendQueuedEnds(*server);  // before anything new: an end may be of the same id
     all.sendWaiting(*this);
 }
 
-Servers::Servers(net::Net& net, const ServerLimits& limits, ServersUser& user)
+Servers::Servers(net::Net& net, const ServerLimits& limits, ServersHandler& user)
     : net_(net),
       limits_(limits),
       user_(user),
@@ -153,7 +153,7 @@
                   [this] {
                       std::deque<Later> now;
                       now.swap(later_);
-                      for (Later& one : now) core_->joined(one.id, one.joinNo, one.outcome);
+                      for (Later& one : now) core_->onJoinOutcome(one.id, one.joinNo, one.outcome);
                   }),
       buryTimer_(net, [this] { dead_.clear(); }),
       tidyTimer_(net, [this] { tidy(); }) {
@@ -182,7 +182,7 @@
 
 // ================= from the list =================
 
-void Servers::at(SfuId id, const net::Endpoint& to) {
+void Servers::setAddress(SfuId id, const net::Endpoint& to) {
     auto& server = servers_[id];
     if (!server) {
         server = std::make_unique<Server>();
@@ -194,30 +194,30 @@
     closeLinks(*server, std::nullopt);
 }
 
-void Servers::off(SfuId id) {
+void Servers::remove(SfuId id) {
     const auto it = servers_.find(id);
     if (it == servers_.end()) return;
     const std::unique_ptr<Server> server = std::move(it->second);  // from here on nothing is sent there
     servers_.erase(it);
     server->owed.clear();
-    takeBackAll(*server, "its media server is off");
+    withdrawAllUnsent(*server, "its media server is off");
     closeLinks(*server, std::nullopt);
-    allOver(*server, net_.now() + 1);
+    endAllStanding(*server, net_.now() + 1);
 }
 
-void Servers::drains(SfuId id) {
-    if (Server* server = find(id)) takeBackAll(*server, "its media server drains");
+void Servers::onDraining(SfuId id) {
+    if (Server* server = find(id)) withdrawAllUnsent(*server, "its media server drains");
 }
 
-void Servers::startedAnew(SfuId id, Micros launched) {
+void Servers::onRestarted(SfuId id, Micros launched) {
     Server* server = find(id);
     if (!server) return;
     // The new process knows nothing of what was owed to the old one, nor does it listen on its connections: a
     // machine that vanished closed none. What waits was allowed while the server counted as warm.
     std::erase_if(server->owed, [&](const Server::Owed& one) { return one.since < launched; });
-    takeBackAll(*server, "its media server has started anew");
+    withdrawAllUnsent(*server, "its media server has started anew");
     closeLinks(*server, launched);
-    allOver(*server, launched);
+    endAllStanding(*server, launched);
 }
 
 // Those that have been up since before that time; where none is given, all, also those still connecting.
@@ -234,7 +234,7 @@
     if (openLinks_ >= limits_.links) return nullptr;
     ++openLinks_;
     server.links.push_back(std::make_unique<Link>(
-        *this, server, server.at, Wire::Limits{kLongestLine, limits_.unsent, limits_.unfinished}));
+        *this, server, server.at, LineConnection::Limits{kLongestLine, limits_.unsent, limits_.unfinished}));
     return server.links.back().get();
 }
 
@@ -253,21 +253,21 @@
     return best ? best : open(server);
 }
 
-void Servers::say(Server& server, const std::string& line) {
+void Servers::sendLine(Server& server, const std::string& line) {
     if (Link* link = linkFor(server, false, false)) link->wire.say(line);
 }
 
 void Servers::closeLink(Link& link) {
     link.wire.close();
-    linkGone(link, Gone::Closed);
+    linkGone(link, DisconnectReason::Closed);
 }
 
-void Servers::linkGone(Link& link, Gone how) {
+void Servers::linkGone(Link& link, DisconnectReason how) {
     Server& server = *link.server;
-    if (how == Gone::Refused) ++counts_.refused;
-    if (how == Gone::NoConnect) ++counts_.noConnect;
-    if (how == Gone::Broken) ++counts_.broken;
-    if (how == Gone::Garbled) ++counts_.garbled;
+    if (how == DisconnectReason::Refused) ++counts_.refused;
+    if (how == DisconnectReason::NoConnect) ++counts_.noConnect;
+    if (how == DisconnectReason::Broken) ++counts_.broken;
+    if (how == DisconnectReason::Garbled) ++counts_.garbled;
     const auto it = std::find_if(server.links.begin(), server.links.end(),
                                  [&](const auto& one) { return one.get() == &link; });
     std::unique_ptr<Link> gone = std::move(*it);
@@ -282,12 +282,12 @@
             one.saidOn = nullptr;
             again = true;
         }
-    bury(std::move(gone));
-    if (again) pay(server);
-    if (how == Gone::Refused || how == Gone::NoConnect) {
+    deleteLater(std::move(gone));
+    if (again) sendQueuedEnds(server);
+    if (how == DisconnectReason::Refused || how == DisconnectReason::NoConnect) {
         const Micros now = net_.now();
-        server.refusals = how == Gone::Refused ? server.refusals + 1 : 0;
-        if (how == Gone::Refused) server.lookAt = now + limits_.lookAgain;
+        server.refusals = how == DisconnectReason::Refused ? server.refusals + 1 : 0;
+        if (how == DisconnectReason::Refused) server.lookAt = now + limits_.lookAgain;
         // Refused twice: nobody listens, and a dying process cuts what it plays.
         const bool lost =
             server.refusals >= 2 || (server.lookedSince > 0 && now - server.lookedSince >= limits_.goneAfter);
@@ -296,10 +296,10 @@
             // It may be no more than cut off, and go on playing to nobody.
             for (const SubId id : std::set<SubId>(server.standing))
                 if (const auto held = held_.find(id); held != held_.end())
-                    owe(server, held->second.tag, nullptr);
-            allOver(server, net_.now() + 1);
+                    queueEnd(server, held->second.tag, nullptr);
+            endAllStanding(server, net_.now() + 1);
         }
-    } else if (how != Gone::NoSocket) {
+    } else if (how != DisconnectReason::NoSocket) {
         server.lookAt = net_.now();  // its end may mean more than its own
     }
     for (const SubId id : out) {
@@ -309,14 +309,14 @@
         outcome.why = nameOf(how);
         // What the kernel here never took can't have been read there.
         outcome.neverRan = !held->second.sent || taken <= held->second.from;
-        outcome.end = how == Gone::NoSocket ? JoinEnd::NeverSent
-                      : outcome.neverRan    ? JoinEnd::NoConnection
-                                            : JoinEnd::Reset;
+        outcome.end = how == DisconnectReason::NoSocket ? JoinResult::NeverSent
+                      : outcome.neverRan                ? JoinResult::NoConnection
+                                                        : JoinResult::Reset;
         ended(id, outcome);
     }
 }
 
-void Servers::bury(std::unique_ptr<Link> link) {
+void Servers::deleteLater(std::unique_ptr<Link> link) {
     dead_.push_back(std::move(link));
     buryTimer_.soon();
 }
@@ -329,11 +329,11 @@
 }
 
 void Servers::join(SubId id, int joinNo, SfuId at, int rung, Micros timeOut, bool paid) {
-    const SetupWords* words = user_.wordsOf(id);
+    const SetupRequest* words = user_.wordsOf(id);
     Server* server = find(at);
     Link* link = words && server ? linkFor(*server, paid, true) : nullptr;
     if (!link || timeOut <= 0)
-        return endLater(id, joinNo, {JoinEnd::NeverSent, true, 0, {}, "no way to send it"});
+        return endLater(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "no way to send it"});
     Held& held = held_[id];
     held.at = at;
     held.tag = words->tag;
@@ -349,10 +349,10 @@
         if (it == held_.end() || it->second.stands) return;
         const Held& late = it->second;
         if (!late.sent && late.link->isConnecting())
-            return takeBack(id, JoinEnd::NoConnection, "no connection in time");
+            return withdrawUnsent(id, JoinResult::NoConnection, "no connection in time");
         // Nothing at all since it was asked for: the connection may be a dead one.
         if (late.link->wire.heardAt() <= late.askedAt) late.link->doubted = true;
-        giveUp(id, JoinEnd::TimedOut, "timed out");
+        giveUp(id, JoinResult::TimedOut, "timed out");
     });
     // Without a connection it waits for one no longer than the settings give that.
     held.late->after(link->isConnecting() ? std::min(timeOut, limits_.connectWithin) : timeOut);
@@ -371,7 +371,7 @@
         const SubId id = link.waiting.front();
         link.waiting.pop_front();
         const auto it = held_.find(id);
-        const SetupWords* words = user_.wordsOf(id);
+        const SetupRequest* words = user_.wordsOf(id);
         if (it == held_.end() || !words || net_.now() >= it->second.until) continue;  // its timer ends it
         Held& held = it->second;
         // An end that is owed to an earlier try of the same id must not end this one.
@@ -397,44 +397,45 @@
 }
 
 // Of what waits on its link: it never left.
-void Servers::takeBack(SubId id, JoinEnd end, const char* why) {
+void Servers::withdrawUnsent(SubId id, JoinResult end, const char* why) {
     const Held& held = held_.at(id);
     std::erase(held.link->waiting, id);
     ++counts_.withdrawn;
     ended(id, {end, true, net_.now() - held.askedAt, {}, why});
 }
 
-void Servers::takeBackAll(Server& server, const char* why) {
+void Servers::withdrawAllUnsent(Server& server, const char* why) {
     std::vector<SubId> all;
     for (const auto& link : server.links) all.insert(all.end(), link->waiting.begin(), link->waiting.end());
     for (const SubId id : all) {
         const auto it = held_.find(id);  // the end of one may have set off another's
         if (it != held_.end() && !it->second.stands && !it->second.sent && it->second.at == server.id)
-            takeBack(id, JoinEnd::NoConnection, why);
+            withdrawUnsent(id, JoinResult::NoConnection, why);
     }
 }
 
 void Servers::withdraw(SubId id, int joinNo) {
     const auto it = held_.find(id);
     if (it != held_.end() && !it->second.stands && !it->second.sent && it->second.joinNo == joinNo)
-        takeBack(id, JoinEnd::Cancelled, "its viewer has gone");
+        withdrawUnsent(id, JoinResult::Cancelled, "its viewer has gone");
 }
 
 void Servers::cancel(SubId id, int joinNo) {
     const auto it = held_.find(id);
     if (it != held_.end() && !it->second.stands && it->second.joinNo == joinNo)
-        giveUp(id, JoinEnd::Cancelled, "called off");
+        giveUp(id, JoinResult::Cancelled, "called off");
 }
 
 // What has left may run, and its end follows it on the same connection. What has not is taken back: where it
 // is too late for that the connection has not come up in time, or its peer does not read.
-void Servers::giveUp(SubId id, JoinEnd end, const char* why) {
+void Servers::giveUp(SubId id, JoinResult end, const char* why) {
     const Held& held = held_.at(id);
-    if (!held.sent) return takeBack(id, end == JoinEnd::TimedOut ? JoinEnd::NoConnection : end, why);
+    if (!held.sent)
+        return withdrawUnsent(id, end == JoinResult::TimedOut ? JoinResult::NoConnection : end, why);
     Link& link = *held.link;
     if (!link.server) return;  // its connection has just gone, and that ends it
     link.wire.say(endOf(held.tag));
-    owe(*link.server, held.tag, &link);
+    queueEnd(*link.server, held.tag, &link);
     endSaid_ = id;
     ended(id, {end, false, net_.now() - held.askedAt, {}, why});
     endSaid_ = {};
@@ -448,16 +449,16 @@
     if (it->second.link) it->second.link->out.erase(id);
     byTag_.erase(it->second.tag);
     held_.erase(it);
-    core_->joined(id, joinNo, outcome);
+    core_->onJoinOutcome(id, joinNo, outcome);
 }
 
 // A set-up given up on, or the end of what stands.
 void Servers::release(SubId id, SfuId at) {
-    const SetupWords* words = user_.wordsOf(id);
+    const SetupRequest* words = user_.wordsOf(id);
     Server* server = find(at);
     const auto it = held_.find(id);
     const bool saidAlready = it != held_.end() ? it->second.cut : endSaid_ == id;
-    if (server && words && !saidAlready) owe(*server, words->tag, nullptr);
+    if (server && words && !saidAlready) queueEnd(*server, words->tag, nullptr);
     if (it != held_.end() && it->second.stands) forget(id);
 }
 
@@ -465,30 +466,30 @@
     const auto it = held_.find(id);
     if (it == held_.end() || !it->second.stands || it->second.cut) return;
     it->second.cut = true;
-    if (Server* server = find(it->second.at)) owe(*server, it->second.tag, nullptr);
+    if (Server* server = find(it->second.at)) queueEnd(*server, it->second.tag, nullptr);
 }
 
 // ================= ends that are owed =================
 
 // Whatever may stand there for nobody is to be ended there, also where no connection stands now or the one on
 // which that was said breaks: what is lost would hold its seat and its part of the link for good.
-void Servers::owe(Server& server, const std::string& tag, Link* saidOn) {
+void Servers::queueEnd(Server& server, const std::string& tag, Link* saidOn) {
     if (server.owed.size() >= limits_.owed) {
         ++counts_.endsDropped;
         server.owed.pop_front();
     }
     server.owed.push_back({tag, net_.now(), saidOn, net_.now()});
-    if (!saidOn) pay(server);
+    if (!saidOn) sendQueuedEnds(server);
 }
 
-void Servers::pay(Server& server) {
+void Servers::sendQueuedEnds(Server& server) {
     const auto unsaid = [](const Server::Owed& one) { return !one.saidOn; };
     if (std::none_of(server.owed.begin(), server.owed.end(), unsaid)) return;
     Link* pick = nullptr;
     for (const auto& link : server.links)
         if (link->wire.isOpen() && !link->doubted && (!pick || link->wire.heardAt() > pick->wire.heardAt()))
             pick = link.get();
-    if (!pick) return lookForPay(server);
+    if (!pick) return connectForQueuedEnds(server);
     for (Server::Owed& one : server.owed) {
         if (one.saidOn) continue;
         pick->wire.say(endOf(one.tag));
@@ -499,7 +500,7 @@
 }
 
 // Opens a connection for what is owed, and again after a pause that doubles while none comes up.
-void Servers::lookForPay(Server& server) {
+void Servers::connectForQueuedEnds(Server& server) {
     const Micros now = net_.now();
     const bool connecting = std::any_of(server.links.begin(), server.links.end(),
                                         [](const auto& link) { return link->isConnecting(); });
@@ -518,12 +519,12 @@
     rate.verb = "RATE";
     rate.tag = it->second.tag;
     rate.opts["rung"] = std::to_string(rung);
-    say(*server, lineOf(rate));
+    sendLine(*server, lineOf(rate));
 }
 
-void Servers::handedOver(SubId id, SfuId at) {
+void Servers::adopt(SubId id, SfuId at) {
     Server* server = find(at);
-    const SetupWords* words = user_.wordsOf(id);
+    const SetupRequest* words = user_.wordsOf(id);
     if (!server || !words) return;
     Held& held = held_[id];
     held.at = at;
@@ -577,7 +578,7 @@
     }
     if (message.verb == "STARTED") {
         if (!message.description) {  // spoilt: it has run, and nobody can be told what it came to
-            ended(id, {JoinEnd::Reset, false, took, {}, "answer without a description"});
+            ended(id, {JoinResult::Reset, false, took, {}, "answer without a description"});
             return;
         }
         const int joinNo = held.joinNo;
@@ -589,15 +590,15 @@
         server.standing.insert(id);
         const std::vector<Message> early = std::exchange(held.early, {});
         user_.answered(id, *message.description);
-        core_->joined(id, joinNo, {JoinEnd::Played, false, took, {}, "played"});
+        core_->onJoinOutcome(id, joinNo, {JoinResult::Played, false, took, {}, "played"});
         for (const Message& note : early) {
             const auto standing = held_.find(id);
             if (standing != held_.end()) standingHeard(id, standing->second, note);
         }
     } else if (message.verb == "FINISH") {
         const Meaning meaning = meaningOf(message.cause.value_or(0));
-        if (meaning.end == JoinEnd::Error)
-            if (const SetupWords* words = user_.wordsOf(id))
+        if (meaning.end == JoinResult::Error)
+            if (const SetupRequest* words = user_.wordsOf(id))
                 odd_("a media server could not use a set-up",
                      words->tag + " " + words->room + " " + words->title + " " + words->description);
         ended(id, {meaning.end, meaning.neverRan, took, loadOf(message), meaning.why});
@@ -618,26 +619,26 @@
     if (!note || !value) return;
     if (*note == "served") {
         ++counts_.notes[0];
-        core_->delivered(id, at, *value);
+        core_->onShareDelivered(id, at, *value);
     } else if (*note == "at_rung") {
         ++counts_.notes[1];
-        core_->rungTold(id, static_cast<int>(*value));
+        core_->onRungInForce(id, static_cast<int>(*value));
     } else if (*note == "link_use") {
         ++counts_.notes[2];
-        core_->figures(id, at, *value, std::nullopt);
+        core_->onLoadReport(id, at, *value, std::nullopt);
     } else if (*note == "rack_use") {
         ++counts_.notes[3];
-        core_->figures(id, at, std::nullopt, *value);
+        core_->onLoadReport(id, at, std::nullopt, *value);
     }
 }
 
 // What stood there before this time; all that is set up later belongs to a newer process.
-void Servers::allOver(Server& server, Micros before) {
+void Servers::endAllStanding(Server& server, Micros before) {
     const std::set<SubId> standing = server.standing;
     for (const SubId id : standing) {
         const auto it = held_.find(id);
         if (it == held_.end() || it->second.since >= before) continue;
-        user_.over(id, JoinEnd::Reset, kCut, Load{});
+        user_.over(id, JoinResult::Reset, kCut, LoadReport{});
         forget(id);
     }
 }
@@ -681,7 +682,7 @@
             counts_.endsDropped += late && !arrived;
             return arrived || late;
         });
-        pay(*server);
+        sendQueuedEnds(*server);
         std::vector<Link*> idle;
         std::size_t good = 0;
         for (const auto& link : server->links) good += link->wire.isOpen() && !link->doubted;
--- a/src/node/viewers.cpp
+++ b/src/node/viewers.cpp
@@ -53,7 +53,7 @@
 
 // What a set-up asks for; nothing, and why, where that can't be used.
 struct Request {
-    Wish wish;
+    SubscriptionRequest wish;
     Micros left = 0;
     std::optional<SfuId> playsAt;
 };
@@ -102,21 +102,21 @@
 
 }  // namespace
 
-class Viewers::Conn final : public WireUser {
+class Viewers::Conn final : public LineConnectionHandler {
   public:
     Conn(Viewers& all, std::uint64_t key, std::unique_ptr<net::Stream> stream)
         : all(all),
           key(key),
           since(all.net_.now()),
           wire(all.net_, std::move(stream),
-               Wire::Limits{kLongestLine, all.limits_.unsent, all.limits_.unfinished}, *this,
+               LineConnection::Limits{kLongestLine, all.limits_.unsent, all.limits_.unfinished}, *this,
                all.lingering_) {}
     // By which it may be closed for room, the least first.
     auto brought() const { return std::tuple(played, asked, proven, wire.heardAt()); }
     bool needed() const { return !open.empty() || standing > 0; }
     void line(std::string_view bytes) override { all.heard(*this, bytes); }
-    void gone(Gone how) override {
-        if (how == Gone::Garbled) ++all.counts_.unreadable;
+    void gone(DisconnectReason how) override {
+        if (how == DisconnectReason::Garbled) ++all.counts_.unreadable;
         all.connGone(*this);
     }
     Viewers& all;
@@ -129,11 +129,11 @@
     std::set<SubId> open;  // set-ups without an answer
     int useless = 0;
     std::size_t standing = 0;  // subscriptions that were set up on it
-    Wire wire;
+    LineConnection wire;
 };
 
 struct Viewers::Asking {
-    SetupWords words;
+    SetupRequest words;
     std::uint64_t conn = 0;
     bool plays = false, leaving = false, gone = false;
     std::string answer;  // the media server's description, until it has been passed on
@@ -152,14 +152,14 @@
 
 void Viewers::listen() {
     listener_ = net_.listen(where_, *this);
-    at_ = listener_->at();
+    at_ = listener_->endpoint();
     tidyTimer_.after(kTidyEvery);
 }
 
 // ================= connections =================
 
 // Some places are kept for those that come while all others are needed: they are heard, refused and closed.
-void Viewers::accepted(std::unique_ptr<net::Stream> stream) {
+void Viewers::onAccepted(std::unique_ptr<net::Stream> stream) {
     ++counts_.accepted;
     const std::size_t kept = std::max<std::size_t>(1, limits_.connections / 16);
     const bool room = makeRoom(limits_.connections - kept, false);
@@ -225,7 +225,7 @@
     }
     for (const SubId id : open) {
         ++counts_.givenUp;
-        core_->left(id);
+        core_->unsubscribe(id);
     }
 }
 
@@ -304,17 +304,17 @@
         if (conn.open.count(id)) {
             conn.wire.say(lineOf(finish(m.tag, kUnusable)));
             conn.open.erase(id);
-            core_->left(id);
+            core_->unsubscribe(id);
         }
         return drop(conn);
     }
     if (!request) return useless(conn, m, why);
     conn.proven = conn.asked = true;
-    SetupWords words{m.tag, *m.text("class"), *m.text("key"), *m.description};
+    SetupRequest words{m.tag, *m.text("class"), *m.text("key"), *m.description};
     if (request->playsAt) {
         ++counts_.handedOver;
         const auto id = servers_->knows(*request->playsAt)
-                            ? core_->handOver(*this, request->wish, *request->playsAt)
+                            ? core_->adopt(*this, request->wish, *request->playsAt)
                             : std::nullopt;
         if (!id) {  // what plays at a server that is gone is over
             conn.wire.say(lineOf(finish(m.tag, kCut)));
@@ -326,12 +326,12 @@
         asking.plays = conn.played = true;
         ++conn.standing;
         byTag_[m.tag] = *id;
-        servers_->handedOver(*id, *request->playsAt);
+        servers_->adopt(*id, *request->playsAt);
         return;
     }
     ++counts_.setups;
     const bool taken = !draining_ && !conn.tooMany && conn.open.size() < limits_.openOnOne;
-    const auto id = taken ? core_->ask(*this, request->wish, request->left) : std::nullopt;
+    const auto id = taken ? core_->subscribe(*this, request->wish, request->left) : std::nullopt;
     if (!id) {
         conn.wire.say(lineOf(finish(m.tag, kBusy)));
         if (conn.tooMany) drop(conn);
@@ -342,7 +342,7 @@
     asking.conn = conn.key;
     byTag_[m.tag] = *id;
     conn.open.insert(*id);
-    core_->begin(*id);
+    core_->start(*id);
 }
 
 void Viewers::ending(Conn& conn, const Message& m) {
@@ -359,7 +359,7 @@
     if (!asking.plays) {
         ++counts_.givenUp;
         if (const auto it = conns_.find(asking.conn); it != conns_.end()) it->second->open.erase(id);
-        core_->left(id);
+        core_->unsubscribe(id);
         return;
     }
     if (asking.leaving) return;
@@ -370,7 +370,7 @@
 // Its seat counts until its media server has ended it, or has had time to.
 void Viewers::endThere(SubId id, Asking& asking) {
     asking.leaving = true;
-    asking.cut = std::make_unique<net::Timer>(net_, [this, id] { core_->left(id); });
+    asking.cut = std::make_unique<net::Timer>(net_, [this, id] { core_->unsubscribe(id); });
     asking.cut->after(limits_.cutWithin);
     servers_->cut(id);
 }
@@ -434,7 +434,7 @@
     tell(id, finish(it->second.words.tag, cause), true);
 }
 
-void Viewers::plays(SubId id, SfuId, int) {
+void Viewers::onPlaying(SubId id, SfuId, int) {
     const auto it = asking_.find(id);
     if (it == asking_.end()) return;
     ++counts_.played;
@@ -453,29 +453,30 @@
     tell(id, answer, false);
 }
 
-void Viewers::throttled(SubId id, Micros comeBack) {
+void Viewers::onThrottled(SubId id, Micros retryAfter) {
     ++counts_.throttled;
     const auto it = asking_.find(id);
     if (it == asking_.end()) return;
     Message refusal = finish(it->second.words.tag, kBusy);
-    if (comeBack > 0) refusal.opts["wait"] = std::to_string((comeBack + 999) / 1000);
+    if (retryAfter > 0) refusal.opts["wait"] = std::to_string((retryAfter + 999) / 1000);
     tell(id, refusal, false);
 }
 
-void Viewers::terminated(SubId id, core::Ended how) {
+void Viewers::onTerminated(SubId id, core::TerminationReason how) {
     ++counts_.terminated;
     const auto it = asking_.find(id);
     if (it != asking_.end())
-        tell(id, finish(it->second.words.tag, how == core::Ended::TimedOut ? kTimedOut : kFailed), false);
+        tell(id, finish(it->second.words.tag, how == core::TerminationReason::TimedOut ? kTimedOut : kFailed),
+             false);
 }
 
-void Viewers::rungSet(SubId id, int rung) {
+void Viewers::onRungChanged(SubId id, int rung) {
     servers_->setRung(id, rung);
 }
-void Viewers::broke(SubId id) {
+void Viewers::onServerLost(SubId id) {
     release(id, kCut);
 }
-void Viewers::finished(SubId id) {
+void Viewers::onFinished(SubId id) {
     release(id, kNormal);
 }
 
@@ -493,13 +494,13 @@
     for (const auto& [key, conn] : conns_) open.insert(open.end(), conn->open.begin(), conn->open.end());
     for (const SubId id : open) {
         tell(id, finish(asking_.at(id).words.tag, kFailed), false);
-        core_->left(id);
+        core_->unsubscribe(id);
     }
 }
 
 void Viewers::closeAll() {
     draining_ = true;
-    if (listener_) listener_->takeWaiting();
+    if (listener_) listener_->acceptPending();
     listener_.reset();
     while (!conns_.empty()) {
         Conn& conn = *conns_.begin()->second;
@@ -510,7 +511,7 @@
 
 // ================= from media servers =================
 
-const SetupWords* Viewers::wordsOf(SubId id) {
+const SetupRequest* Viewers::wordsOf(SubId id) {
     const auto it = asking_.find(id);
     return it == asking_.end() ? nullptr : &it->second.words;
 }
@@ -518,12 +519,12 @@
     const auto it = asking_.find(id);
     if (it != asking_.end()) it->second.answer = description;
 }
-void Viewers::over(SubId id, JoinEnd end, int, const Load& load) {
+void Viewers::over(SubId id, JoinResult end, int, const LoadReport& load) {
     const auto it = asking_.find(id);
     if (it != asking_.end() && it->second.leaving)
-        core_->left(id);  // its viewer has left, and is owed no release
+        core_->unsubscribe(id);  // its viewer has left, and is owed no release
     else
-        core_->lost(id, end, load);
+        core_->onPlaybackEnded(id, end, load);
 }
 
 void Viewers::forget(SubId id) {
--- a/src/node/viewers.hpp
+++ b/src/node/viewers.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "core/core.hpp"
+#include "node/line_connection.hpp"
 #include "node/message.hpp"
 #include "node/servers.hpp"
-#include "node/wire.hpp"
 
 namespace valekeel::node {
 
@@ -47,7 +47,7 @@
     int cells = 1, rungs = 1;
 };
 
-class Viewers final : public core::Face, public ServersUser, private net::ListenerUser {
+class Viewers final : public core::SubscriptionHandler, public ServersHandler, private net::ListenerHandler {
   public:
     Viewers(net::Net&, const net::Endpoint&, const ViewerLimits&, Asked);
     ~Viewers() override;
@@ -60,7 +60,7 @@
         servers_ = &servers;
     }
     void listen();
-    net::Endpoint at() const { return at_; }
+    net::Endpoint endpoint() const { return at_; }
     void forget(SubId);  // the core holds it no more
     // The steps of this front's end. What plays is released, to its viewer and at its media server, which has
     // its usual time to confirm; from then on set-ups are refused.
@@ -82,18 +82,18 @@
     class Conn;
     struct Asking;
     // ---- core::Face ----
-    void plays(SubId, SfuId, int rung) override;
-    void throttled(SubId, Micros comeBack) override;
-    void terminated(SubId, core::Ended) override;
-    void rungSet(SubId, int rung) override;
-    void broke(SubId) override;
-    void finished(SubId) override;
+    void onPlaying(SubId, SfuId, int rung) override;
+    void onThrottled(SubId, Micros retryAfter) override;
+    void onTerminated(SubId, core::TerminationReason) override;
+    void onRungChanged(SubId, int rung) override;
+    void onServerLost(SubId) override;
+    void onFinished(SubId) override;
     // ---- ServersUser ----
-    const SetupWords* wordsOf(SubId) override;
+    const SetupRequest* wordsOf(SubId) override;
     void answered(SubId, const std::string& description) override;
-    void over(SubId, JoinEnd, int cause, const Load&) override;
+    void over(SubId, JoinResult, int cause, const LoadReport&) override;
 
-    void accepted(std::unique_ptr<net::Stream>) override;
+    void onAccepted(std::unique_ptr<net::Stream>) override;
     void heard(Conn&, std::string_view line);
     void setup(Conn&, const Message&);
     void ending(Conn&, const Message&);
@@ -117,7 +117,7 @@
     core::Core* core_ = nullptr;
     Servers* servers_ = nullptr;
     std::unique_ptr<net::Listener> listener_;
-    Lingering lingering_;  // counted with the connections, and freed before any of them
+    LingeringCloser lingering_;  // counted with the connections, and freed before any of them
     std::map<std::uint64_t, std::unique_ptr<Conn>> conns_;
     std::uint64_t nextConn_ = 1;
     std::map<SubId, Asking> asking_;
--- a/src/rehearse/drill.cpp
+++ b/src/simulation/drill.cpp
@@ -1,4 +1,4 @@
-#include "rehearse/drill.hpp"
+#include "simulation/drill.hpp"
 
 #include <algorithm>
 #include <boost/histogram.hpp>
@@ -8,18 +8,18 @@
 #include <set>
 #include <sstream>
 
-#include "rehearse/house.hpp"
-#include "standins/list.hpp"
+#include "fakes/list_server.hpp"
+#include "simulation/environment.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 namespace {
 
-using standins::Line;
+using fakes::Line;
 
 // One front under a name that stays over its lives.
 struct FrontHere {
     std::string name;
-    std::unique_ptr<FrontLife> life;
+    std::unique_ptr<FrontProcess> life;
     std::optional<net::Endpoint> at, sip;
     Micros downSince = 0;
     bool down = true;
@@ -28,25 +28,25 @@
 
 class Drill {
   public:
-    Drill(const Day& day, const DrillWays& ways, standins::Ledger& ledger)
+    Drill(const Scenario& day, const DrillOptions& ways, fakes::Ledger& ledger)
         : day_(day),
           ways_(ways),
           ledger_(ledger),
-          house_(ways.real ? realHouse(ways.program, ways.folder, day.seed)
-                           : virtualHouse(ways.folder, day.seed)),
-          net_(house_->net()),
+          environment_(ways.real ? makeSocketEnvironment(ways.program, ways.folder, day.seed)
+                                 : makeVirtualEnvironment(ways.folder, day.seed)),
+          net_(environment_->net()),
           chance_(day.seed),
           crowdChance_(static_cast<std::knuth_b::result_type>(day.seed + 77)),
           fleet_(net_, day.make, day.machines.fleet.racks, day.machines.fleet.uplinkKb, day.seed + 1, ledger),
-          list_(net_, house_->boxAt(), ledger),
+          list_(net_, environment_->boxAt(), ledger),
           watch_(net_, [this] { watch(); }) {}
 
     DrillResult run() {
         for (int id = 0; id < day_.boxes; ++id) {
             const double link =
-                day_.machines.fleet.sizesTold ? day_.machines.fleet.linkKbPerSize : day_.linkKb;
+                day_.machines.fleet.hasSizes ? day_.machines.fleet.linkKbPerSize : day_.linkKb;
             fleet_.add(id, id % day_.machines.fleet.cells, link, day_.machines.fleet.places.front(),
-                       house_->boxAt());
+                       environment_->boxAt());
             tell(id, "on");
         }
         if (!day_.members.empty()) {
@@ -63,14 +63,14 @@
         const Micros limit = net_.now() + 20 * kSecond;
         while (net_.now() < limit &&
                !std::all_of(fronts_.begin(), fronts_.end(), [](const auto& f) { return f.at.has_value(); }))
-            house_->turn(20'000);
-        for (Micros settle = net_.now() + 500'000; net_.now() < settle;) house_->turn(50'000);
+            environment_->runOnce(20'000);
+        for (Micros settle = net_.now() + 500'000; net_.now() < settle;) environment_->runOnce(50'000);
 
         begun_ = net_.now();
         plan();
         const Micros end = begun_ + day_.length;
         while (net_.now() < end) {
-            house_->turn(100'000);
+            environment_->runOnce(100'000);
             const auto second = (net_.now() - begun_) / (5 * kSecond);
             if (second != lastSaid_) {
                 lastSaid_ = second;
@@ -82,12 +82,12 @@
         closing_ = true;
         for (auto& player : players_) player->endSoon();
         const Micros last = net_.now() + (day_.callers.empty() ? 8 : 20) * kSecond;
-        while (net_.now() < last && active_ > 0) house_->turn(50'000);
-        for (FrontHere& f : fronts_) f.life->askToStop();
+        while (net_.now() < last && active_ > 0) environment_->runOnce(50'000);
+        for (FrontHere& f : fronts_) f.life->requestStop();
         const Micros until = net_.now() + 5 * kSecond;
         while (net_.now() < until &&
                std::any_of(fronts_.begin(), fronts_.end(), [](auto& f) { return f.life->running(); }))
-            house_->turn(50'000);
+            environment_->runOnce(50'000);
         DrillResult result;
         result.secondsTaken =
             std::chrono::duration<double>(std::chrono::steady_clock::now() - startedReal_).count();
@@ -106,7 +106,7 @@
             }
         }
         result.breaches = audit::all(ledger_, day_.terms, down_);
-        for (const audit::Breach& b : result.breaches)
+        for (const audit::RuleViolation& b : result.breaches)
             if (b.rule == 1 && b.what.find("no answer") != std::string::npos) ++result.never;
         return result;
     }
@@ -116,13 +116,13 @@
     void startFront(std::size_t i) {
         FrontHere& f = fronts_[i];
         f.name = "front" + std::to_string(i);
-        if (!f.life) f.life = house_->front(static_cast<int>(i), f.name);
+        if (!f.life) f.life = environment_->front(static_cast<int>(i), f.name);
         const std::string base = ways_.folder + "/" + f.name;
-        const std::string here = net::text(house_->boxAt());
+        const std::string here = net::toString(environment_->boxAt());
         std::ostringstream out;
         out << "front \"" << f.name << "\" fronts=" << day_.fronts << " stop-within=\"2s\"\n"
             << settings::printKdl(day_.siteNodes) << "http listen=\"" << here << "\"\n"
-            << "list stream=\"" << net::text(list_.at()) << "\" path=\"/boxes?front=" << f.name
+            << "list stream=\"" << net::toString(list_.endpoint()) << "\" path=\"/boxes?front=" << f.name
             << "\" keep=\"" << base << ".list\" silent-for=\"4s\"\n"
             << "log file=\"" << base << ".log\"" << (ways_.real ? "" : " level=\"warning\"") << "\n";
         if (!day_.callers.empty())
@@ -153,11 +153,11 @@
 
     // ---- the list ----
     void tell(int id, const std::string& standing) {
-        standins::Box& box = fleet_.box(id);
-        standins::ListedBox listed;
+        fakes::Box& box = fleet_.box(id);
+        fakes::ListedBox listed;
         listed.id = id;
         listed.cell = box.cell();
-        listed.at = net::text(box.at());
+        listed.at = net::toString(box.endpoint());
         listed.kind = day_.machines.kinds.front();
         listed.standing = standing;
         listed.size = 1;
@@ -174,39 +174,39 @@
         if (up.empty() || closing_) return nullptr;
         return up[std::uniform_int_distribution<std::size_t>(0, up.size() - 1)(chance_)];
     }
-    std::optional<standins::Player::FrontAt> pickFront() {
+    std::optional<fakes::Player::FrontAt> pickFront() {
         const FrontHere* f = pick(&FrontHere::at);
         if (!f) return std::nullopt;
-        return standins::Player::FrontAt{f->name, *f->at};
+        return fakes::Player::FrontAt{f->name, *f->at};
     }
 
-    standins::PlayerPlan planOf(const Crowd& crowd) {
+    fakes::PlayerPlan planOf(const Crowd& crowd) {
         const auto roll = [&] { return std::uniform_real_distribution<double>(0, 1)(chance_); };
-        standins::PlayerPlan plan;
+        fakes::PlayerPlan plan;
         plan.room = oneOf(crowd.rooms, chance_);
         plan.title = oneOf(crowd.titles, chance_);
         plan.watch = std::uniform_int_distribution<Micros>(crowd.watchLeast, crowd.watchMost)(chance_);
         plan.returns = crowd.returns;
         plan.honours = roll() < crowd.honours;
         if (roll() < crowd.badHints) {
-            constexpr standins::HintStyle kBad[] = {
-                standins::HintStyle::None, standins::HintStyle::Broken, standins::HintStyle::Doubled,
-                standins::HintStyle::Oversized, standins::HintStyle::Contradicting};
+            constexpr fakes::HintStyle kBad[] = {fakes::HintStyle::None, fakes::HintStyle::Broken,
+                                                 fakes::HintStyle::Doubled, fakes::HintStyle::Oversized,
+                                                 fakes::HintStyle::Contradicting};
             plan.hints = kBad[std::uniform_int_distribution<std::size_t>(0, 4)(chance_)];
         } else {
-            plan.hints = roll() < 0.5 ? standins::HintStyle::Headers : standins::HintStyle::Query;
+            plan.hints = roll() < 0.5 ? fakes::HintStyle::Headers : fakes::HintStyle::Query;
         }
         if (roll() < crowd.smallScreens && day_.ladder.kb.size() > 1)
             plan.topKbits = std::llround(day_.ladder.kb[day_.ladder.kb.size() - 2] * 8);
         return plan;
     }
 
-    standins::PlayerPlan planOf(const Audience& a, int member) {
-        const auto roll = [&] { return crowd::unit(crowdChance_); };
-        standins::PlayerPlan plan;
+    fakes::PlayerPlan planOf(const Audience& a, int member) {
+        const auto roll = [&] { return workload::unit(crowdChance_); };
+        fakes::PlayerPlan plan;
         plan.room = oneOf(a.rooms, crowdChance_);
         plan.title = a.titles[a.wanted.draw(crowdChance_)];
-        plan.watch = crowd::lognormal(a.watchMedian, a.watchSigma, 6, crowdChance_);
+        plan.watch = workload::lognormal(a.watchMedian, a.watchSigma, 6, crowdChance_);
         plan.returns = a.returns;
         plan.back = a.back;
         plan.honours = roll() < a.honours;
@@ -215,9 +215,9 @@
         plan.patience.emplace(a.patience, a.stallWeight, -std::log(1 - roll()));
         plan.startWith = a.startWith;
         plan.bufferMost = a.bufferMost;
-        plan.hints = roll() < a.badHints ? standins::HintStyle::None
-                     : roll() < 0.5      ? standins::HintStyle::Headers
-                                         : standins::HintStyle::Query;
+        plan.hints = roll() < a.badHints ? fakes::HintStyle::None
+                     : roll() < 0.5      ? fakes::HintStyle::Headers
+                                         : fakes::HintStyle::Query;
         if (roll() < a.smallScreens && day_.ladder.kb.size() > 1)
             plan.topKbits = std::llround(day_.ladder.kb[day_.ladder.kb.size() - 2] * 8);
         if (roll() < a.ownAbr) plan.ownLadderKb = day_.ladder.kb;
@@ -232,16 +232,16 @@
         return static_cast<int>(
             std::discrete_distribution<std::size_t>(parts.begin(), parts.end())(crowdChance_));
     }
-    void come(net::Net& net, const standins::PlayerPlan& plan, std::uint64_t seed) {
-        players_.push_back(std::make_unique<standins::Player>(
+    void come(net::Net& net, const fakes::PlayerPlan& plan, std::uint64_t seed) {
+        players_.push_back(std::make_unique<fakes::Player>(
             net, static_cast<int>(players_.size()), plan, [this] { return pickFront(); }, seed,
-            day_.ladder.worth, ledger_, [this](standins::Player&) { --active_; }));
+            day_.ladder.worth, ledger_, [this](fakes::Player&) { --active_; }));
         ++active_;
         players_.back()->start();
     }
     void comeOne(const Audience& a, int member) {
         const std::uint64_t seed = crowdChance_();
-        come(house_->netOf(member), planOf(a, member), seed);
+        come(environment_->netOf(member), planOf(a, member), seed);
     }
     void nextOf(const Audience& a, Micros after) {
         const auto when = a.stream.next(after, crowdChance_);
@@ -261,8 +261,8 @@
         const FrontHere* f = pick(&FrontHere::sip);
         if (!f) return;
         const auto roll = [&] { return std::uniform_real_distribution<double>(0, 1)(chance_); };
-        const standins::PlayerRoom& room = oneOf(some.rooms, chance_);
-        standins::CallPlan plan;
+        const fakes::PlayerRoom& room = oneOf(some.rooms, chance_);
+        fakes::CallPlan plan;
         plan.title = oneOf(some.titles, chance_);
         plan.room = room.name;
         plan.timeout = room.clientTimeout;
@@ -273,7 +273,7 @@
             plan.cancelAfter = std::uniform_int_distribution<Micros>(1, kSecond)(chance_);
         ++active_;
         // Their numbers lie behind those of all players.
-        callers_.push_back(std::make_unique<standins::Caller>(
+        callers_.push_back(std::make_unique<fakes::Caller>(
             net_, 1'000'000 + static_cast<int>(callers_.size()), *f->sip, f->name, plan, some.weather,
             chance_(), ledger_, [this] { --active_; }));
         callers_.back()->start();
@@ -301,14 +301,14 @@
             nextOf(a, 0);
             for (const Audience::Train& t : a.trains)
                 for (int i = 0; i < t.viewers; ++i)
-                    at(t.at + static_cast<Micros>(crowd::unit(crowdChance_) * static_cast<double>(t.over)),
+                    at(t.at + static_cast<Micros>(workload::unit(crowdChance_) * static_cast<double>(t.over)),
                        [this, &a, &t] { comeOne(a, t.member); });
         }
         for (const Callers& some : day_.callers)
             for (int i = 0; i < some.callers; ++i)
                 at(some.at + std::uniform_int_distribution<Micros>(0, some.over)(chance_),
                    [this, &some] { callOne(some); });
-        for (const DayTrouble& t : day_.troubles) {
+        for (const ScheduledFault& t : day_.troubles) {
             at(t.at, [this, &t] {
                 ways_.say("trouble: " + t.kind);
                 begin(t);
@@ -318,14 +318,14 @@
     }
 
     template <class Do>
-    void each(const DayTrouble& t, Do&& what) {
+    void each(const ScheduledFault& t, Do&& what) {
         for (const int id : t.boxes) what(fleet_.box(id));
     }
 
     // A box's process is replaced: it drains where told, goes, and comes back cold.
     void takeAway(int id, const char* why) { fleet_.box(id).die(why); }
     void bringBack(int id) {
-        standins::Box& box = fleet_.box(id);
+        fakes::Box& box = fleet_.box(id);
         if (box.up()) return;
         box.start(true);
         launched_[id] = net_.wallNow();
@@ -334,7 +334,7 @@
         });
     }
 
-    void begin(const DayTrouble& t) {
+    void begin(const ScheduledFault& t) {
         const std::string& k = t.kind;
         if (k == "box-dies") each(t, [&](auto& b) { takeAway(b.id(), "died"); });
         if (k == "box-silent") each(t, [&](auto& b) { b.trouble.silent = true; });
@@ -401,11 +401,11 @@
         if (k == "front-stops")
             for (const int i : t.boxes) {
                 FrontHere& f = fronts_[static_cast<std::size_t>(i)];
-                f.life->askToStop();
+                f.life->requestStop();
                 frontIsDown(f);  // it answers what it took, and is not asked any more; it ends by itself
             }
         if (k == "front-stalls")
-            for (const int i : t.boxes) fronts_[static_cast<std::size_t>(i)].life->standStill();
+            for (const int i : t.boxes) fronts_[static_cast<std::size_t>(i)].life->pause();
         if (k == "rush" && !day_.crowds.empty()) {
             const auto more = static_cast<int>(t.size);
             for (int i = 0; i < more; ++i)
@@ -415,7 +415,7 @@
         }
     }
 
-    void end(const DayTrouble& t) {
+    void end(const ScheduledFault& t) {
         const std::string& k = t.kind;
         if (k == "box-dies" || k == "box-drains" || k == "boxes-taken")
             each(t, [&](auto& b) { bringBack(b.id()); });
@@ -463,38 +463,38 @@
         if (k == "front-stalls")
             for (const int i : t.boxes) {
                 FrontHere& f = fronts_[static_cast<std::size_t>(i)];
-                f.life->goOn();
+                f.life->resume();
                 down_.emplace(f.name, std::pair{begun_ + t.at, net_.now()});
             }
     }
 
     std::size_t mostAtOnce() const {
         std::size_t most = 0;
-        for (const DayTrouble& t : day_.troubles) {
+        for (const ScheduledFault& t : day_.troubles) {
             std::size_t now = 0;
-            for (const DayTrouble& o : day_.troubles)
+            for (const ScheduledFault& o : day_.troubles)
                 now += o.at <= t.at && t.at < o.at + std::max<Micros>(1, o.lasts);
             most = std::max(most, now);
         }
         return most;
     }
 
-    const Day& day_;
-    const DrillWays& ways_;
-    standins::Ledger& ledger_;
-    std::unique_ptr<House> house_;
+    const Scenario& day_;
+    const DrillOptions& ways_;
+    fakes::Ledger& ledger_;
+    std::unique_ptr<Environment> environment_;
     net::Net& net_;
     std::mt19937_64 chance_;
     std::knuth_b crowdChance_;
     std::map<std::string, int> memberOf_;  // by trace
     std::chrono::steady_clock::time_point startedReal_ = std::chrono::steady_clock::now();
-    standins::BoxFleet fleet_;
-    standins::ListServer list_;
+    fakes::BoxFleet fleet_;
+    fakes::ListServer list_;
     net::Timer watch_;
     std::vector<FrontHere> fronts_;
     std::map<int, Micros> launched_;
-    std::vector<std::unique_ptr<standins::Player>> players_;
-    std::vector<std::unique_ptr<standins::Caller>> callers_;
+    std::vector<std::unique_ptr<fakes::Player>> players_;
+    std::vector<std::unique_ptr<fakes::Caller>> callers_;
     std::deque<std::unique_ptr<net::Timer>> timers_;
     std::vector<std::tuple<Micros, Micros, std::set<int>>> lies_;
     audit::Down down_;
@@ -505,11 +505,11 @@
 
 }  // namespace
 
-DrillResult drill(const Day& day, const DrillWays& ways, standins::Ledger& ledger) {
+DrillResult drill(const Scenario& day, const DrillOptions& ways, fakes::Ledger& ledger) {
     return Drill(day, ways, ledger).run();
 }
 
-void judge(const Day& day, const standins::Ledger& ledger, DrillResult& result) {
+void judge(const Scenario& day, const fakes::Ledger& ledger, DrillResult& result) {
     namespace bh = boost::histogram;
     // A log axis from 0.1 ms to 100 s, 40 bins a decade: within 6% of the true value.
     using Histogram =
@@ -667,7 +667,7 @@
     }
 }
 
-std::string told(const DrillResult& r) {
+std::string summary(const DrillResult& r) {
     std::ostringstream out;
     out << "asked " << r.asked << ", played " << r.played << ", throttled " << r.throttled << ", terminated "
         << r.terminated << "\nanswered twice " << r.twice << ", never " << r.never << " (" << r.excused
@@ -699,7 +699,7 @@
     out << "troubles at the same time, at most: " << r.troublesAtOnce << "\n";
     out << (r.breaches.empty() ? "rules: all six kept\n" : "RULES BROKEN:\n");
     std::size_t shown = 0;
-    for (const audit::Breach& b : r.breaches) {
+    for (const audit::RuleViolation& b : r.breaches) {
         if (++shown > 20) {
             out << "  ... " << r.breaches.size() << " in all\n";
             break;
@@ -750,4 +750,4 @@
     return j.dump();
 }
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/drill.hpp
+++ b/src/simulation/drill.hpp
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "audit/audit.hpp"
-#include "rehearse/day.hpp"
-#include "standins/ledger.hpp"
+#include "fakes/ledger.hpp"
+#include "simulation/scenario.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 
 struct DrillResult {
     std::uint64_t asked = 0, firstAsks = 0, played = 0, throttled = 0, terminated = 0, never = 0, twice = 0;
@@ -42,12 +42,12 @@
     std::map<std::string, Times> toAnswer;      // by room type
     std::map<int, std::uint64_t> joinsAt;       // by box
     std::uint64_t liedTo = 0, joinsInLies = 0;  // joins to boxes while they lied, and all in that time
-    std::vector<audit::Breach> breaches;
+    std::vector<audit::RuleViolation> breaches;
     double frontCpu = 0;
     std::size_t troublesAtOnce = 0;
 };
 
-struct DrillWays {
+struct DrillOptions {
     bool real = true;       // on sockets and the real clock
     std::string program;    // that serves
     std::string folder;     // for settings, logs and kept lists; must exist
@@ -55,12 +55,12 @@
     std::function<void(const std::string&)> say = [](const std::string&) {};
 };
 
-DrillResult drill(const Day&, const DrillWays&, standins::Ledger&);
+DrillResult drill(const Scenario&, const DrillOptions&, fakes::Ledger&);
 
 // What the ledger says of answers and service; used by drill().
-void judge(const Day&, const standins::Ledger&, DrillResult&);
-std::string told(const DrillResult&);
+void judge(const Scenario&, const fakes::Ledger&, DrillResult&);
+std::string summary(const DrillResult&);
 // One object, names in our words; what an experiment keeps.
 std::string asJson(const DrillResult&);
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/house.cpp
+++ b/src/simulation/environment.cpp
@@ -1,4 +1,4 @@
-#include "rehearse/house.hpp"
+#include "simulation/environment.hpp"
 
 #include <boost/asio/ip/address_v4.hpp>
 #include <filesystem>
@@ -9,14 +9,14 @@
 #include "net/epoll.hpp"
 #include "net/process.hpp"
 #include "net/virtual.hpp"
-#include "rehearse/baselines.hpp"
+#include "simulation/baselines.hpp"
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 namespace {
 
 // ---- on real sockets ----
 
-class ProcessFront final : public FrontLife {
+class ProcessFront final : public FrontProcess {
   public:
     ProcessFront(std::string program, std::string base)
         : program_(std::move(program)), base_(std::move(base)) {}
@@ -38,9 +38,9 @@
         at_.clear();
         std::filesystem::remove(base_ + ".port");
     }
-    void askToStop() override { process_.askToStop(); }
-    void standStill() override { process_.standStill(); }
-    void goOn() override { process_.goOn(); }
+    void requestStop() override { process_.requestStop(); }
+    void pause() override { process_.pause(); }
+    void resume() override { process_.resume(); }
     bool running() override { return process_.running(); }
     double cpuSeconds() const override { return cpu_ + process_.cpuSeconds(); }
     std::optional<net::Endpoint> http() override { return place(0); }
@@ -51,7 +51,7 @@
         if (at_.empty()) {
             std::ifstream in(base_ + ".port");
             for (std::string text; std::getline(in, text);)
-                if (const auto at = net::endpointOf(text)) at_.push_back(*at);
+                if (const auto at = net::parseEndpoint(text)) at_.push_back(*at);
         }
         return line < at_.size() ? std::optional(at_[line]) : std::nullopt;
     }
@@ -61,7 +61,7 @@
     double cpu_ = 0;
 };
 
-class RealHouse final : public House {
+class RealHouse final : public Environment {
   public:
     RealHouse(std::string program, std::string folder, std::uint64_t seed)
         : program_(std::move(program)), folder_(std::move(folder)), net_(seed) {
@@ -69,9 +69,9 @@
     }
     net::Net& net() override { return net_; }
     net::Net& netOf(int) override { return net_; }
-    net::Endpoint boxAt() override { return *net::endpointOf("127.0.0.1:0"); }
-    void turn(Micros atMost) override { net_.turn(atMost); }
-    std::unique_ptr<FrontLife> front(int, const std::string& name) override {
+    net::Endpoint boxAt() override { return *net::parseEndpoint("127.0.0.1:0"); }
+    void runOnce(Micros atMost) override { net_.runOnce(atMost); }
+    std::unique_ptr<FrontProcess> front(int, const std::string& name) override {
         return std::make_unique<ProcessFront>(program_, folder_ + "/" + name);
     }
 
@@ -82,13 +82,13 @@
 
 // ---- on a virtual clock ----
 
-class VirtualFront final : public FrontLife {
+class VirtualFront final : public FrontProcess {
   public:
     VirtualFront(net::VirtualNode& node, std::string base) : node_(node), base_(std::move(base)) {}
     ~VirtualFront() override { kill(); }
     void start(const std::string& settings, std::uint64_t seed, const std::string& decisions) override {
         kill();
-        const front::OtherDecide other = decisions.empty() ? front::OtherDecide{} : baseline(decisions);
+        const front::ModuleOverride other = decisions.empty() ? front::ModuleOverride{} : baseline(decisions);
         front_ = std::make_unique<front::Front>(node_, settings::Document::fromText(base_ + ".kdl", settings),
                                                 seed, ++life_, other);
         stopped_ = false;
@@ -97,13 +97,13 @@
         node_.crashing = true;
         front_.reset();
         node_.crashing = false;
-        node_.goOn();
+        node_.resume();
     }
-    void askToStop() override {
-        if (front_) front_->stop(front_->stopWithin(), [this] { stopped_ = true; });
+    void requestStop() override {
+        if (front_) front_->stop(front_->stopTimeout(), [this] { stopped_ = true; });
     }
-    void standStill() override { node_.standStill(); }
-    void goOn() override { node_.goOn(); }
+    void pause() override { node_.pause(); }
+    void resume() override { node_.resume(); }
     bool running() override {
         if (front_ && stopped_) front_.reset();
         return front_ != nullptr;
@@ -113,7 +113,8 @@
         return front_ ? std::optional(front_->http()) : std::nullopt;
     }
     std::optional<net::Endpoint> sip() override {
-        return front_ && front_->sip() ? std::optional(front_->sip()->at()) : std::nullopt;
+        return front_ && front_->sipFrontend() ? std::optional(front_->sipFrontend()->endpoint())
+                                               : std::nullopt;
     }
 
   private:
@@ -124,7 +125,7 @@
     bool stopped_ = false;
 };
 
-class VirtualHouse final : public House {
+class VirtualHouse final : public Environment {
   public:
     VirtualHouse(std::string folder, std::uint64_t seed)
         : folder_(std::move(folder)), world_(seed), own_(world_.node("stand-ins", address(0, 0, 1))) {}
@@ -138,8 +139,8 @@
         return *node;
     }
     net::Endpoint boxAt() override { return {address(0, 0, 1), 0}; }
-    void turn(Micros atMost) override { world_.runUntil(world_.now() + atMost); }
-    std::unique_ptr<FrontLife> front(int number, const std::string& name) override {
+    void runOnce(Micros atMost) override { world_.runUntil(world_.now() + atMost); }
+    std::unique_ptr<FrontProcess> front(int number, const std::string& name) override {
         return std::make_unique<VirtualFront>(
             world_.node(name, address(0, 1 + number / 250, 1 + number % 250)), folder_ + "/" + name);
     }
@@ -157,11 +158,12 @@
 
 }  // namespace
 
-std::unique_ptr<House> realHouse(const std::string& program, const std::string& folder, std::uint64_t seed) {
+std::unique_ptr<Environment> makeSocketEnvironment(const std::string& program, const std::string& folder,
+                                                   std::uint64_t seed) {
     return std::make_unique<RealHouse>(program, folder, seed);
 }
-std::unique_ptr<House> virtualHouse(const std::string& folder, std::uint64_t seed) {
+std::unique_ptr<Environment> makeVirtualEnvironment(const std::string& folder, std::uint64_t seed) {
     return std::make_unique<VirtualHouse>(folder, seed);
 }
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/rehearse/day.cpp
+++ b/src/simulation/scenario.cpp
@@ -1,16 +1,16 @@
-#include "rehearse/day.hpp"
+#include "simulation/scenario.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 #include <stdexcept>
 
-namespace valekeel::rehearse {
+namespace valekeel::simulation {
 
-using settings::Cursor;
+using settings::NodeReader;
 
-const std::vector<TroubleKind>& troubleKinds() {
-    static const std::vector<TroubleKind> kKinds = {
+const std::vector<FaultKind>& faultKinds() {
+    static const std::vector<FaultKind> kKinds = {
         {"box-dies", "boxes die at once and come back cold", "crash", {"box", "for"}},
         {"box-silent", "boxes neither answer nor reset, and come back cold", "vanish", {"box", "for"}},
         {"box-pauses", "boxes stand still, then answer everything at once", "", {"box", "for"}},
@@ -62,47 +62,47 @@
 
 constexpr Micros kDay = 86'400 * kSecond;
 
-std::vector<int> numbersOf(Cursor& node, const char* name, int most) {
+std::vector<int> numbersOf(NodeReader& node, const char* name, int most) {
     std::vector<int> out;
-    for (Cursor& child : node.each(name)) {
+    for (NodeReader& child : node.childrenNamed(name)) {
         for (const double v : child.numbers(name, 0, most - 1)) out.push_back(static_cast<int>(v));
-        child.finish();
+        child.rejectUnread();
     }
     return out;
 }
 
-std::vector<std::pair<double, standins::PlayerRoom>> roomsOf(Cursor& node, const Day& day) {
-    std::vector<std::pair<double, standins::PlayerRoom>> out;
-    for (Cursor& room : node.each("room")) {
+std::vector<std::pair<double, fakes::PlayerRoom>> roomsOf(NodeReader& node, const Scenario& day) {
+    std::vector<std::pair<double, fakes::PlayerRoom>> out;
+    for (NodeReader& room : node.childrenNamed("room")) {
         const std::string name = room.argument("a room type");
         const auto id = day.rooms.find(name);
-        if (!id) room.wrong("room type '" + name + "' is not among the site's");
+        if (!id) room.fail("room type '" + name + "' is not among the site's");
         const RoomType& r = day.rooms.types[id->v];
         out.push_back({room.number("part", 0, 1e6, 1),
                        {name, day.rooms.clientTimeouts[id->v], r.joinObjective, r.paid, r.benefit}});
-        room.finish();
+        room.rejectUnread();
     }
-    if (out.empty()) node.wrong("rooms are expected: room \"NAME\" part=...");
+    if (out.empty()) node.fail("rooms are expected: room \"NAME\" part=...");
     return out;
 }
 
 // Wanted by a Zipf law, in the order of their names.
-std::vector<std::pair<double, std::string>> titlesOf(Cursor& node, const settings::Talks& talks) {
-    const crowd::Zipf wanted(talks.size(), node.number("zipf", 0, 5, 0.8), 0);
+std::vector<std::pair<double, std::string>> titlesOf(NodeReader& node, const settings::Talks& talks) {
+    const workload::Zipf wanted(talks.size(), node.number("zipf", 0, 5, 0.8), 0);
     std::vector<std::pair<double, std::string>> out;
     for (const auto& [title, talk] : talks) out.emplace_back(wanted.part(out.size()), title);
     return out;
 }
 
-int memberNamed(Cursor& node, const Day& day) {
+int memberNamed(NodeReader& node, const Scenario& day) {
     const std::string member = node.text("member");
     const auto it = std::find_if(day.members.begin(), day.members.end(),
                                  [&](const Member& m) { return m.name == member; });
-    if (it == day.members.end()) node.wrongOf("member", "'" + member + "' is none of the members");
+    if (it == day.members.end()) node.failProperty("member", "'" + member + "' is none of the members");
     return static_cast<int>(it - day.members.begin());
 }
 
-Audience readAudience(Cursor& node, const Day& day, const settings::Talks& talks) {
+Audience readAudience(NodeReader& node, const Scenario& day, const settings::Talks& talks) {
     Audience a;
     node.asWritten();  // a name, for who changes its settings
     const double rate = node.number("rate", 0, 1e6), swing = node.number("swing", 0, 1, 0);
@@ -123,26 +123,26 @@
     a.startWith = node.time("start-with", 0, kDay, kSecond);
     a.bufferMost = node.time("buffer", kSecond, kDay, 8 * kSecond);
     const double zipf = node.number("zipf", 0, 5, 0.8), hot = node.number("hot", 0, 1, 0);
-    a.wanted = crowd::Zipf(talks.size(), zipf, hot);
+    a.wanted = workload::Zipf(talks.size(), zipf, hot);
     if (node.has("member")) a.member = memberNamed(node, day);
     a.rooms = roomsOf(node, day);
     for (const auto& [title, talk] : talks) a.titles.push_back(title);
-    std::vector<crowd::Flash> flashes;
-    for (Cursor& one : node.each("flash")) {
+    std::vector<workload::Flash> flashes;
+    for (NodeReader& one : node.childrenNamed("flash")) {
         flashes.push_back({one.time("at", 0, kDay), one.time("for", 1, kDay), one.number("times", 0, 1e4)});
-        one.finish();
+        one.rejectUnread();
     }
-    a.stream = crowd::Arrivals(rate, from, until, swing, period, std::move(flashes));
-    for (Cursor& one : node.each("train")) {
+    a.stream = workload::Arrivals(rate, from, until, swing, period, std::move(flashes));
+    for (NodeReader& one : node.childrenNamed("train")) {
         Audience::Train t;
         t.viewers = static_cast<int>(one.whole("viewers", 0, 1'000'000));
         t.at = one.time("at", 0, kDay);
         t.over = one.time("over", 0, kDay, kSecond);
         t.member = memberNamed(one, day);
-        one.finish();
+        one.rejectUnread();
         a.trains.push_back(t);
     }
-    node.finish();
+    node.rejectUnread();
     return a;
 }
 
@@ -201,41 +201,41 @@
     return settings::printKdl(nodes);
 }
 
-Day readDay(const settings::Document& document) {
-    Day day;
-    Cursor top(document);
-    Cursor head = top.need("day");
+Scenario readScenario(const settings::Document& document) {
+    Scenario day;
+    NodeReader top(document);
+    NodeReader head = top.requiredChild("day");
     day.name = head.argument("its name");
     day.length = head.time("length", kSecond, kDay);
     day.seed = static_cast<std::uint64_t>(head.whole("seed", 0, 1'000'000'000, 1));
     day.fronts = static_cast<int>(head.whole("fronts", 1, 64, 1));
     day.boxes = static_cast<int>(head.whole("boxes", 1, 10'000));
     day.linkKb = head.number("link-kb", 0.1, 1e9);
-    head.finish();
+    head.rejectUnread();
 
-    Cursor site = top.need("site");
+    NodeReader site = top.requiredChild("site");
     day.siteNodes = site.node()->children;
     day.ladder = settings::readLadder(site);
     day.rooms = settings::readRoomTypes(site, day.ladder);
     day.machines = settings::readMachines(site);
-    const ColdTerms cold = settings::readColdTerms(site);
+    const ColdStartLimits cold = settings::readColdStartLimits(site);
     const auto budget = settings::readJoinBudget(site);
-    settings::readTidings(site);
-    settings::readAllowed(site);
+    settings::readReportTiming(site);
+    settings::readSubscriptionLimits(site);
     const settings::Talks talks = settings::readTalks(site, day.machines.fleet);
     for (const char* passed : {"viewers", "boxes", "hints", "admission"})
-        site.one(passed);  // a front reads them
-    site.finish();
+        site.optionalChild(passed);  // a front reads them
+    site.rejectUnread();
 
-    standins::BoxMake& make = day.make;
-    if (auto node = top.one("box-make")) {
+    fakes::BoxConfig& make = day.make;
+    if (auto node = top.optionalChild("box-make")) {
         make.segment = node->time("segment", 100'000, 60 * kSecond, kSecond);
         make.segments = static_cast<int>(node->whole("segments", 1, 100'000, 600));
         make.setUp = node->time("set-up", 0, 60 * kSecond, 60'000);
         make.setUpsAtOnce = static_cast<int>(node->whole("set-ups-at-once", 1, 10'000, 8));
         make.forgetAfter = node->time("forget-after", kSecond, kDay, make.forgetAfter);
         make.byteRanges = node->flag("byte-ranges", false);
-        node->finish();
+        node->rejectUnread();
     }
     make.rungKb = day.ladder.kb;
     make.warmUp = day.terms.warmUp = cold.warmUp;
@@ -257,7 +257,7 @@
         day.terms.budgetWindow = budget->window;
     }
 
-    for (Cursor& node : top.each("crowd")) {
+    for (NodeReader& node : top.childrenNamed("crowd")) {
         Crowd crowd;
         crowd.players = static_cast<int>(node.whole("players", 0, 1'000'000));
         crowd.at = node.time("at", 0, kDay, 0);
@@ -270,24 +270,25 @@
         crowd.returns = static_cast<int>(node.whole("returns", 0, 1'000, 1));
         crowd.rooms = roomsOf(node, day);
         crowd.titles = titlesOf(node, talks);
-        node.finish();
+        node.rejectUnread();
         day.crowds.push_back(std::move(crowd));
     }
 
-    if (auto node = top.one("members")) {
-        for (Cursor& one : node->each("member")) {
+    if (auto node = top.optionalChild("members")) {
+        for (NodeReader& one : node->childrenNamed("member")) {
             Member m;
             m.name = one.argument("its name");
             m.linkKb = one.number("link-kb", 0.1, 1e9);
             m.part = one.number("part", 0, 1e6, 1);
-            one.finish();
+            one.rejectUnread();
             day.members.push_back(m);
         }
-        node->finish();
+        node->rejectUnread();
     }
-    for (Cursor& node : top.each("audience")) day.audiences.push_back(readAudience(node, day, talks));
+    for (NodeReader& node : top.childrenNamed("audience"))
+        day.audiences.push_back(readAudience(node, day, talks));
 
-    for (Cursor& node : top.each("callers")) {
+    for (NodeReader& node : top.childrenNamed("callers")) {
         Callers c;
         c.callers = static_cast<int>(node.whole("callers", 0, 1'000'000));
         c.at = node.time("at", 0, kDay, 0);
@@ -301,17 +302,17 @@
         c.weather.delayMost = node.time("delay", 0, 10 * kSecond, 0);
         c.rooms = roomsOf(node, day);
         c.titles = titlesOf(node, talks);
-        node.finish();
+        node.rejectUnread();
         day.callers.push_back(std::move(c));
     }
 
     std::set<std::string, std::less<>> names;
-    for (const TroubleKind& k : troubleKinds()) names.insert(k.name);
-    for (Cursor& node : top.each("trouble")) {
-        DayTrouble t;
+    for (const FaultKind& k : faultKinds()) names.insert(k.name);
+    for (NodeReader& node : top.childrenNamed("trouble")) {
+        ScheduledFault t;
         t.kind = node.argument("its kind");
         if (!names.count(t.kind))
-            node.wrong("'" + t.kind + "' is no kind of trouble" + settings::orNearest(t.kind, names));
+            node.fail("'" + t.kind + "' is no kind of trouble" + settings::suggestionFor(t.kind, names));
         t.at = node.time("at", 0, day.length);
         t.lasts = node.time("for", 0, kDay, 0);
         t.size = node.number("size", 0, 1e6, 1);
@@ -322,11 +323,11 @@
         if (!day.members.empty())
             for (const int member : numbersOf(node, "member", static_cast<int>(day.members.size())))
                 t.boxes.push_back(member);
-        node.finish();
+        node.rejectUnread();
         day.troubles.push_back(std::move(t));
     }
-    top.finish();
+    top.rejectUnread();
     return day;
 }
 
-}  // namespace valekeel::rehearse
+}  // namespace valekeel::simulation
--- a/src/boxes/outcome.cpp
+++ b/src/upstream/request_result.cpp
@@ -1,12 +1,12 @@
-#include "boxes/outcome.hpp"
+#include "upstream/request_result.hpp"
 
 #include <array>
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 namespace {
 
-using E = JoinEnd;
-constexpr std::array<Meaning, static_cast<std::size_t>(WireEnd::Count_)> kTable{{
+using E = JoinResult;
+constexpr std::array<ResultMeaning, static_cast<std::size_t>(RequestResult::Count_)> kTable{{
     {E::Played, false, "played", "the box says that it plays"},
     {E::NoConnection, true, "refused-connect", "the kernel there turned the connect away: nothing was sent"},
     {E::NoConnection, true, "no-connection", "no connection stood, so no byte was sent"},
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-const Meaning& meaningOf(WireEnd end) {
+const ResultMeaning& meaningOf(RequestResult end) {
     return kTable[static_cast<std::size_t>(end)];
 }
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/src/boxes/outcome.hpp
+++ b/src/upstream/request_result.hpp
@@ -4,11 +4,11 @@
 
 #include <string_view>
 
-#include "model/records.hpp"
+#include "model/types.hpp"
 
-namespace valekeel::boxes {
+namespace valekeel::upstream {
 
-enum class WireEnd {
+enum class RequestResult {
     Answered200,       // the playlist came, whole
     ConnectRefused,    // nobody listens
     ConnectFailed,     // no route, or no connection in time
@@ -28,12 +28,12 @@
     Count_
 };
 
-struct Meaning {
-    JoinEnd end;
+struct ResultMeaning {
+    JoinResult end;
     bool neverRan;  // proof
     std::string_view name, why;
 };
 
-const Meaning& meaningOf(WireEnd);
+const ResultMeaning& meaningOf(RequestResult);
 
-}  // namespace valekeel::boxes
+}  // namespace valekeel::upstream
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -14,33 +14,33 @@
 #include <fstream>
 #include <iterator>
 
-#include "loop.hpp"
+#include "fakes/platform.hpp"
+#include "loop_fixture.hpp"
 #include "net/virtual.hpp"
 #include "node/node.hpp"
-#include "node_day.hpp"
-#include "standins/platform.hpp"
+#include "node_fixture.hpp"
 
 namespace valekeel {
 namespace {
 
 using Json = nlohmann::json;
-using standins::PlatformLog;
+using fakes::PlatformChangeLog;
 
 constexpr Micros kAfterBreak = 2 * kSecond, kAfterSilence = 4 * kSecond, kAfterReload = 4 * kSecond;
 
 // A change log that does nothing by itself but beat: the test says what it writes, on which connection.
-class HandLog final : net::ListenerUser {
+class HandLog final : net::ListenerHandler {
   public:
-    struct Link final : net::StreamUser {
+    struct Link final : net::StreamHandler {
         Link(HandLog& log, std::unique_ptr<net::Stream> stream) : log(log), stream(std::move(stream)) {
-            this->stream->handTo(*this);
+            this->stream->setHandler(*this);
         }
-        void readable() override {
+        void onReadable() override {
             std::array<char, 64> buffer;
             while (stream) {
-                const net::Moved got = stream->read(buffer);
-                if (got.then == net::Moved::Then::Again) return;
-                if (got.then != net::Moved::Then::More) return stream.reset();
+                const net::IoResult got = stream->read(buffer);
+                if (got.status == net::IoResult::Status::WouldBlock) return;
+                if (got.status != net::IoResult::Status::Ready) return stream.reset();
                 in.append(buffer.data(), got.bytes);
                 if (asked || in.size() < 8) continue;
                 asked = true;
@@ -50,7 +50,7 @@
                 if (log.onAsk) log.onAsk(*this, from);
             }
         }
-        void writable() override {}
+        void onWritable() override {}
         void say(const std::string& bytes) {
             if (stream) stream->write(bytes);
         }
@@ -64,10 +64,10 @@
         up();
         beat_.after(kSecond);
     }
-    net::Endpoint at() const { return place; }
+    net::Endpoint endpoint() const { return place; }
     void up() {
         listener_ = net_.listen(place, *this);
-        place = listener_->at();
+        place = listener_->endpoint();
     }
     void down() {  // takes no new connection; those that stand stay
         listener_.reset();
@@ -95,14 +95,14 @@
     std::vector<std::unique_ptr<Link>> links;
 
   private:
-    void accepted(std::unique_ptr<net::Stream> stream) override {
+    void onAccepted(std::unique_ptr<net::Stream> stream) override {
         links.push_back(std::make_unique<Link>(*this, std::move(stream)));
     }
     void beat() {
         beat_.after(kSecond);
         if (!beats) return;
         for (const auto& link : links)
-            if (link->asked) link->say(PlatformLog::frame(last, 0, {}));
+            if (link->asked) link->say(PlatformChangeLog::frame(last, 0, {}));
     }
     net::Net& net_;
     net::Endpoint place;
@@ -110,7 +110,7 @@
     net::Timer beat_;
 };
 
-struct Heard final : node::ChangeLogUser {
+struct Heard final : node::ChangeLogHandler {
     void changed(const node::ChangeEvent& event) override {
         numbers.push_back(event.number);
         if (onChanged) onChanged(event);
@@ -124,10 +124,10 @@
 };
 
 net::Endpoint place(int n) {
-    return *net::endpointOf("10.0.1." + std::to_string(n) + ":2379");
+    return *net::parseEndpoint("10.0.1." + std::to_string(n) + ":2379");
 }
 std::string drain(std::uint64_t number) {
-    return PlatformLog::frame(number, 2, {{7, place(9), 1}});
+    return PlatformChangeLog::frame(number, 2, {{7, place(9), 1}});
 }
 
 struct ChangeLogDay : testing::Test {
@@ -172,7 +172,7 @@
         node::ChangeLog one(front, place(2), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, heard);
         one.start();
         run(into);
-        one.moveTo(other.at());
+        one.moveTo(other.endpoint());
         EXPECT_LE(until([&] { return !heard.numbers.empty(); }), kAfterReload) << into;
         run(3 * kSecond);
         EXPECT_EQ(heard.numbers, std::vector<std::uint64_t>{2}) << into;
@@ -188,7 +188,7 @@
     HandLog other(elsewhere, place(3));
     other.tells({{2, drain(2)}});
     run(700'000);  // refused again and again
-    follows.moveTo(other.at());
+    follows.moveTo(other.endpoint());
     EXPECT_LE(until([&] { return has(2); }), 110'000);
 }
 
@@ -200,10 +200,10 @@
     HandLog other(elsewhere, place(3));
     other.down();
     other.tells({{2, drain(2)}});
-    follows.moveTo(other.at());
+    follows.moveTo(other.endpoint());
     run(200'000);
     follows.moveTo(place(2));
-    follows.moveTo(other.at());
+    follows.moveTo(other.endpoint());
     run(2'800'000);
     other.up();
     EXPECT_LE(until([&] { return has(2); }), kSecond);
@@ -238,7 +238,7 @@
         log.newest().say(drain(2));
         if (breakFirst) log.breakAll();
         run(200);  // both have arrived, or arrive in this moment
-        one.moveTo(other.at());
+        one.moveTo(other.endpoint());
         if (!breakFirst) log.breakAll();
         EXPECT_LE(until([&] { return heard.numbers.size() == 2; }), kAfterBreak);
         run(3 * kSecond);
@@ -252,7 +252,7 @@
     HandLog other(elsewhere, place(3));
     other.tells({{4, drain(4)}});
     user.onChanged = [&](const node::ChangeEvent& event) {
-        if (event.number == 2) follows.moveTo(other.at());
+        if (event.number == 2) follows.moveTo(other.endpoint());
     };
     log.onAsk = [](HandLog::Link& link, std::uint64_t) { link.say(drain(2) + drain(3)); };
     follows.start();
@@ -262,7 +262,7 @@
 
 // More lay unread on the connection that is left than is read at once, and nobody answers at the new address.
 TEST_F(ChangeLogDay, WhatLiesUnreadWhenAReloadComesIsTaken) {
-    const std::vector<PlatformLog::Box> boxes(4096, {7, place(9)});
+    const std::vector<PlatformChangeLog::Box> boxes(4096, {7, place(9)});
     node::ChangeLogTimes times;
     times.again = 1;  // the move comes before the rest is read
     Heard heard;
@@ -271,7 +271,7 @@
         if (event.number == 2) one.moveTo(place(3));
     };
     log.onAsk = [&](HandLog::Link& link, std::uint64_t) {
-        link.say(PlatformLog::frame(2, 1, boxes) + PlatformLog::frame(3, 1, boxes) + drain(4));
+        link.say(PlatformChangeLog::frame(2, 1, boxes) + PlatformChangeLog::frame(3, 1, boxes) + drain(4));
     };
     one.start();
     run(kSecond);
@@ -283,10 +283,10 @@
 TEST_F(ChangeLogDay, AReloadToTheSameAddressKeepsTheConnection) {
     follows.start();
     run(1'500'000);
-    follows.moveTo(log.at());
+    follows.moveTo(log.endpoint());
     run(2 * kSecond);
     EXPECT_EQ(log.asked.size(), 1u);
-    follows.moveTo(log.at());
+    follows.moveTo(log.endpoint());
     log.beats = false;  // from here on the old process tells nothing, and closes after 1.5 s
     const Micros from = world.now();
     run(1'500'000);
@@ -302,7 +302,8 @@
     follows.start();
     run(1'500'000);
     log.beats = false;
-    const std::string event = PlatformLog::frame(2, 2, std::vector<PlatformLog::Box>(40, {7, place(9), 1}));
+    const std::string event =
+        PlatformChangeLog::frame(2, 2, std::vector<PlatformChangeLog::Box>(40, {7, place(9), 1}));
     HandLog::Link& first = log.newest();
     log.tells({{2, drain(2)}});
     const Micros from = world.now();
@@ -332,9 +333,9 @@
 
 // A list as long as may be comes through, however slowly, and one that is late with its first word.
 TEST_F(ChangeLogDay, AWholeListThatComesSlowlyIsTaken) {
-    std::vector<PlatformLog::Box> boxes;
+    std::vector<PlatformChangeLog::Box> boxes;
     for (std::uint32_t i = 0; i < 4096; ++i) boxes.push_back({i, place(9)});
-    const std::string all = PlatformLog::frame(2, 1, boxes);
+    const std::string all = PlatformChangeLog::frame(2, 1, boxes);
     log.beats = false;
     follows.start();
     HandLog::Link* to = nullptr;
@@ -413,7 +414,7 @@
         HandLog other(there, place(3));
         (reload ? other : log).onAsk = [&](HandLog::Link&, std::uint64_t) { ++byMilli[world.now() / 5'000]; };
         if (reload) {
-            for (const auto& front : fronts) front->moveTo(other.at());
+            for (const auto& front : fronts) front->moveTo(other.endpoint());
         } else {
             log.breakAll();
         }
@@ -431,7 +432,7 @@
 
 TEST_F(ChangeLogDay, WhatIsToldTwiceIsTakenOnce) {
     log.onAsk = [](HandLog::Link& link, std::uint64_t) {
-        link.say(drain(2) + drain(2) + drain(3) + drain(2) + drain(3) + PlatformLog::frame(2, 1, {}) +
+        link.say(drain(2) + drain(2) + drain(3) + drain(2) + drain(3) + PlatformChangeLog::frame(2, 1, {}) +
                  drain(4));
     };
     follows.start();
@@ -467,8 +468,8 @@
 
 TEST_F(ChangeLogDay, AWholeListStandsForAllThatCameBefore) {
     log.onAsk = [&](HandLog::Link& link, std::uint64_t) {
-        link.say(PlatformLog::frame(30, 1, {{7, place(9)}}) + drain(31) + PlatformLog::frame(30, 1, {}) +
-                 drain(32));
+        link.say(PlatformChangeLog::frame(30, 1, {{7, place(9)}}) + drain(31) +
+                 PlatformChangeLog::frame(30, 1, {}) + drain(32));
     };
     follows.start();
     run(500'000);
@@ -501,10 +502,11 @@
     HandLog log(loop.net, Loop::any());
     log.tells({{2, drain(2)}, {3, drain(3)}});
     Heard user;
-    node::ChangeLog follows(loop.net, log.at(), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, user);
+    node::ChangeLog follows(loop.net, log.endpoint(), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{},
+                            user);
     {  // the same failure with descriptors to spare: a sanitizer needs one where it meets a class first
         Heard heard;
-        node::ChangeLog nobody(loop.net, *net::endpointOf("255.255.255.255:9"), 1,
+        node::ChangeLog nobody(loop.net, *net::parseEndpoint("255.255.255.255:9"), 1,
                                node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, heard);
         nobody.start();
         EXPECT_TRUE(loop.until([&] { return !heard.whys.empty(); }));
@@ -536,18 +538,18 @@
         if (!node) node = &world.node("m" + std::to_string(n), place(n).ip);
         return *node;
     }
-    std::vector<std::unique_ptr<standins::PlatformServer>> servers;
-    std::unique_ptr<PlatformLog> log;
+    std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
+    std::unique_ptr<PlatformChangeLog> log;
     std::string logFile = testing::TempDir() + "changelog_test." + std::to_string(::getpid()) + ".log";
-    record::Log record{logFile, record::Level::Info, 1};
+    logging::Log record{logFile, logging::Level::Info, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<standins::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformConnection> viewers;
     std::map<std::string, std::string> said;
 
     NodeListDay() {
         for (int i = 0; i < 2; ++i)
-            servers.push_back(std::make_unique<standins::PlatformServer>(machine(i), place(i)));
-        log = std::make_unique<PlatformLog>(machine(10), place(10));
+            servers.push_back(std::make_unique<fakes::PlatformServer>(machine(i), place(i)));
+        log = std::make_unique<PlatformChangeLog>(machine(10), place(10));
         log->last = 1;
     }
     ~NodeListDay() override { std::remove(logFile.c_str()); }
@@ -557,8 +559,8 @@
         run(50'000);
     }
     void connect() {
-        viewers = std::make_unique<standins::PlatformLine>(
-            machine(12), front->at(), [this](standins::PlatformLine&, const Json& m) {
+        viewers = std::make_unique<fakes::PlatformConnection>(
+            machine(12), front->endpoint(), [this](fakes::PlatformConnection&, const Json& m) {
                 std::string& all = said[m.value("tag", "")];
                 all += (all.empty() ? "" : " ") +
                        (m["verb"] == "STARTED" ? std::string("+") : std::to_string(m.value("rc", 0)));
@@ -567,9 +569,9 @@
     std::uint64_t wallMs() { return static_cast<std::uint64_t>(machine(11).wallNow() / 1000); }
     Json configuration() {
         std::vector<net::Endpoint> places;
-        for (const auto& server : servers) places.push_back(server->at());
-        return nodeday::configurationOf(
-            places, place(11), log->at(),
+        for (const auto& server : servers) places.push_back(server->endpoint());
+        return nodetest::configurationOf(
+            places, place(11), log->endpoint(),
             Json::parse(R"({"balancers":2,"host_types":["k"],"zones":["z"],"zone":"z",
       "weights":"nominal","allowed":{"attempts_cap":3,"max_retry_after":0.5,"retry_after":true,
         "max_streams":32,"connect_timeout":0.25,"conn_idle":30},
@@ -583,7 +585,7 @@
     }
     void ask(int n) {
         viewers->say({{"verb", "START"},
-                      {"tag", nodeday::idOf(n)},
+                      {"tag", nodetest::idOf(n)},
                       {"opts",
                        {{"class", "talk"},
                         {"left", "3000"},
@@ -596,11 +598,11 @@
         if (viewers->ended()) connect();  // closed for idleness
         for (int n = from; n < from + count; ++n) ask(n);
         run(kSecond);
-        for (int n = from; n < from + count; ++n) EXPECT_EQ(said[nodeday::idOf(n)], "+") << n;
+        for (int n = from; n < from + count; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
     }
     int standing(int n) const {
         for (std::size_t i = 0; i < servers.size(); ++i)
-            if (servers[i]->standing.count(nodeday::idOf(n))) return static_cast<int>(i);
+            if (servers[i]->standing.count(nodetest::idOf(n))) return static_cast<int>(i);
         return -1;
     }
     void run(Micros time) { world.runUntil(world.now() + time); }
@@ -615,10 +617,10 @@
     come();
     play(1, 12);
     ASSERT_FALSE(servers[0]->standing.empty());
-    log->add({{1, servers[1]->at(), 0, 1}}, true);
+    log->add({{1, servers[1]->endpoint(), 0, 1}}, true);
     run(500'000);
     const std::size_t before = servers[0]->setups.size();
-    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodeday::idOf(n)], standing(n) == 1 ? "+" : "+ 41") << n;
+    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], standing(n) == 1 ? "+" : "+ 41") << n;
     play(20, 10);
     EXPECT_EQ(servers[0]->setups.size(), before);
 }
@@ -627,9 +629,9 @@
 TEST_F(NodeListDay, AWholeListInMidCourseTellsOfNewStarts) {
     come();
     play(1, 12);
-    log->add({{0, servers[0]->at(), 0, 0}, {1, servers[1]->at(), 0, 1, wallMs()}}, true);
+    log->add({{0, servers[0]->endpoint(), 0, 0}, {1, servers[1]->endpoint(), 0, 1, wallMs()}}, true);
     run(500'000);
-    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodeday::idOf(n)], standing(n) == 0 ? "+" : "+ 41") << n;
+    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], standing(n) == 0 ? "+" : "+ 41") << n;
 }
 
 // The start of a media server is told in Unix time. Told again it is no new start, though the wall clock was
@@ -637,29 +639,29 @@
 TEST_F(NodeListDay, TheSameStartToldAgainIsNoNewOne) {
     come();
     const std::uint64_t started = wallMs();
-    log->add({{1, servers[1]->at(), 0, 1, started}});
+    log->add({{1, servers[1]->endpoint(), 0, 1, started}});
     run(12 * kSecond);  // warm
     play(1, 12);
     ASSERT_FALSE(servers[1]->standing.empty());
     machine(11).wallSkew -= 20 * kSecond;
-    log->add({{0, servers[0]->at(), 0, 0}, {1, servers[1]->at(), 0, 1, started}}, true);
-    log->add({{1, servers[1]->at(), 0, 1, started}});
+    log->add({{0, servers[0]->endpoint(), 0, 0}, {1, servers[1]->endpoint(), 0, 1, started}}, true);
+    log->add({{1, servers[1]->endpoint(), 0, 1, started}});
     run(kSecond);
-    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodeday::idOf(n)], "+") << n;
+    for (int n = 1; n <= 12; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
 }
 
 // A whole list with a number that is over says nothing new, whatever it holds.
 TEST_F(NodeListDay, AnOldWholeListTakesNothingBack) {
     come();
     play(1, 6);
-    log->add({{0, servers[0]->at(), 1, 0}});
+    log->add({{0, servers[0]->endpoint(), 1, 0}});
     run(200'000);
     const std::size_t before = servers[0]->setups.size();
     for (const std::uint64_t number : {0u, 1u, 2u})
-        log->bytes(PlatformLog::frame(number, 1, {{0, servers[0]->at(), 0, 0}}));
+        log->bytes(PlatformChangeLog::frame(number, 1, {{0, servers[0]->endpoint(), 0, 0}}));
     play(20, 10);
     EXPECT_EQ(servers[0]->setups.size(), before);
-    for (int n = 1; n <= 6; ++n) EXPECT_EQ(said[nodeday::idOf(n)], "+") << n;
+    for (int n = 1; n <= 6; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
 }
 
 // The front comes up while the change log is away, with an old list: it serves at once, and knows of the
@@ -669,15 +671,15 @@
     log.reset();
     front = std::make_unique<node::Node>(machine(11), "config.json", configured.dump(), record);
     connect();
-    viewers->say({{"verb", "ECHO"}, {"tag", nodeday::idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
+    viewers->say({{"verb", "ECHO"}, {"tag", nodetest::idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
     run(50'000);
-    EXPECT_EQ(said[nodeday::idOf(99)], "1");  // passed: ready, though nobody has told it anything
+    EXPECT_EQ(said[nodetest::idOf(99)], "1");  // passed: ready, though nobody has told it anything
     play(1, 4);
     EXPECT_NE(logged().find("change log lost"), std::string::npos);
     run(7 * kSecond);
-    log = std::make_unique<PlatformLog>(machine(10), place(10));
+    log = std::make_unique<PlatformChangeLog>(machine(10), place(10));
     log->last = 1;
-    log->add({{0, servers[0]->at(), 1, 0}});
+    log->add({{0, servers[0]->endpoint(), 1, 0}});
     run(kAfterBreak / 2);
     const std::size_t before = servers[0]->setups.size();
     play(20, 10);
@@ -708,7 +710,7 @@
         EXPECT_NE(logged().find(why), std::string::npos) << why;
     }
     EXPECT_EQ(log->asked.size(), 1u);
-    log->add({{0, servers[0]->at(), 1, 0}});
+    log->add({{0, servers[0]->endpoint(), 1, 0}});
     run(200'000);
     play(1, 10);
     EXPECT_TRUE(servers[0]->setups.empty());
@@ -717,19 +719,19 @@
 // Reloads while a drain is told, and after SIGTERM: requests still come then, and none may go to who drains.
 TEST_F(NodeListDay, ADrainToldWhereAReloadLeadsCountsAlsoDuringThePlannedEnd) {
     come();
-    PlatformLog other(machine(13), place(13));
+    PlatformChangeLog other(machine(13), place(13));
     other.last = 1;
     bool over = false;
     front->stop([&] { over = true; });
     Json all = configuration();
-    all["changelog"] = net::text(other.at());
+    all["changelog"] = net::toString(other.endpoint());
     front->reread(all.dump());
-    other.add({{0, servers[0]->at(), 1, 0}});
+    other.add({{0, servers[0]->endpoint(), 1, 0}});
     run(300'000);
     for (int n = 1; n <= 10; ++n) ask(n);
     run(kSecond);
     EXPECT_FALSE(over);
-    for (int n = 1; n <= 10; ++n) EXPECT_EQ(said[nodeday::idOf(n)], "+") << n;
+    for (int n = 1; n <= 10; ++n) EXPECT_EQ(said[nodetest::idOf(n)], "+") << n;
     EXPECT_TRUE(servers[0]->setups.empty());
     run(4 * kSecond);
     EXPECT_TRUE(over);
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -4,19 +4,19 @@
 #include <gtest/gtest.h>
 
 #include "core/core.hpp"
+#include "fakes/platform.hpp"
 #include "net/virtual.hpp"
 #include "node/message.hpp"
 #include "node/node.hpp"
 #include "node/servers.hpp"
-#include "node_day.hpp"
+#include "node_fixture.hpp"
 #include "setup/setup.hpp"
-#include "standins/platform.hpp"
 
 namespace valekeel {
 namespace {
 
 using Json = nlohmann::json;
-using standins::Does;
+using fakes::SetupReaction;
 
 // One class, one attempt, no budget, no wait to name; all times are short.
 Json pierNotices() {
@@ -60,26 +60,26 @@
     return all;
 }
 
-using nodeday::idOf;
+using nodetest::idOf;
 
-struct Day : nodeday::Virtual {
+struct Day : nodetest::Virtual {
     Json settings;
-    std::vector<std::unique_ptr<standins::PlatformServer>> servers;
-    std::unique_ptr<standins::PlatformLog> log;
-    record::Log record{"", record::Level::Error, 1};
+    std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
+    std::unique_ptr<fakes::PlatformChangeLog> log;
+    logging::Log record{"", logging::Level::Error, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<standins::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformConnection> viewers;
     std::map<std::string, std::vector<std::pair<Micros, Json>>> heard;
 
     explicit Day(Json told, int count = 4, int listed = -1) : settings(std::move(told)) {
         for (int i = 0; i < count; ++i)
-            servers.push_back(std::make_unique<standins::PlatformServer>(machine(i), place(i)));
-        log = std::make_unique<standins::PlatformLog>(machine(10), place(10));
+            servers.push_back(std::make_unique<fakes::PlatformServer>(machine(i), place(i)));
+        log = std::make_unique<fakes::PlatformChangeLog>(machine(10), place(10));
         log->last = 1;
         front = std::make_unique<node::Node>(machine(11), "config.json",
                                              configuration(listed < 0 ? count : listed), record);
-        viewers = std::make_unique<standins::PlatformLine>(
-            machine(12), front->at(), [this](standins::PlatformLine&, const Json& m) {
+        viewers = std::make_unique<fakes::PlatformConnection>(
+            machine(12), front->endpoint(), [this](fakes::PlatformConnection&, const Json& m) {
                 heard[m.value("tag", "")].emplace_back(world.now(), m);
             });
         run(50'000);
@@ -87,7 +87,7 @@
     std::string configuration(int count) const {
         std::vector<net::Endpoint> places;
         for (int i = 0; i < count; ++i) places.push_back(place(i));
-        return nodeday::configurationOf(places, place(11), log->at(), settings).dump();
+        return nodetest::configurationOf(places, place(11), log->endpoint(), settings).dump();
     }
     void ask(int n, std::size_t room = 0, int left = 0) {
         const Json& told = settings["request_classes"][room];
@@ -116,22 +116,22 @@
 
 TEST(Deployments, SettingsAreReadAsTheyAre) {
     const Json pier = pierNotices(), halls = sevenHalls();
-    EXPECT_FALSE(setup::budgetOf(pier, "pier"));
-    EXPECT_EQ(setup::allowedOf(pier, "pier").joinsEach, 1);
-    EXPECT_FALSE(setup::allowedOf(pier, "pier").comeBack);
-    EXPECT_EQ(setup::coldOf(pier, "pier").tipAfter, 700'000);
-    EXPECT_FALSE(setup::fleetOf(pier, setup::namesOf(pier, "pier"), "pier").sizesTold);
-    EXPECT_EQ(setup::pricesOf(pier, "pier").crossZone, 0);
-    const auto budget = setup::budgetOf(halls, "halls");
+    EXPECT_FALSE(setup::parseJoinBudget(pier, "pier"));
+    EXPECT_EQ(setup::parseSubscriptionLimits(pier, "pier").maxJoins, 1);
+    EXPECT_FALSE(setup::parseSubscriptionLimits(pier, "pier").retryAfter);
+    EXPECT_EQ(setup::parseColdStartLimits(pier, "pier").tipAfter, 700'000);
+    EXPECT_FALSE(setup::parseFleet(pier, setup::parseNames(pier, "pier"), "pier").hasSizes);
+    EXPECT_EQ(setup::parseServingCosts(pier, "pier").crossZone, 0);
+    const auto budget = setup::parseJoinBudget(halls, "halls");
     ASSERT_TRUE(budget);
     EXPECT_EQ(budget->free, 2);
     EXPECT_EQ(budget->window, 4 * kSecond);
-    const auto rooms = setup::roomTypesOf(halls, setup::ladderOf(halls, "halls"), "halls");
+    const auto rooms = setup::parseRoomTypes(halls, setup::parseLadder(halls, "halls"), "halls");
     ASSERT_EQ(rooms.size(), 7u);
     EXPECT_EQ(rooms[3].seats, 3);
     EXPECT_TRUE(rooms[3].paid);
     EXPECT_EQ(rooms[5].top, 2);
-    const Fleet fleet = setup::fleetOf(halls, setup::namesOf(halls, "halls"), "halls");
+    const Fleet fleet = setup::parseFleet(halls, setup::parseNames(halls, "halls"), "halls");
     EXPECT_EQ(fleet.zone, ZoneId{2});
     EXPECT_EQ(fleet.places, (std::vector<int>{40, 90}));
 }
@@ -144,14 +144,14 @@
         m.opts["load"] = told;
         return node::loadOf(m);
     };
-    const Load last = load("throughput:9;errors_per_s:0;outstanding:12;utilization:0.4");
+    const LoadReport last = load("throughput:9;errors_per_s:0;outstanding:12;utilization:0.4");
     EXPECT_EQ(last.linkUse, 0.4);
     EXPECT_FALSE(last.uplinkUse);
     for (const char* both : {"x0:1.3;utilization:1;x1:0.2", "utilization:1;x1:0.2;x0:1.3"}) {
         EXPECT_EQ(load(both).linkUse, 1.3) << both;
         EXPECT_EQ(load(both).uplinkUse, 0.2) << both;
     }
-    const Load none = load("backlog:3;recent_ms:70");
+    const LoadReport none = load("backlog:3;recent_ms:70");
     EXPECT_FALSE(none.linkUse);
     EXPECT_FALSE(none.uplinkUse);
 }
@@ -171,7 +171,7 @@
 // One attempt is one, also where the first was refused and proven not to have run.
 TEST(Deployments, OneAttemptIsOne) {
     Day day(pierNotices());
-    for (const auto& s : day.servers) s->does = [](const std::string&) { return Does::Full; };
+    for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Full; };
     day.ask(1);
     day.run(kSecond);
     std::size_t sent = 0;
@@ -184,13 +184,14 @@
 // Each connection carries no more set-ups at once than the settings allow.
 TEST(Deployments, ConnectionsCarryNoMoreThanTheSettingsAllow) {
     Day day(pierNotices(), 0, 1);
-    struct Holds final : net::ListenerUser {
-        std::vector<std::unique_ptr<standins::PlatformLine>> lines;
-        std::map<standins::PlatformLine*, int> out;
-        void accepted(std::unique_ptr<net::Stream> stream) override {
-            lines.push_back(std::make_unique<standins::PlatformLine>(
-                std::move(stream),
-                [this](standins::PlatformLine& line, const Json& m) { out[&line] += m["verb"] == "START"; }));
+    struct Holds final : net::ListenerHandler {
+        std::vector<std::unique_ptr<fakes::PlatformConnection>> lines;
+        std::map<fakes::PlatformConnection*, int> out;
+        void onAccepted(std::unique_ptr<net::Stream> stream) override {
+            lines.push_back(std::make_unique<fakes::PlatformConnection>(
+                std::move(stream), [this](fakes::PlatformConnection& line, const Json& m) {
+                    out[&line] += m["verb"] == "START";
+                }));
         }
     } holds;
     const auto listener = day.machine(0).listen(Day::place(0), holds);
@@ -223,7 +224,7 @@
         day.servers[0]->note(idOf(1), "link_use", 0.2);
         day.run(20'000);
         const Micros ended = day.world.now();
-        day.nodes[0]->standStill();
+        day.nodes[0]->pause();
         day.run(12 * kSecond);
         EXPECT_EQ(day.said(1), "+ 41");
         EXPECT_LE(day.lastSaidAt(1) - ended, 8 * kSecond) << told["allowed"]["connect_timeout"];
@@ -258,7 +259,7 @@
         double longest = 0;
         for (const Json& room : told["request_classes"])
             longest = std::max(longest, room["deadline"].get<double>());
-        for (const auto& s : day.servers) s->does = [](const std::string&) { return Does::Nothing; };
+        for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Nothing; };
         const std::size_t rooms = told["request_classes"].size();
         for (std::size_t i = 0; i < rooms; ++i) day.ask(static_cast<int>(i) + 1, i);
         day.run(100'000);
--- a/tests/learnt_test.cpp
+++ b/tests/evidence_test.cpp
@@ -1,18 +1,17 @@
 // What a front keeps of the boxes between its lives.
-#include "learnt/learnt.hpp"
-
 #include <gtest/gtest.h>
 
+#include "evidence/evidence_file.hpp"
 #include "settings/kdl.hpp"
 
-namespace valekeel::learnt {
+namespace valekeel::evidence {
 namespace {
 
-TEST(Learnt, ComesBackAsItWasKept) {
-    Kept kept{77, {}};
-    kept.boxes.push_back({Learnt{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
-    kept.boxes.push_back({Learnt{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
-    const Kept back = parseKept("f", writeKept(kept), 10);
+TEST(ServerEvidence, ComesBackAsItWasKept) {
+    EvidenceFile kept{77, {}};
+    kept.boxes.push_back({ServerEvidence{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
+    kept.boxes.push_back({ServerEvidence{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
+    const EvidenceFile back = parseEvidenceFile("f", formatEvidenceFile(kept), 10);
     EXPECT_EQ(back.savedAt, 77);
     ASSERT_EQ(back.boxes.size(), 2u);
     EXPECT_EQ(back.boxes[0].what.id, SfuId{3});
@@ -24,15 +23,15 @@
     EXPECT_FALSE(back.boxes[1].what.linkUse);
 }
 
-TEST(Learnt, WhatIsNotWholeOrOddIsRefused) {
+TEST(ServerEvidence, WhatIsNotWholeOrOddIsRefused) {
     for (const char* bad :
          {"", "learnt 2 saved-us=1", "learnt 1", "learnt 1 saved-us=1\nbox", "box 3",
           "learnt 1 saved-us=1\nbox 3 link-use=-1", "learnt 1 saved-us=1\nbox 3 link-use=#nan",
           "learnt 1 saved-us=1\nbox 3 evidence=1e9", "learnt 1 saved-us=1\nbox 3\nbox 3",
           "learnt 1 saved-us=1\nbox 3 evid"})
-        EXPECT_THROW(parseKept("f", bad, 10), settings::Wrong) << bad;
-    EXPECT_THROW(parseKept("f", "learnt 1 saved-us=1\nbox 1\nbox 2", 1), settings::Wrong);
+        EXPECT_THROW(parseEvidenceFile("f", bad, 10), settings::SettingsError) << bad;
+    EXPECT_THROW(parseEvidenceFile("f", "learnt 1 saved-us=1\nbox 1\nbox 2", 1), settings::SettingsError);
 }
 
 }  // namespace
-}  // namespace valekeel::learnt
+}  // namespace valekeel::evidence
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -13,11 +13,11 @@
 
 #include "audit/audit.hpp"
 #include "experiment/experiment.hpp"
-#include "loop.hpp"
-#include "rehearse/drill.hpp"
-#include "standins/caller.hpp"
-#include "standins/list.hpp"
-#include "standins/player.hpp"
+#include "fakes/caller.hpp"
+#include "fakes/list_server.hpp"
+#include "fakes/player.hpp"
+#include "loop_fixture.hpp"
+#include "simulation/drill.hpp"
 
 namespace valekeel {
 namespace {
@@ -40,12 +40,12 @@
 )";
 
 struct Rig : Loop {
-    standins::Ledger ledger;
-    standins::BoxMake make;
-    std::unique_ptr<standins::BoxFleet> fleet;
-    standins::ListServer list{net, any(), ledger};
+    fakes::Ledger ledger;
+    fakes::BoxConfig make;
+    std::unique_ptr<fakes::BoxFleet> fleet;
+    fakes::ListServer list{net, any(), ledger};
     std::unique_ptr<front::Front> front;
-    std::vector<std::unique_ptr<standins::Player>> players;
+    std::vector<std::unique_ptr<fakes::Player>> players;
     fs::path folder =
         fs::path(testing::TempDir()) /
         ("valekeel-front-" + std::string(testing::UnitTest::GetInstance()->current_test_info()->name()));
@@ -55,7 +55,7 @@
     std::function<std::string(int)> zoneOf{};
     Micros launchedWall = 0;
 
-    explicit Rig(int boxes = 3, const std::function<void(standins::BoxMake&)>& shape = {}) {
+    explicit Rig(int boxes = 3, const std::function<void(fakes::BoxConfig&)>& shape = {}) {
         fs::remove_all(folder);
         fs::create_directories(folder);
         make.rungKb = {10, 30, 60};
@@ -67,7 +67,7 @@
         make.firstShare = 0.5;
         make.fallMultiple = 2.5;
         if (shape) shape(make);
-        fleet = std::make_unique<standins::BoxFleet>(net, make, 1, 0, 3, ledger);
+        fleet = std::make_unique<fakes::BoxFleet>(net, make, 1, 0, 3, ledger);
         for (int id = 0; id < boxes; ++id) {
             fleet->add(id, id, 1'000, 50, any());
             tell(id, "on");
@@ -75,30 +75,29 @@
         startFront();
     }
     void tell(int id, const std::string& standing) {
-        standins::ListedBox b;
+        fakes::ListedBox b;
         b.id = id;
         b.cell = fleet->box(id).cell();
-        b.at = net::text(fleet->box(id).at());
+        b.at = net::toString(fleet->box(id).endpoint());
         b.kind = "k";
         b.standing = standing;
         if (zoneOf) b.zone = zoneOf(id);
         b.launchedWall = launchedWall;
         list.put({b});
     }
-    void startFront(const std::string& more = "", const front::OtherDecide& other = {},
+    void startFront(const std::string& more = "", const front::ModuleOverride& other = {},
                     const std::string& ofFront = "") {
-        const std::string text = "front \"a\"" + ofFront + "\nlist stream=\"" + net::text(list.at()) +
-                                 "\" path=\"/boxes?front=a\" keep=\"" + (folder / "kept.kdl").string() +
-                                 "\" silent-for=\"2s\"\nlog file=\"" + (folder / "front.log").string() +
-                                 "\"\n" + site + more;
+        const std::string text = "front \"a\"" + ofFront + "\nlist stream=\"" +
+                                 net::toString(list.endpoint()) + "\" path=\"/boxes?front=a\" keep=\"" +
+                                 (folder / "kept.kdl").string() + "\" silent-for=\"2s\"\nlog file=\"" +
+                                 (folder / "front.log").string() + "\"\n" + site + more;
         front = std::make_unique<front::Front>(net, settings::Document::fromText("site.kdl", text), 5,
                                                epoch++, other);
         run(100'000);
     }
-    standins::Player& play(const std::string& room, Micros watch, int returns = 0,
-                           standins::HintStyle hints = standins::HintStyle::Headers,
-                           const std::string& title = "t") {
-        standins::PlayerPlan plan;
+    fakes::Player& play(const std::string& room, Micros watch, int returns = 0,
+                        fakes::HintStyle hints = fakes::HintStyle::Headers, const std::string& title = "t") {
+        fakes::PlayerPlan plan;
         plan.title = title;
         plan.room = {room, 1'500'000, 700'000, room == "paid", 1};
         plan.watch = watch;
@@ -106,13 +105,13 @@
         plan.returns = returns;
         ++active;
         const int number = static_cast<int>(players.size());
-        players.push_back(std::make_unique<standins::Player>(
+        players.push_back(std::make_unique<fakes::Player>(
             net, number, plan,
             [this] {
-                return standins::Player::FrontAt{"a", front->http()};
+                return fakes::Player::FrontAt{"a", front->http()};
             },
             1000 + static_cast<std::uint64_t>(number), std::vector<double>{}, ledger,
-            [this](standins::Player&) { --active; }));
+            [this](fakes::Player&) { --active; }));
         players.back()->start();
         return *players.back();
     }
@@ -122,14 +121,14 @@
             [&](const auto& l) { return l.what == what && (status < 0 || l.status == status); }));
     }
     void expectRules() {
-        for (const audit::Breach& b : breaches()) ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
+        for (const audit::RuleViolation& b : breaches()) ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
     }
     std::set<int> broken() {
         std::set<int> out;
-        for (const audit::Breach& b : breaches()) out.insert(b.rule);
+        for (const audit::RuleViolation& b : breaches()) out.insert(b.rule);
         return out;
     }
-    std::vector<audit::Breach> breaches() {
+    std::vector<audit::RuleViolation> breaches() {
         audit::Terms t;
         t.rooms["open"] = {1'500'000, false, 0, 0};
         t.rooms["paid"] = {1'500'000, true, 0, 3};
@@ -155,7 +154,7 @@
     EXPECT_EQ(rig.count("charged"), 1);
     ASSERT_TRUE(rig.until([&] { return rig.count("release") == 1; }))
         << "its place is given back once it is silent";
-    EXPECT_EQ(rig.front->face().viewers(), 0u);
+    EXPECT_EQ(rig.front->httpFrontend().viewers(), 0u);
     rig.expectRules();
 }
 
@@ -181,7 +180,7 @@
 }
 
 TEST(Front, BadHintsNeverCostAViewerTheSubscription) {
-    using standins::HintStyle;
+    using fakes::HintStyle;
     Rig rig;
     for (const auto style : {HintStyle::Query, HintStyle::None, HintStyle::Broken, HintStyle::Doubled,
                              HintStyle::Oversized, HintStyle::Contradicting, HintStyle::Json})
@@ -189,22 +188,22 @@
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_EQ(rig.count("answer", 200), 7);
     EXPECT_EQ(rig.count("segment-lost"), 0);
-    const auto& dropped = rig.front->face().hintsDropped();
-    for (const auto why : {hints::Dropped::Malformed, hints::Dropped::Twice, hints::Dropped::TooLong,
-                           hints::Dropped::Contradicts, hints::Dropped::OutOfRange})
+    const auto& dropped = rig.front->httpFrontend().hintsDropped();
+    for (const auto why : {hints::DropReason::Malformed, hints::DropReason::Twice, hints::DropReason::TooLong,
+                           hints::DropReason::Contradicts, hints::DropReason::OutOfRange})
         EXPECT_GT(dropped[static_cast<std::size_t>(why)], 0u) << hints::nameOf(why);
     rig.expectRules();
 }
 
 TEST(Front, OddTitlesPassUnharmed) {
     Rig rig;
-    rig.play("open", 300'000, 0, standins::HintStyle::Headers, "odd ü \"name\"");
+    rig.play("open", 300'000, 0, fakes::HintStyle::Headers, "odd ü \"name\"");
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_EQ(rig.count("answer", 200), 1);
 }
 
 TEST(Front, AByteRangePlaylistIsRelayedRangeByRange) {
-    Rig rig(3, [](standins::BoxMake& m) { m.byteRanges = true; });
+    Rig rig(3, [](fakes::BoxConfig& m) { m.byteRanges = true; });
     rig.play("open", kSecond);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_GE(rig.count("segment"), 6);
@@ -288,7 +287,7 @@
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_EQ(rig.count("answer", 200), 3);
     EXPECT_EQ(rig.count("answer", 503), 5);
-    ASSERT_TRUE(rig.until([&] { return rig.front->face().viewers() == 0; }));
+    ASSERT_TRUE(rig.until([&] { return rig.front->httpFrontend().viewers() == 0; }));
     rig.play("paid", 300'000);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
     EXPECT_EQ(rig.count("answer", 200), 4);
@@ -482,7 +481,7 @@
     bool stopped = false;
     rig.front->stop(200'000, [&] { stopped = true; });
     ASSERT_TRUE(rig.until([&] { return stopped; }));
-    EXPECT_EQ(rig.front->core().unanswered(), 0u);
+    EXPECT_EQ(rig.front->core().unansweredCount(), 0u);
     rig.front.reset();
     rig.site = reshaped({{"stall-loss=7 {", "stall-loss=7 join=0.3 {"},
                          {"benefit=1\n", "benefit=1 live=#true\n"},
@@ -492,7 +491,7 @@
     for (int i = 0; i < 6; ++i) rig.play("open", 300'000, 2);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }, 12 * kSecond));
     EXPECT_EQ(rig.count("no-answer"), 0);
-    EXPECT_EQ(rig.front->core().unanswered(), 0u);
+    EXPECT_EQ(rig.front->core().unansweredCount(), 0u);
     EXPECT_GE(rig.front->core().counts().played, 6u);
     rig.expectRules();
 }
@@ -509,14 +508,14 @@
 
 TEST(Front, ASidOnASecondConnectionIsTheSameSubscription) {
     Rig rig;
-    struct Ask : http::FetchUser {
+    struct Ask : http::FetchHandler {
         http::ResponseHead head;
         std::string body;
         bool done = false;
-        void answered(const http::ResponseHead& h) override { head = h; }
-        void piece(std::string_view b) override { body += b; }
-        void fetched(bool) override { done = true; }
-        void failed(http::Failed) override { done = true; }
+        void onHead(const http::ResponseHead& h) override { head = h; }
+        void onBody(std::string_view b) override { body += b; }
+        void onFetched(bool) override { done = true; }
+        void onFailed(http::FetchError) override { done = true; }
     } one, two, three;
     http::Fields fields;
     fields.add("CMCD-Session", "sid=\"same\"");
@@ -555,7 +554,7 @@
 // ---- callers ----
 
 struct CallRig : Rig {
-    std::vector<std::unique_ptr<standins::Caller>> callers;
+    std::vector<std::unique_ptr<fakes::Caller>> callers;
     explicit CallRig(const std::string& sip = "", int boxes = 3) : Rig(boxes) {
         front.reset();
         startFront(
@@ -563,22 +562,24 @@
             "hold-within=\"500ms\" " +
             sip + "\n");
     }
-    standins::Caller& call(const std::string& room, const standins::CallPlan& how = {},
-                           const standins::Weather& weather = {}) {
-        standins::CallPlan plan = how;
+    fakes::Caller& call(const std::string& room, const fakes::CallPlan& how = {},
+                        const fakes::NetworkConditions& weather = {}) {
+        fakes::CallPlan plan = how;
         plan.title = plan.title.empty() ? "t" : plan.title;
         plan.room = room;
         plan.timeout = 1'500'000;
         ++active;
         const int number = 1'000 + static_cast<int>(callers.size());
-        callers.push_back(std::make_unique<standins::Caller>(net, number, front->sip()->at(), "a", plan,
-                                                             weather, static_cast<std::uint64_t>(number),
-                                                             ledger, [this] { --active; }));
+        callers.push_back(std::make_unique<fakes::Caller>(net, number, front->sipFrontend()->endpoint(), "a",
+                                                          plan, weather, static_cast<std::uint64_t>(number),
+                                                          ledger, [this] { --active; }));
         callers.back()->start();
         return *callers.back();
     }
     bool quiet(Micros atMost = 10 * kSecond) {
-        return until([&] { return front->sip()->calls() == 0 && front->core().held() == 0; }, atMost);
+        return until(
+            [&] { return front->sipFrontend()->calls() == 0 && front->core().subscriptionCount() == 0; },
+            atMost);
     }
 };
 
@@ -605,7 +606,7 @@
 
 TEST(Sip, WhatIsWrongWithACallIsSaid) {
     CallRig rig;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.title = "none";
     EXPECT_EQ(
         (rig.call("open", plan), rig.until([&] { return rig.active == 0; }), rig.callers.back()->lastFinal()),
@@ -628,7 +629,7 @@
 TEST(Sip, ACancelBeforeTheAnswerEndsItAndOneBehindItDoesNothing) {
     CallRig rig;
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.answersLate = 400'000;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.cancelAfter = 100'000;
     auto& early = rig.call("open", plan);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
@@ -647,7 +648,7 @@
 TEST(Sip, ACallThatIsCancelledWhileItIsSetUpLeavesNoPlaceAtItsBox) {
     CallRig rig;
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.setUpFactor = 15;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.cancelAfter = 150'000;
     rig.call("open", plan);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
@@ -661,7 +662,7 @@
 TEST(Sip, APaidCallThatIsCancelledWhileItIsSetUpIsAccountedForOnce) {
     CallRig rig;
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.setUpFactor = 15;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.cancelAfter = 150'000;
     rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
@@ -673,47 +674,47 @@
 
 TEST(Sip, AnAckThatNeverComesEndsTheCall) {
     CallRig rig("t1=\"20ms\" t2=\"100ms\"");
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.acks = false;
     plan.refreshes = false;
     auto& caller = rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return caller.byed(); }));
     ASSERT_TRUE(rig.quiet());
-    EXPECT_EQ(rig.front->sip()->counts().unacknowledged, 1u);
+    EXPECT_EQ(rig.front->sipFrontend()->counts().unacknowledged, 1u);
     EXPECT_EQ(rig.count("charged"), 1);
     rig.expectRules();
 }
 
 TEST(Sip, ACallerThatVanishedGivesItsPlaceBackByTheSessionTimer) {
     CallRig rig;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.sessionExpires = 2 * kSecond;
     plan.refreshes = false;
     plan.says = false;
     plan.talk = 100'000;
     rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
-    EXPECT_EQ(rig.front->sip()->calls(), 1u);
+    EXPECT_EQ(rig.front->sipFrontend()->calls(), 1u);
     ASSERT_TRUE(rig.quiet());
-    EXPECT_EQ(rig.front->sip()->counts().expired, 1u);
-    standins::CallPlan stays = plan;
+    EXPECT_EQ(rig.front->sipFrontend()->counts().expired, 1u);
+    fakes::CallPlan stays = plan;
     stays.refreshes = true;
     stays.says = true;
     stays.talk = 4 * kSecond;
     rig.call("paid", stays);
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }));
-    EXPECT_EQ(rig.front->sip()->counts().expired, 1u) << "one that refreshes stays";
+    EXPECT_EQ(rig.front->sipFrontend()->counts().expired, 1u) << "one that refreshes stays";
 }
 
 // Nothing is known of the INVITE any more; the box that began it is the one who can tell.
 TEST(Sip, APaidInviteSentAgainAfterARestartIsNotSetUpTwice) {
     CallRig rig("", 1);
     rig.fleet->box(0).trouble.setUpFactor = 20;
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.loses100 = true;
     auto& caller = rig.call("paid", plan);
     ASSERT_TRUE(rig.until([&] { return rig.count("charged") == 1; }));
-    const std::string at = net::text(rig.front->sip()->at());
+    const std::string at = net::toString(rig.front->sipFrontend()->endpoint());
     rig.front.reset();
     rig.startFront("sip listen=\"" + at + "\"\n");
     ASSERT_TRUE(rig.until([&] { return rig.active == 0; }, 20 * kSecond));
@@ -724,7 +725,7 @@
 
 TEST(Sip, ADyingBoxHangsItsCallsUp) {
     CallRig rig("", 1);
-    standins::CallPlan plan;
+    fakes::CallPlan plan;
     plan.talk = 20 * kSecond;
     auto& caller = rig.call("open", plan);
     ASSERT_TRUE(rig.until([&] { return caller.lastFinal() == 200; }));
@@ -737,7 +738,7 @@
 TEST(Sip, InBadWeatherEachCallStillHasOneFinalAnswerAndNothingIsLeft) {
     CallRig rig;
     for (int i = 0; i < 60; ++i) {
-        standins::CallPlan plan;
+        fakes::CallPlan plan;
         plan.talk = 300'000;
         plan.sessionExpires = 3 * kSecond;
         if (i % 5 == 0) plan.cancelAfter = 60'000;
@@ -748,12 +749,12 @@
     EXPECT_EQ(rig.count("second-answer"), 0);
     EXPECT_EQ(rig.count("answer"), 60);
     ASSERT_TRUE(rig.quiet(15 * kSecond));
-    EXPECT_GT(rig.front->sip()->absorbed(), 0u);
+    EXPECT_GT(rig.front->sipFrontend()->absorbed(), 0u);
     rig.expectRules();
 }
 
 // A caller of bare text, for what a well-behaved one never does.
-struct RawCaller : net::DatagramUser {
+struct RawCaller : net::DatagramHandler {
     std::unique_ptr<net::Datagrams> socket;
     net::Endpoint front;
     std::vector<std::string> got;
@@ -761,7 +762,7 @@
     RawCaller(net::Net& net, const net::Endpoint& front) : front(front) {
         socket = net.bind(Loop::any(), *this);
     }
-    void received(const net::Endpoint&, std::string_view bytes) override {
+    void onDatagram(const net::Endpoint&, std::string_view bytes) override {
         got.emplace_back(bytes);
         const auto to = bytes.find("\r\nTo: "), tag = bytes.find(";tag=", to);
         if (bytes.compare(0, 11, "SIP/2.0 200") == 0 && tag != std::string_view::npos)
@@ -773,7 +774,7 @@
     }
     std::string text(const std::string& method, int cseq, const std::string& branch, const std::string& body,
                      const std::string& via = "", const std::string& way = "UDP") const {
-        const std::string me = net::text(socket->at());
+        const std::string me = net::toString(socket->endpoint());
         return method + " sip:t@x;room=open SIP/2.0\r\nVia: SIP/2.0/" + way + " " + me + ";branch=z9hG4bK" +
                branch + via + "\r\nMax-Forwards: 70\r\nFrom: <sip:r@" + me + ">;tag=r" +
                (toTag.empty() ? branch : "") + "\r\nTo: <sip:t@x>" + (toTag.empty() ? "" : ";tag=" + toTag) +
@@ -806,7 +807,7 @@
 };
 
 struct RawRig : CallRig {
-    RawCaller raw{net, front->sip()->at()};
+    RawCaller raw{net, front->sipFrontend()->endpoint()};
     using CallRig::CallRig;
     bool plays() {
         raw.say(raw.text("INVITE", 1, "", RawCaller::sdp()));
@@ -820,11 +821,11 @@
 TEST(Sip, AChangeOfRungIsToldByUpdateAndGlareIsSettled) {
     RawRig rig;
     ASSERT_TRUE(rig.plays());
-    core::Face& face = *rig.front->sip();
+    core::SubscriptionHandler& face = *rig.front->sipFrontend();
     const SubId sub{1};
     const std::string* first = rig.raw.heard("SIP/2.0 200");
     const int now = first->find("b=TIAS:80000\r\n") != std::string::npos ? 2 : 0;
-    face.rungSet(sub, now);
+    face.onRungChanged(sub, now);
     ASSERT_TRUE(rig.until([&] { return rig.raw.heard("UPDATE "); }));
     const std::string update = *rig.raw.heard("UPDATE ");
     EXPECT_NE(update.find(now == 2 ? "b=TIAS:480000\r\n" : "b=TIAS:80000\r\n"), std::string::npos);
@@ -851,7 +852,7 @@
 TEST(Sip, ADialogThatTheCallerNoLongerKnowsIsOver) {
     RawRig rig;
     ASSERT_TRUE(rig.plays());
-    static_cast<core::Face&>(*rig.front->sip()).rungSet(SubId{1}, 1);
+    static_cast<core::SubscriptionHandler&>(*rig.front->sipFrontend()).onRungChanged(SubId{1}, 1);
     ASSERT_TRUE(rig.until([&] { return rig.raw.heard("UPDATE "); }));
     rig.raw.answer(*rig.raw.heard("UPDATE "), 481);
     ASSERT_TRUE(rig.quiet());
@@ -866,7 +867,7 @@
         rig.raw.say(rig.raw.text("ACK", 1, "k", body));
         if (body == RawCaller::sdp()) {
             rig.run(300'000);
-            EXPECT_EQ(rig.front->sip()->calls(), 1u);
+            EXPECT_EQ(rig.front->sipFrontend()->calls(), 1u);
             EXPECT_FALSE(rig.raw.heard("BYE "));
         } else {
             ASSERT_TRUE(rig.until([&] { return rig.raw.heard("BYE "); }));
@@ -875,21 +876,21 @@
     }
 }
 
-struct RawStream : net::StreamUser {
+struct RawStream : net::StreamHandler {
     std::unique_ptr<net::Stream> stream;
     std::string in;
     bool up = false, ended = false;
     RawStream(net::Net& net, const net::Endpoint& at) { stream = net.connect(at, *this); }
-    void connected() override { up = true; }
-    void connectFailed(net::NoStream) override { ended = true; }
-    void writable() override {}
-    void readable() override {
+    void onConnected() override { up = true; }
+    void onConnectFailed(net::ConnectError) override { ended = true; }
+    void onWritable() override {}
+    void onReadable() override {
         std::array<char, 4'096> buffer;
         for (;;) {
-            const net::Moved got = stream->read(buffer);
+            const net::IoResult got = stream->read(buffer);
             in.append(buffer.data(), got.bytes);
             if (got.bytes > 0) continue;
-            if (got.then != net::Moved::Then::Again) ended = true;
+            if (got.status != net::IoResult::Status::WouldBlock) ended = true;
             return;
         }
     }
@@ -902,7 +903,7 @@
 
 TEST(Sip, OverAStreamManyMessagesMayComeAtOnceAndOneInMany) {
     RawRig rig;
-    RawStream s(rig.net, rig.front->sip()->at());
+    RawStream s(rig.net, rig.front->sipFrontend()->endpoint());
     ASSERT_TRUE(rig.until([&] { return s.up; }));
     std::string all;
     for (int i = 0; i < 3; ++i)
@@ -912,16 +913,17 @@
     const std::string one = rig.raw.text("OPTIONS", 1, "o", "", "", "TCP");
     for (const char c : one) {
         s.stream->write(std::string(1, c));
-        rig.net.turn(0);
+        rig.net.runOnce(0);
     }
     ASSERT_TRUE(rig.until([&] { return s.times("CSeq: 1 OPTIONS") == 1; }));
     EXPECT_FALSE(s.ended);
-    EXPECT_EQ(rig.front->sip()->calls(), 3u);
+    EXPECT_EQ(rig.front->sipFrontend()->calls(), 3u);
 }
 
 TEST(Sip, AStreamThatLostItsPlaceIsClosedAndItsNeighboursStay) {
     RawRig rig;
-    RawStream bad(rig.net, rig.front->sip()->at()), good(rig.net, rig.front->sip()->at());
+    RawStream bad(rig.net, rig.front->sipFrontend()->endpoint()),
+        good(rig.net, rig.front->sipFrontend()->endpoint());
     ASSERT_TRUE(rig.until([&] { return bad.up && good.up; }));
     std::string broken = rig.raw.text("OPTIONS", 1, "b", "", "", "TCP");
     broken.replace(broken.find("Content-Length: 0"), 17, "Content-Length: -7");
@@ -935,15 +937,15 @@
     RawRig rig;
     rig.front.reset();
     rig.startFront("admission waiting=8\nsip listen=\"127.0.0.1:0\" target-fill=0.1 look-every=\"20ms\"\n");
-    rig.raw.front = rig.front->sip()->at();
+    rig.raw.front = rig.front->sipFrontend()->endpoint();
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.answersLate = 200'000;
     for (int i = 0; i < 300; ++i) {
         rig.raw.say(
             rig.raw.text("INVITE", 1, "f" + std::to_string(i), RawCaller::sdp(), ";oc;oc-algo=\"loss\""));
-        rig.net.turn(2'000);
+        rig.net.runOnce(2'000);
     }
     rig.run(kSecond);
-    EXPECT_GT(rig.front->sip()->counts().shed, 50u);
+    EXPECT_GT(rig.front->sipFrontend()->counts().shed, 50u);
     EXPECT_LT(rig.front->core().counts().asked, 200u);
     const std::string* refused = rig.raw.heard("SIP/2.0 503", "Retry-After: ");
     ASSERT_TRUE(refused);
@@ -965,7 +967,7 @@
 // ---- fronts that are deliberately broken: the audit must catch each ----
 
 // Joins any box that was ever listed, at once, and again and again, whatever the rules say.
-struct Broken : core::Decides {
+struct Broken : core::DecisionModule {
     Host& host;
     std::vector<SfuId> known;
     std::map<SubId, int> joins;
@@ -973,32 +975,35 @@
     int rung;
     std::size_t next = 0;
     Broken(Host& h, int again, int rung) : host(h), again(again), rung(rung) { host.followList(); }
-    void listed(Micros, std::span<const ListedSfu> all, bool) override {
-        for (const ListedSfu& s : all)
+    void onServerList(Micros, std::span<const SfuEntry> all, bool) override {
+        for (const SfuEntry& s : all)
             if (std::find(known.begin(), known.end(), s.id) == known.end()) known.push_back(s.id);
     }
-    void listChanged(Micros now, std::span<const ListedSfu> some) override { listed(now, some, false); }
-    void listFailed(Micros) override {}
-    void subscribe(Micros, SubId id, const Wish&) override { join(id); }
+    void onServerListChange(Micros now, std::span<const SfuEntry> some) override {
+        onServerList(now, some, false);
+    }
+    void onServerListFailure(Micros) override {}
+    void onSubscribe(Micros, SubId id, const SubscriptionRequest&) override { join(id); }
     void join(SubId id) {
         ++joins[id];
         host.setRung(id, rung);
         host.join(id, known[next++ % known.size()], kSecond);
     }
-    void playing(Micros, SubId, int, SfuId, Micros) override {}
-    void joinEnded(Micros, SubId id, int, SfuId, JoinEnd, bool over, Micros, const Load&) override {
+    void onPlaying(Micros, SubId, int, SfuId, Micros) override {}
+    void onJoinEnded(Micros, SubId id, int, SfuId, JoinResult, bool over, Micros,
+                     const LoadReport&) override {
         if (over) return;
         if (joins[id] < again)
             join(id);
         else
             host.throttle(id, 0);
     }
-    void viewerLeft(Micros, SubId) override {}
-    void shareDelivered(Micros, SubId, SfuId, double) override {}
-    void rungInForce(Micros, SubId, int) override {}
-    void linkUse(Micros, SubId, SfuId, double) override {}
-    void uplinkUse(Micros, SubId, SfuId, double) override {}
-    void woken(Micros, const std::string&) override {}
+    void onViewerLeft(Micros, SubId) override {}
+    void onShareDelivered(Micros, SubId, SfuId, double) override {}
+    void onRungInForce(Micros, SubId, int) override {}
+    void onLinkUse(Micros, SubId, SfuId, double) override {}
+    void onUplinkUse(Micros, SubId, SfuId, double) override {}
+    void onWake(Micros, const std::string&) override {}
 };
 
 struct BrokenRig : Rig {
@@ -1006,7 +1011,7 @@
         front.reset();
         startFront(
             "", [=](Host& h, Micros, std::uint64_t, const std::vector<RoomType>&, const Fleet&, const Ladder&,
-                    const Allowed&) { return std::make_unique<Broken>(h, again, rung); });
+                    const SubscriptionLimits&) { return std::make_unique<Broken>(h, again, rung); });
     }
     std::set<int> play(const std::string& room, int many, Micros apart = 0) {
         for (int i = 0; i < many; ++i) {
@@ -1052,22 +1057,22 @@
 TEST(BrokenFront, ThatNeverAnswersIsCaughtByItsOwnGuard) {
     BrokenRig rig(1);
     for (int id = 0; id < 3; ++id) rig.fleet->box(id).trouble.silent = true;
-    rig.front->core().listFailed();
+    rig.front->core().onServerListFailure();
     EXPECT_EQ(rig.play("open", 1), std::set<int>{});
 }
 
 // ---- the day that CI plays ----
 
-rehearse::DrillResult playDay(const std::string& name, standins::Ledger& ledger) {
+simulation::DrillResult playDay(const std::string& name, fakes::Ledger& ledger) {
     const auto document = settings::Document::fromFile(std::string(VALEKEEL_DAYS) + "/" + name);
-    const rehearse::Day day = rehearse::readDay(document);
+    const simulation::Scenario day = simulation::readScenario(document);
     const fs::path folder = fs::path(testing::TempDir()) / ("valekeel-day-" + name);
     fs::remove_all(folder);
     fs::create_directories(folder);
-    rehearse::DrillWays ways;
+    simulation::DrillOptions ways;
     ways.program = VALEKEEL_PROGRAM;
     ways.folder = folder.string();
-    return rehearse::drill(day, ways, ledger);
+    return simulation::drill(day, ways, ledger);
 }
 
 TEST(Experiment, RunsWhatIsNotKeptYetAndReportsAll) {
@@ -1083,7 +1088,7 @@
             "level 1 \"8s\" \"6s\"; level 2 \"8s\" \"6s\"; }\nseeds " +
                 seeds + "\nshow \"service\"\nchart \"asked\" over=\"crowd\"\n"));
     };
-    experiment::Ways ways;
+    experiment::ExperimentOptions ways;
     ways.program = VALEKEEL_PROGRAM;
     ways.folder = folder.string();
     ways.store = (folder / "t.sqlite").string();
@@ -1101,9 +1106,11 @@
                   1);
     const auto measures = experiment::measuresOf(all);
     EXPECT_GT(measures.at("crowd 2").at(1).at("asked"), measures.at("crowd 1").at(1).at("asked"));
-    EXPECT_NE(experiment::compared(measures, "crowd 1", measures, "crowd 2").find("paired over 2 seeds"),
-              std::string::npos);
-    EXPECT_THROW(experiment::compared(measures, "crowd 1", measures, "crowd 3"), std::invalid_argument);
+    EXPECT_NE(
+        experiment::comparisonTable(measures, "crowd 1", measures, "crowd 2").find("paired over 2 seeds"),
+        std::string::npos);
+    EXPECT_THROW(experiment::comparisonTable(measures, "crowd 1", measures, "crowd 3"),
+                 std::invalid_argument);
     experiment::report(planOf("1 2"), ways);
     EXPECT_TRUE(fs::exists(folder / "report" / "report.md"));
     EXPECT_TRUE(fs::exists(folder / "report" / "t-1.svg"));
@@ -1112,14 +1119,15 @@
     // A wrong level is found before anything runs.
     auto wrong = planOf("3");
     wrong.factors[0].levels[1].values[0] = "many";
-    EXPECT_THROW(experiment::carryOut(wrong, ways), settings::Wrong);
+    EXPECT_THROW(experiment::carryOut(wrong, ways), settings::SettingsError);
     EXPECT_EQ(experiment::Store(ways.store).of("t").size(), 4u);
 }
 
 TEST(Day, TheShortBadDayKeepsAllRules) {
-    standins::Ledger ledger;
+    fakes::Ledger ledger;
     const auto result = playDay("short.kdl", ledger);
-    for (const audit::Breach& b : result.breaches) ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
+    for (const audit::RuleViolation& b : result.breaches)
+        ADD_FAILURE() << "rule " << b.rule << ": " << b.what;
     EXPECT_GT(result.played, 40u);
     EXPECT_EQ(result.twice, 0u);
     EXPECT_EQ(result.gaps, 0u);
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -3,7 +3,7 @@
 
 #include "hints/cmcd.hpp"
 #include "hints/cmsd.hpp"
-#include "record/trace.hpp"
+#include "logging/trace_context.hpp"
 
 namespace valekeel {
 namespace {
@@ -66,7 +66,7 @@
     });
 }
 
-std::uint64_t dropped(const CmcdReader& r, Dropped why) {
+std::uint64_t dropped(const CmcdReader& r, DropReason why) {
     return r.dropped()[static_cast<std::size_t>(why)];
 }
 
@@ -112,12 +112,12 @@
     EXPECT_EQ(c.cid, "ok");
     EXPECT_EQ(c.br, 1);
     EXPECT_FALSE(c.sid || c.bl || c.dl || c.mtp || c.su || c.ot || c.tb || c.nor || c.rtp);
-    EXPECT_EQ(dropped(r, Dropped::Twice), 1u);
-    EXPECT_GE(dropped(r, Dropped::WrongType), 2u);
-    EXPECT_GE(dropped(r, Dropped::OutOfRange), 2u);
-    EXPECT_EQ(dropped(r, Dropped::TooLong), 3u);
-    EXPECT_GE(dropped(r, Dropped::UnknownKey), 1u);
-    EXPECT_GE(dropped(r, Dropped::Malformed), 3u);
+    EXPECT_EQ(dropped(r, DropReason::Twice), 1u);
+    EXPECT_GE(dropped(r, DropReason::WrongType), 2u);
+    EXPECT_GE(dropped(r, DropReason::OutOfRange), 2u);
+    EXPECT_EQ(dropped(r, DropReason::TooLong), 3u);
+    EXPECT_GE(dropped(r, DropReason::UnknownKey), 1u);
+    EXPECT_GE(dropped(r, DropReason::Malformed), 3u);
 }
 
 TEST(Cmcd, QuotesHideCommasAndWrongHeadersStillCount) {
@@ -126,7 +126,7 @@
     const Cmcd c = r.done();
     EXPECT_EQ(c.sid, "a,b\"c");
     EXPECT_EQ(c.bl, 5);
-    EXPECT_EQ(dropped(r, Dropped::WrongHeader), 2u);
+    EXPECT_EQ(dropped(r, DropReason::WrongHeader), 2u);
 }
 
 TEST(Cmcd, HintsThatContradictEachOtherGoBoth) {
@@ -135,7 +135,7 @@
     const Cmcd c = r.done();
     EXPECT_FALSE(c.br || c.tb || c.dl);
     EXPECT_EQ(c.sid, "s");
-    EXPECT_EQ(dropped(r, Dropped::Contradicts), 2u);
+    EXPECT_EQ(dropped(r, DropReason::Contradicts), 2u);
     CmcdReader later;
     later.query("v=2,sid=\"s\",bl=5");
     EXPECT_FALSE(later.done().bl) << "a later version may mean another thing by it";
@@ -146,14 +146,14 @@
         CmcdReader r;
         r.json(bad);
         EXPECT_EQ(writeCmcdQuery(r.done()), "") << bad;
-        EXPECT_EQ(dropped(r, Dropped::Malformed), 1u) << bad;
+        EXPECT_EQ(dropped(r, DropReason::Malformed), 1u) << bad;
     }
     CmcdReader r;
     r.json(R"({"sid":"a","sid":"b","bl":[1],"br":1.5,"d":1e300})");
     r.done();
-    EXPECT_EQ(dropped(r, Dropped::Twice), 1u);
-    EXPECT_EQ(dropped(r, Dropped::WrongType), 1u);
-    EXPECT_EQ(dropped(r, Dropped::OutOfRange), 1u);
+    EXPECT_EQ(dropped(r, DropReason::Twice), 1u);
+    EXPECT_EQ(dropped(r, DropReason::WrongType), 1u);
+    EXPECT_EQ(dropped(r, DropReason::OutOfRange), 1u);
 }
 
 TEST(Cmcd, AnyBytesAtAllDoNoHarm) {
@@ -175,16 +175,16 @@
     own.by = "front";
     own.mb = 720;
     own.du = true;
-    EXPECT_EQ(appended("\"box-1\";etp=96;org.valekeel-lu=0.25, \"cdn\";rtt=8", own),
+    EXPECT_EQ(appendEntry("\"box-1\";etp=96;org.valekeel-lu=0.25, \"cdn\";rtt=8", own),
               "\"box-1\";etp=96;org.valekeel-lu=0.25, \"cdn\";rtt=8, \"front\";mb=720;du");
-    EXPECT_EQ(appended("\"broken", own), "\"front\";mb=720;du");
+    EXPECT_EQ(appendEntry("\"broken", own), "\"front\";mb=720;du");
     const auto entries =
         parseCmsdDynamic("\"box-1\";etp=96;rd=-3;du;org.valekeel-lu=0.25, 7, \"x\";mb=\"no\"");
     ASSERT_EQ(entries.size(), 2u);
     EXPECT_EQ(entries[0].etp, 96);
     EXPECT_FALSE(entries[0].rd);
     EXPECT_TRUE(entries[0].du);
-    EXPECT_DOUBLE_EQ(*figure(entries[0], kLinkUseKey), 0.25);
+    EXPECT_DOUBLE_EQ(*customNumber(entries[0], kLinkUseKey), 0.25);
     EXPECT_FALSE(entries[1].mb);
     bool broken = false;
     EXPECT_TRUE(parseCmsdDynamic("\"a\";;", &broken).empty());
@@ -199,15 +199,15 @@
 
 TEST(TraceContext, KeepsGoodIdsAndReplacesBroken) {
     const std::string good = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
-    ASSERT_TRUE(record::parseTraceParent(good));
-    EXPECT_EQ(record::write(*record::parseTraceParent(good)), good);
-    EXPECT_TRUE(record::parseTraceParent("cc" + good.substr(2) + "-later"));
+    ASSERT_TRUE(logging::parseTraceParent(good));
+    EXPECT_EQ(logging::write(*logging::parseTraceParent(good)), good);
+    EXPECT_TRUE(logging::parseTraceParent("cc" + good.substr(2) + "-later"));
     for (const std::string& bad :
          {std::string(), good.substr(1), "ff" + good.substr(2), good + "x", good + "-more",
           std::string("00-00000000000000000000000000000000-00f067aa0ba902b7-01"),
           std::string("00-4BF92F3577B34DA6A3CE929D0E0E4736-00f067aa0ba902b7-01"),
           std::string("00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000000-01")})
-        EXPECT_FALSE(record::parseTraceParent(bad)) << bad;
+        EXPECT_FALSE(logging::parseTraceParent(bad)) << bad;
 }
 
 }  // namespace
--- a/tests/node_day.hpp
+++ b/tests/node_fixture.hpp
@@ -9,15 +9,15 @@
 #include <string>
 #include <vector>
 
-#include "loop.hpp"
+#include "fakes/platform.hpp"
+#include "loop_fixture.hpp"
 #include "net/virtual.hpp"
 #include "node/node.hpp"
-#include "standins/platform.hpp"
 
-namespace valekeel::nodeday {
+namespace valekeel::nodetest {
 
 using Json = nlohmann::json;
-using standins::Does;
+using fakes::SetupReaction;
 
 inline Json settings() {
     return Json::parse(R"({"balancers":2,"host_types":["k"],"zones":["z"],"zone":"z","weights":"nominal",
@@ -46,7 +46,7 @@
     Json boxes = Json::array();
     for (std::size_t i = 0; i < servers.size(); ++i)
         boxes.push_back({{"instanceId", "s-0000000" + std::to_string(i)},
-                         {"hostPort", net::text(servers[i])},
+                         {"hostPort", net::toString(servers[i])},
                          {"zone", settings["zones"][i % settings["zones"].size()]},
                          {"machineType", settings["host_types"].back()},
                          {"cell", i},
@@ -54,10 +54,10 @@
                          {"weight", 1},
                          {"startedAtMs", 0}});
     return {{"name", "n0"},
-            {"listen", net::text(listen)},
+            {"listen", net::toString(listen)},
             {"seed", "8c1f30d27a5be964"},
             {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 256}}},
-            {"changelog", net::text(log)},
+            {"changelog", net::toString(log)},
             {"known",
              {{"seq", 1}, {"results", {{{"seq", 1}, {"fleet", {{"reset", true}, {"instances", boxes}}}}}}}},
             {"settings", settings}};
@@ -65,17 +65,17 @@
 
 template <class Machines>
 struct Day : Machines {
-    std::vector<std::unique_ptr<standins::PlatformServer>> servers;
-    std::unique_ptr<standins::PlatformLog> log;
-    record::Log record{"", record::Level::Error, 1};
+    std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
+    std::unique_ptr<fakes::PlatformChangeLog> log;
+    logging::Log record{"", logging::Level::Error, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<standins::PlatformLine> viewers;
+    std::unique_ptr<fakes::PlatformConnection> viewers;
     std::map<std::string, std::vector<Json>> heard;
 
     explicit Day(int count = 3) {
         for (int i = 0; i < count; ++i)
-            servers.push_back(std::make_unique<standins::PlatformServer>(this->machine(i), this->place(i)));
-        log = std::make_unique<standins::PlatformLog>(this->machine(10), this->place(10));
+            servers.push_back(std::make_unique<fakes::PlatformServer>(this->machine(i), this->place(i)));
+        log = std::make_unique<fakes::PlatformChangeLog>(this->machine(10), this->place(10));
         log->last = 1;
         front = std::make_unique<node::Node>(this->machine(11), "config.json", configuration(), record);
         viewers = line();
@@ -83,13 +83,13 @@
     }
     std::string configuration() {
         std::vector<net::Endpoint> places;
-        for (const auto& server : servers) places.push_back(server->at());
-        return configurationOf(places, this->place(11), log->at(), settings()).dump();
+        for (const auto& server : servers) places.push_back(server->endpoint());
+        return configurationOf(places, this->place(11), log->endpoint(), settings()).dump();
     }
-    std::unique_ptr<standins::PlatformLine> line() {
-        return std::make_unique<standins::PlatformLine>(
-            this->machine(12), front->at(),
-            [this](standins::PlatformLine&, const Json& m) { heard[m.value("tag", "")].push_back(m); });
+    std::unique_ptr<fakes::PlatformConnection> line() {
+        return std::make_unique<fakes::PlatformConnection>(
+            this->machine(12), front->endpoint(),
+            [this](fakes::PlatformConnection&, const Json& m) { heard[m.value("tag", "")].push_back(m); });
     }
     static Json start(int n, const std::string& room = "talk", const std::string& title = "t") {
         return {{"verb", "START"},
@@ -112,7 +112,7 @@
                    (m["verb"] == "STARTED" ? std::string("+") : std::to_string(m.value("rc", 0)));
         return out;
     }
-    standins::PlatformServer* playerOf(int n) {
+    fakes::PlatformServer* playerOf(int n) {
         for (const auto& s : servers)
             if (s->standing.count(idOf(n))) return s.get();
         return nullptr;
@@ -134,7 +134,7 @@
         return *node;
     }
     static net::Endpoint place(int n) {
-        return *net::endpointOf("10.0.0." + std::to_string(n + 1) + ":5060");
+        return *net::parseEndpoint("10.0.0." + std::to_string(n + 1) + ":5060");
     }
     void run(Micros time) { world.runUntil(world.now() + time); }
 };
@@ -148,4 +148,4 @@
     void run(Micros time) { loop.run(time); }
 };
 
-}  // namespace valekeel::nodeday
+}  // namespace valekeel::nodetest
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -3,13 +3,13 @@
 #include <gtest/gtest.h>
 
 #include "node/servers.hpp"
-#include "node_day.hpp"
+#include "node_fixture.hpp"
 #include "setup/setup.hpp"
 
 namespace valekeel {
 namespace {
 
-using namespace nodeday;
+using namespace nodetest;
 
 // A connect to a media server takes so long; what is said on it half of that.
 void connectsTake(VirtualDay& day, Micros time) {
@@ -58,7 +58,7 @@
     connectsTake(day, 200'000);
     for (int n = 1; n <= 8; ++n) day.ask(n, "talk", "t" + std::to_string(n));
     day.run(60'000);
-    day.log->add({{0, day.servers[0]->at(), 1, 0}});
+    day.log->add({{0, day.servers[0]->endpoint(), 1, 0}});
     day.run(kSecond);
     EXPECT_TRUE(day.servers[0]->setups.empty());
     for (int n = 1; n <= 8; ++n) EXPECT_EQ(day.said(n), "+") << n;
@@ -69,7 +69,7 @@
     VirtualDay day(1);
     day.ask(50);
     day.run(kSecond);  // the connection is up
-    day.nodes[0]->standStill();
+    day.nodes[0]->pause();
     for (int n = 1; n <= 24; ++n) {
         Json setup = VirtualDay::start(n, "talk", "t" + std::to_string(n));
         setup["blob"] = std::string(15'000, 'x');
@@ -78,7 +78,7 @@
     }
     for (int n = 1; n <= 24; ++n) day.end(n);
     day.run(100'000);
-    day.nodes[0]->goOn();
+    day.nodes[0]->resume();
     day.run(kSecond);
     int arrived = 0;
     for (int n = 1; n <= 24; ++n) arrived += day.setupsOf(n);
@@ -95,11 +95,11 @@
     day.run(kSecond);
     day.servers[0]->resetAll();
     day.run(1'000);
-    day.nodes[0]->standStill();  // no connection comes up for a while
+    day.nodes[0]->pause();  // no connection comes up for a while
     day.end(1);
     day.run(700'000);
     EXPECT_EQ(day.servers[0]->standing.size(), 1u);
-    day.nodes[0]->goOn();
+    day.nodes[0]->resume();
     day.run(kSecond);
     EXPECT_TRUE(day.servers[0]->standing.empty());
 }
@@ -110,11 +110,11 @@
     VirtualDay day(1);
     for (int n = 1; n <= 3; ++n) day.ask(n, "talk", "t" + std::to_string(n));
     day.run(kSecond);
-    day.nodes[0]->standStill();
+    day.nodes[0]->pause();
     day.run(8 * kSecond);
     for (int n = 1; n <= 3; ++n) EXPECT_EQ(day.said(n), "+ 41") << n;
     EXPECT_EQ(day.servers[0]->standing.size(), 3u);
-    day.nodes[0]->goOn();
+    day.nodes[0]->resume();
     day.run(3 * kSecond);
     EXPECT_TRUE(day.servers[0]->standing.empty());
 }
@@ -123,7 +123,9 @@
 TEST(NodeServers, AnEndOwedToAnEarlierTryDoesNotEndTheNext) {
     VirtualDay day(1);
     int bad = 0;
-    day.servers[0]->does = [&](const std::string&) { return bad++ == 0 ? Does::Resets : Does::Plays; };
+    day.servers[0]->does = [&](const std::string&) {
+        return bad++ == 0 ? SetupReaction::Resets : SetupReaction::Plays;
+    };
     day.ask(1);
     day.run(3 * kSecond);
     EXPECT_EQ(day.said(1), "+");
@@ -135,7 +137,9 @@
 TEST(NodeServers, AnEndThatIsSaidOnceMoreDoesNotEndTheNextTry) {
     VirtualDay day(1);
     int bad = 0;
-    day.servers[0]->does = [&](const std::string&) { return bad++ == 0 ? Does::Nothing : Does::Plays; };
+    day.servers[0]->does = [&](const std::string&) {
+        return bad++ == 0 ? SetupReaction::Nothing : SetupReaction::Plays;
+    };
     day.ask(1);
     for (int turn = 0; turn < 40 && day.said(1).empty(); ++turn) day.run(50'000);
     ASSERT_EQ(day.said(1), "+");
@@ -149,8 +153,8 @@
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    standins::PlatformServer moved(day.machine(20), Virtual::place(20));
-    day.log->add({{0, moved.at(), 0, 0}});
+    fakes::PlatformServer moved(day.machine(20), Virtual::place(20));
+    day.log->add({{0, moved.endpoint(), 0, 0}});
     day.run(100'000);
     day.ask(2);
     day.run(kSecond);
@@ -167,7 +171,7 @@
     day.run(kSecond);
     ASSERT_EQ(day.servers[0]->connections, 1);
     const auto startedMs = static_cast<std::uint64_t>(day.machine(11).wallNow() / 1000);
-    day.log->add({{0, day.servers[0]->at(), 0, 0, startedMs}});
+    day.log->add({{0, day.servers[0]->endpoint(), 0, 0, startedMs}});
     day.run(500'000);
     EXPECT_EQ(day.said(1), "+ 41");
     for (int n = 2; n <= 9; ++n) {  // it is cold: its turn comes
@@ -178,49 +182,50 @@
 }
 
 // A face that ends one subscription as it hears of another's end, on the connection that has just gone.
-struct Follows final : core::Face, node::ServersUser {
+struct Follows final : core::SubscriptionHandler, node::ServersHandler {
     core::Core* core = nullptr;
     SubId other{};
     std::vector<SubId> ended;
-    std::map<SubId, node::SetupWords> words;
-    void plays(SubId, SfuId, int) override {}
-    void throttled(SubId, Micros) override {}
-    void terminated(SubId id, core::Ended) override {
+    std::map<SubId, node::SetupRequest> words;
+    void onPlaying(SubId, SfuId, int) override {}
+    void onThrottled(SubId, Micros) override {}
+    void onTerminated(SubId id, core::TerminationReason) override {
         ended.push_back(id);
-        core->left(other);
+        core->unsubscribe(other);
     }
-    void rungSet(SubId, int) override {}
-    void broke(SubId) override {}
-    const node::SetupWords* wordsOf(SubId id) override { return &words.at(id); }
+    void onRungChanged(SubId, int) override {}
+    void onServerLost(SubId) override {}
+    const node::SetupRequest* wordsOf(SubId id) override { return &words.at(id); }
     void answered(SubId, const std::string&) override {}
-    void over(SubId, JoinEnd, int, const Load&) override {}
+    void over(SubId, JoinResult, int, const LoadReport&) override {}
 };
 
 TEST(NodeServers, OneMayBeCalledOffWhileItsConnectionGoes) {
     VirtualDay day(1);
-    day.servers[0]->does = [](const std::string&) { return Does::Nothing; };
+    day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
     net::Net& net = day.machine(21);
     Follows user;
-    core::Watcher watcher;
+    core::CoreObserver watcher;
     node::Servers servers(net, {}, user);
     const Json told = settings();
-    core::Core core(
-        net, setup::roomTypesOf(told, setup::ladderOf(told, "s"), "s"), {}, kSecond, servers, watcher,
-        [&](Host& host, Micros now) { return setup::made<core::ModuleDecides>(host, now, 7, told, "s"); });
+    core::Core core(net, setup::parseRoomTypes(told, setup::parseLadder(told, "s"), "s"), {}, kSecond,
+                    servers, watcher, [&](Host& host, Micros now) {
+                        return setup::makeDecider<core::LogicModule>(host, now, 7, told, "s");
+                    });
     user.core = &core;
     servers.connect(core);
-    servers.at(SfuId{0}, day.servers[0]->at());
-    ListedSfu one;
-    one.standing = Standing::On;
-    core.listed(std::span(&one, 1), false);
+    servers.setAddress(SfuId{0}, day.servers[0]->endpoint());
+    SfuEntry one;
+    one.standing = ServerState::On;
+    core.onServerList(std::span(&one, 1), false);
     const auto ask = [&](std::uint32_t room, int n) {
-        Wish wish;
+        SubscriptionRequest wish;
         wish.room = RoomTypeId{room};
         wish.title = TitleId{"t"};
         wish.holders = 3;
-        const SubId id = *core.ask(user, wish, 3 * kSecond);
+        const SubId id = *core.subscribe(user, wish, 3 * kSecond);
         user.words[id] = {idOf(n), room ? "paid" : "talk", "t", "offer"};
-        core.begin(id);
+        core.start(id);
         return id;
     };
     const SubId paid = ask(1, 1);
@@ -230,19 +235,19 @@
     day.servers[0]->resetAll();
     day.run(kSecond);
     EXPECT_EQ(user.ended, std::vector<SubId>{paid});
-    EXPECT_EQ(core.held(), 0u);
+    EXPECT_EQ(core.subscriptionCount(), 0u);
 }
 
 // ================= limits =================
 
-struct Words : node::ServersUser {
-    node::SetupWords words{"", "talk", "t", "offer"};
-    const node::SetupWords* wordsOf(SubId id) override {
+struct Words : node::ServersHandler {
+    node::SetupRequest words{"", "talk", "t", "offer"};
+    const node::SetupRequest* wordsOf(SubId id) override {
         words.tag = idOf(static_cast<int>(id.v));
         return &words;
     }
     void answered(SubId, const std::string&) override {}
-    void over(SubId, JoinEnd, int, const Load&) override {}
+    void over(SubId, JoinResult, int, const LoadReport&) override {}
 };
 
 // Guards against a dead server that fills the memory, and is knocked at by hundreds of fronts all the time.
@@ -251,7 +256,7 @@
     Words user;
     node::ServerLimits limits;
     node::Servers servers(machines.machine(1), limits, user);
-    servers.at(SfuId{0}, Virtual::place(0));  // nobody listens there
+    servers.setAddress(SfuId{0}, Virtual::place(0));  // nobody listens there
     const auto most = static_cast<std::uint32_t>(limits.owed);
     for (std::uint32_t n = 1; n <= most + 88; ++n) servers.release(SubId{n}, SfuId{0});
     EXPECT_EQ(servers.owed(), limits.owed);
@@ -266,7 +271,7 @@
     VirtualDay day(1);
     Words user;
     node::Servers servers(day.machine(21), {}, user);
-    servers.at(SfuId{0}, day.servers[0]->at());
+    servers.setAddress(SfuId{0}, day.servers[0]->endpoint());
     for (std::uint32_t n = 1; n <= 20; ++n) servers.release(SubId{n}, SfuId{0});
     EXPECT_EQ(servers.owed(), 20u);
     day.run(3 * kSecond);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -9,12 +9,12 @@
 #include "core/core.hpp"
 #include "node/changelog.hpp"
 #include "node/message.hpp"
-#include "node_day.hpp"
+#include "node_fixture.hpp"
 
 namespace valekeel {
 namespace {
 
-using namespace nodeday;
+using namespace nodetest;
 
 // ================= parts =================
 
@@ -50,12 +50,12 @@
         std::string bytes;
         std::vector<std::pair<std::uint64_t, std::size_t>> put, got;
         for (unsigned i = 0; i < 5; ++i) {
-            std::vector<standins::PlatformLog::Box> boxes(chance() % 4);
+            std::vector<fakes::PlatformChangeLog::Box> boxes(chance() % 4);
             for (auto& box : boxes)
-                box = {static_cast<std::uint32_t>(chance() % 1000), *net::endpointOf("127.0.0.1:9"),
+                box = {static_cast<std::uint32_t>(chance() % 1000), *net::parseEndpoint("127.0.0.1:9"),
                        static_cast<int>(chance() % 3)};
             const int kind = boxes.empty() ? 0 : 1 + static_cast<int>(chance() % 2);
-            bytes += standins::PlatformLog::frame(i + 1, kind, boxes);
+            bytes += fakes::PlatformChangeLog::frame(i + 1, kind, boxes);
             put.emplace_back(i + 1, boxes.size());
         }
         node::FrameReader reader(1, 1, 100);
@@ -78,7 +78,7 @@
             16);
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(endless, ignore));
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(odd, ignore));
-    std::string unknownKind = standins::PlatformLog::frame(1, 7, {});
+    std::string unknownKind = fakes::PlatformChangeLog::frame(1, 7, {});
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(unknownKind, ignore));
 }
 
@@ -101,7 +101,7 @@
     }
     day.playerOf(1)->end(idOf(1), 16);
     day.playerOf(2)->end(idOf(2), 41);
-    standins::PlatformServer* third = day.playerOf(3);
+    fakes::PlatformServer* third = day.playerOf(3);
     day.end(3);
     day.run(kSecond);
     EXPECT_EQ(day.said(1), "+ 16");
@@ -115,19 +115,20 @@
 // run is set up twice if it is paid; whatever stands nowhere in the end was cut.
 TEST(Node, ABadAnswerCostsNoMoreThanItsOwnSetup) {
     struct Case {
-        Does does;
+        SetupReaction does;
         const char *free, *paid;
         bool paidAgain;
     };
     for (const Case& c :
-         {Case{Does::Full, "+", "+", true}, Case{Does::Errs, "+", "41", false},
-          Case{Does::Resets, "+", "41", false}, Case{Does::Noise, "+", "41", false},
-          Case{Does::Unfinished, "+", "41", false}, Case{Does::NoWords, "+", "41", false},
-          Case{Does::PlaysTwice, "+", "+", false}, Case{Does::UnknownFirst, "+", "+", false}}) {
+         {Case{SetupReaction::Full, "+", "+", true}, Case{SetupReaction::Errs, "+", "41", false},
+          Case{SetupReaction::Resets, "+", "41", false}, Case{SetupReaction::Noise, "+", "41", false},
+          Case{SetupReaction::Unfinished, "+", "41", false}, Case{SetupReaction::NoWords, "+", "41", false},
+          Case{SetupReaction::PlaysTwice, "+", "+", false},
+          Case{SetupReaction::UnknownFirst, "+", "+", false}}) {
         VirtualDay day;
         int bad = 0;
         for (const auto& s : day.servers)
-            s->does = [&](const std::string&) { return bad++ == 0 ? c.does : Does::Plays; };
+            s->does = [&](const std::string&) { return bad++ == 0 ? c.does : SetupReaction::Plays; };
         day.ask(1, "talk", "a");
         day.run(2 * kSecond);
         EXPECT_EQ(day.said(1), c.free) << static_cast<int>(c.does);
@@ -182,7 +183,7 @@
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    day.nodes[0]->standStill();
+    day.nodes[0]->pause();
     day.run(2 * kSecond);
     EXPECT_EQ(day.said(1), "+");  // a pause is no loss
     day.run(6 * kSecond);
@@ -208,8 +209,8 @@
     day.run(kSecond);
     day.viewers->close(true);
     int strange = 0;
-    standins::PlatformLine stranger(day.machine(13), day.front->at(),
-                                    [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
+    fakes::PlatformConnection stranger(day.machine(13), day.front->endpoint(),
+                                       [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
     stranger.say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     day.run(100'000);
     day.servers[0]->end(idOf(1), 16);
@@ -232,10 +233,10 @@
     VirtualDay day;
     day.ask(1);
     day.run(500'000);
-    std::vector<std::unique_ptr<standins::PlatformLine>> crowd;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> crowd;
     for (int i = 0; i < 400; ++i) {
-        crowd.push_back(std::make_unique<standins::PlatformLine>(day.machine(13), day.front->at(),
-                                                                 [](auto&, const Json&) {}));
+        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
+                                                                    [](auto&, const Json&) {}));
         crowd.back()->say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     }
     day.run(100'000);
@@ -248,7 +249,7 @@
 // A viewer that stops waiting is owed nothing, and leaves nothing behind.
 TEST(Node, WhatIsGivenUpIsCalledOff) {
     VirtualDay day(1);
-    day.servers[0]->does = [](const std::string&) { return Does::Nothing; };
+    day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
     day.ask(1);
     day.run(200'000);
     day.end(1);
@@ -301,11 +302,11 @@
         shortTag.dump() + "\n",
         noWords.dump() + "\n",
         VirtualDay::start(77).dump() + "\n" + VirtualDay::start(77, "talk", "u").dump() + "\n"};
-    std::vector<std::unique_ptr<standins::PlatformLine>> callers;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> callers;
     int answered = 0;
     for (const std::string& bytes : bad) {
-        callers.push_back(std::make_unique<standins::PlatformLine>(
-            day.machine(13), day.front->at(), [&](standins::PlatformLine&, const Json& m) {
+        callers.push_back(std::make_unique<fakes::PlatformConnection>(
+            day.machine(13), day.front->endpoint(), [&](fakes::PlatformConnection&, const Json& m) {
                 EXPECT_NE(m["verb"], "STARTED");
                 ++answered;
             }));
@@ -323,10 +324,10 @@
 // Guards against connects that say nothing and keep out those that ask.
 TEST(Node, SilentConnectsKeepNobodyOut) {
     VirtualDay day;
-    std::vector<std::unique_ptr<standins::PlatformLine>> silent;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> silent;
     for (int i = 0; i < 400; ++i)
-        silent.push_back(std::make_unique<standins::PlatformLine>(day.machine(13), day.front->at(),
-                                                                  [](auto&, const Json&) {}));
+        silent.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
+                                                                     [](auto&, const Json&) {}));
     day.run(100'000);
     day.viewers = day.line();
     day.ask(1);
@@ -396,12 +397,13 @@
         VirtualDay day;
         if (trouble == 1) day.log->twice = true;
         if (trouble == 2) {  // breaks off in the middle of an event
-            day.log->bytes(standins::PlatformLog::frame(2, 2, {{0, day.servers[0]->at(), 1}}).substr(0, 20));
+            day.log->bytes(
+                fakes::PlatformChangeLog::frame(2, 2, {{0, day.servers[0]->endpoint(), 1}}).substr(0, 20));
             day.run(10'000);
             day.log->breakOff();
         }
         if (trouble == 3) day.log->silent = true;
-        day.log->add({{0, day.servers[0]->at(), 1, 0}});
+        day.log->add({{0, day.servers[0]->endpoint(), 1, 0}});
         day.run(200'000);
         day.log->silent = false;
         day.run(3 * kSecond);  // a silence is found out
@@ -421,7 +423,7 @@
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    const net::Endpoint at = day.servers[0]->at();
+    const net::Endpoint at = day.servers[0]->endpoint();
     day.log->add({{0, at, 2, 0}, {7, at, 0, 0}});
     day.run(500'000);
     EXPECT_EQ(day.said(1), "+ 41");  // what the old one played is over
@@ -432,15 +434,15 @@
 
 TEST(NodeList, IsAskedForWhereTheNewConfigurationSays) {
     VirtualDay day;
-    standins::PlatformLog other(day.machine(14), Virtual::place(14));
+    fakes::PlatformChangeLog other(day.machine(14), Virtual::place(14));
     other.last = 1;
     day.front->reread("{ not JSON");  // passed over
     Json all = Json::parse(day.configuration());
-    all["changelog"] = net::text(other.at());
+    all["changelog"] = net::toString(other.endpoint());
     day.front->reread(all.dump());
     day.run(500'000);
     ASSERT_EQ(other.asked, std::vector<std::uint64_t>{1});
-    other.add({{0, day.servers[0]->at(), 1, 0}});
+    other.add({{0, day.servers[0]->endpoint(), 1, 0}});
     day.run(500'000);
     day.ask(1);
     day.run(kSecond);
@@ -453,7 +455,9 @@
 TEST(Node, APlannedEndAnswersAllThatWasTaken) {
     VirtualDay day;
     for (const auto& s : day.servers)
-        s->does = [](const std::string& tag) { return tag == idOf(2) ? Does::Nothing : Does::Plays; };
+        s->does = [](const std::string& tag) {
+            return tag == idOf(2) ? SetupReaction::Nothing : SetupReaction::Plays;
+        };
     bool over = false;
     day.front->stop([&] { over = true; });
     day.run(300'000);
@@ -471,11 +475,11 @@
 TEST(Node, SaysWhatIsWrongWithItsConfiguration) {
     VirtualDay day;
     const Json good = Json::parse(day.configuration());
-    record::Log log{"", record::Level::Error, 1};
+    logging::Log log{"", logging::Level::Error, 1};
     const auto wrong = [&](const std::string& text) -> std::string {
         try {
             node::Node(day.machine(15), "c.json", text, log);
-        } catch (const setup::Bad& e) {
+        } catch (const setup::InvalidValue& e) {
             return e.what();
         }
         return "taken";
@@ -502,10 +506,10 @@
     for (const auto& s : day.servers)
         s->does = [&](const std::string&) {
             const auto drawn = chance() % 20;
-            return drawn == 0   ? Does::Resets
-                   : drawn == 1 ? Does::Noise
-                   : drawn == 2 ? Does::Full
-                                : Does::Plays;
+            return drawn == 0   ? SetupReaction::Resets
+                   : drawn == 1 ? SetupReaction::Noise
+                   : drawn == 2 ? SetupReaction::Full
+                                : SetupReaction::Plays;
         };
     for (int n = 1; n <= 60; ++n) {
         day.ask(n, n % 3 ? "talk" : "paid", "t" + std::to_string(n));
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -6,37 +6,37 @@
 #include <array>
 #include <random>
 
-#include "node/wire.hpp"
-#include "node_day.hpp"
+#include "node/line_connection.hpp"
+#include "node_fixture.hpp"
 
 namespace valekeel {
 namespace {
 
-using namespace nodeday;
+using namespace nodetest;
 
 // Reads only when it is told to.
-struct LateReader final : net::StreamUser {
+struct LateReader final : net::StreamHandler {
     LateReader(net::Net& net, const net::Endpoint& at) : stream(net.connect(at, *this)) {}
-    void connected() override {
+    void onConnected() override {
         ready = true;
-        writable();
+        onWritable();
     }
-    void readable() override {}
-    void writable() override {
+    void onReadable() override {}
+    void onWritable() override {
         if (ready) out.erase(0, stream->write(out).bytes);
     }
     void say(const std::string& bytes) {
         out += bytes;
-        writable();
+        onWritable();
     }
     // False once nothing more comes.
     bool readOn() {
         std::array<char, 4096> buffer;
         for (;;) {
-            const net::Moved now = stream->read(buffer);
-            if (now.then != net::Moved::Then::More) {
-                broken = now.then == net::Moved::Then::Broken;
-                return now.then == net::Moved::Then::Again;
+            const net::IoResult now = stream->read(buffer);
+            if (now.status != net::IoResult::Status::Ready) {
+                broken = now.status == net::IoResult::Status::Broken;
+                return now.status == net::IoResult::Status::WouldBlock;
             }
             got.append(buffer.data(), now.bytes);
         }
@@ -53,7 +53,7 @@
 // Guards against a close that throws away what the other side has no room for yet.
 TEST(NodeViewers, WhatIsUnsentOutlivesTheClose) {
     VirtualDay day;
-    LateReader late(day.machine(13), day.front->at());
+    LateReader late(day.machine(13), day.front->endpoint());
     std::string all;
     for (int i = 0; i < 6000; ++i) all += kTest;
     late.say(all + "noise\n");
@@ -66,7 +66,7 @@
 // Guards against a close with unread bytes: it resets the connection, and with it what was just answered.
 TEST(NodeViewers, ARefusalOutlivesWhatLiesUnreadBehindIt) {
     VirtualDay day;
-    LateReader late(day.machine(13), day.front->at());
+    LateReader late(day.machine(13), day.front->endpoint());
     const std::string bad = VirtualDay::start(77, "unheard").dump() + "\n";
     late.say(bad + bad + bad + bad + std::string(12'000, 'x'));
     day.run(300'000);
@@ -78,7 +78,7 @@
 // No descriptor is held for one that neither reads nor closes.
 TEST(NodeViewers, ALingeringCloseEnds) {
     VirtualDay day;
-    LateReader endless(day.machine(13), day.front->at());
+    LateReader endless(day.machine(13), day.front->endpoint());
     const std::string bad = VirtualDay::start(77, "unheard").dump() + "\n";
     endless.say(bad + bad + bad + bad);
     day.run(100'000);
@@ -88,7 +88,7 @@
     }
     endless.readOn();
     EXPECT_TRUE(endless.broken);  // it talks on
-    LateReader still(day.machine(13), day.front->at());
+    LateReader still(day.machine(13), day.front->endpoint());
     still.say(bad + bad + bad + bad);
     day.run(1'500'000);
     still.say("x");
@@ -100,8 +100,8 @@
 // Where all are needed, one that comes is heard and refused: it is not just closed.
 TEST(NodeViewers, OneTooManyIsRefusedAndNotCutOff) {
     VirtualDay day;
-    for (const auto& s : day.servers) s->does = [](const std::string&) { return Does::Nothing; };
-    std::vector<std::unique_ptr<standins::PlatformLine>> all;
+    for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Nothing; };
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> all;
     for (int n = 1; n <= 130; ++n) {
         all.push_back(day.line());
         all.back()->say(VirtualDay::start(n, "talk", "t" + std::to_string(n)));
@@ -116,7 +116,7 @@
 // A set-up that lies unread while a new connection asks for room: the connection that brought it stays.
 TEST(NodeViewers, WhatLiesUnreadIsReadBeforeItsConnectionIsClosedForRoom) {
     Day<Sockets> day;
-    std::vector<std::unique_ptr<standins::PlatformLine>> silent;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> silent;
     for (int i = 0; i < 119; ++i) {
         silent.push_back(day.line());
         day.run(1'000);
@@ -129,18 +129,18 @@
 // Idle connections, tests and a change log that is away: the list, media servers and viewers get theirs.
 TEST(NodeViewers, ACrowdLeavesDescriptorsForTheChangeLogAndMediaServers) {
     VirtualDay day;
-    const net::Endpoint at = day.log->at();
+    const net::Endpoint at = day.log->endpoint();
     day.log.reset();
-    std::vector<std::unique_ptr<standins::PlatformLine>> crowd;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> crowd;
     for (int i = 0; i < 600; ++i) {
-        crowd.push_back(std::make_unique<standins::PlatformLine>(day.machine(13), day.front->at(),
-                                                                 [](auto&, const Json&) {}));
+        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
+                                                                    [](auto&, const Json&) {}));
         if (i % 2) crowd.back()->bytes(kTest);
         if (i % 20 == 0) day.run(10'000);
     }
-    day.log = std::make_unique<standins::PlatformLog>(day.machine(10), at);
+    day.log = std::make_unique<fakes::PlatformChangeLog>(day.machine(10), at);
     day.log->last = 1;
-    day.log->add({{0, day.servers[0]->at(), 1, 0}});
+    day.log->add({{0, day.servers[0]->endpoint(), 1, 0}});
     day.run(500'000);
     ASSERT_FALSE(day.log->asked.empty());
     day.viewers = day.line();
@@ -159,11 +159,11 @@
     const std::string whole = VirtualDay::start(2, "talk", "u").dump() + "\n";
     half->bytes(whole.substr(0, 100));
     day.run(1'500'000);
-    day.nodes[11]->standStill();
+    day.nodes[11]->pause();
     silent->say(VirtualDay::start(1));
     half->bytes(whole.substr(100));
     day.run(kSecond);
-    day.nodes[11]->goOn();
+    day.nodes[11]->resume();
     day.run(500'000);
     EXPECT_EQ(day.said(1), "+");
     EXPECT_EQ(day.said(2), "+");
@@ -194,7 +194,7 @@
 TEST(NodeViewers, WhateverEndsAConnectionGivesUpItsSetups) {
     for (int how = 0; how < 6; ++how) {
         VirtualDay day(1);
-        day.servers[0]->does = [](const std::string&) { return Does::Nothing; };
+        day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
         day.ask(1);
         day.ask(2, "talk", "u");
         day.run(200'000);
@@ -211,7 +211,7 @@
         EXPECT_EQ(day.front->remembered(), 0u) << how;
     }
     VirtualDay day(1);  // a set-up and the close in one segment: nothing of it is left
-    LateReader both(day.machine(13), day.front->at());
+    LateReader both(day.machine(13), day.front->endpoint());
     both.say(VirtualDay::start(1).dump() + "\n");
     day.world.step(day.world.now() + kSecond);
     both.stream.reset();
@@ -248,7 +248,7 @@
     day.run(100'000);
     day.servers[0]->die();
     day.run(500'000);
-    LateReader late(day.machine(13), day.front->at());
+    LateReader late(day.machine(13), day.front->endpoint());
     std::string all = VirtualDay::start(5000).dump() + "\n";
     for (int i = 0; i < 5200; ++i) all += kTest;  // what is on its way to it fills its buffer already
     late.say(all);
@@ -268,13 +268,13 @@
     for (const auto& s : day.servers)
         s->does = [&](const std::string&) {
             const auto drawn = chance() % 12;
-            return drawn == 0   ? Does::Full
-                   : drawn == 1 ? Does::Nothing
-                   : drawn == 2 ? Does::Resets
-                   : drawn == 3 ? Does::Noise
-                                : Does::Plays;
+            return drawn == 0   ? SetupReaction::Full
+                   : drawn == 1 ? SetupReaction::Nothing
+                   : drawn == 2 ? SetupReaction::Resets
+                   : drawn == 3 ? SetupReaction::Noise
+                                : SetupReaction::Plays;
         };
-    std::vector<std::unique_ptr<standins::PlatformLine>> lines(6);
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> lines(6);
     for (int n = 1; n <= 4000; ++n) {
         auto& line = lines[chance() % lines.size()];
         if (!line || line->ended()) line = day.line();
@@ -305,16 +305,16 @@
 
 // Guards against connects that fail together and are tried again at once: each held two descriptors then.
 TEST(NodeViewers, AConnectGivenUpFreesItsDescriptorAtOnce) {
-    struct Nobody final : node::WireUser {
+    struct Nobody final : node::LineConnectionHandler {
         void line(std::string_view) override {}
-        void gone(node::Gone) override {}
+        void gone(node::DisconnectReason) override {}
     } nobody;
     net::VirtualWorld world{5};
     net::VirtualNode& here = world.node("here", Virtual::place(0).ip);
-    std::vector<std::unique_ptr<node::Wire>> wires;
+    std::vector<std::unique_ptr<node::LineConnection>> wires;
     for (int i = 0; i < 10; ++i) {
-        wires.push_back(std::make_unique<node::Wire>(here, Virtual::place(1), kSecond,
-                                                     node::Wire::Limits{100, 100, kSecond}, nobody));
+        wires.push_back(std::make_unique<node::LineConnection>(
+            here, Virtual::place(1), kSecond, node::LineConnection::Limits{100, 100, kSecond}, nobody));
         wires.back()->close();
     }
     EXPECT_EQ(here.mostStreams(), 1u);
@@ -340,7 +340,7 @@
 // The same front with other settings, instead of the day's own.
 void restart(VirtualDay& day, const std::function<void(Json&)>& change) {
     Json all = Json::parse(day.configuration());
-    all["listen"] = net::text(Virtual::place(15));
+    all["listen"] = net::toString(Virtual::place(15));
     change(all);
     day.front = std::make_unique<node::Node>(day.machine(15), "config.json", all.dump(), day.record);
     day.viewers = day.line();
@@ -353,11 +353,11 @@
         VirtualDay day;
         Ending end(day);
         end.until(550'000);
-        day.nodes[11]->standStill();
+        day.nodes[11]->pause();
         if (newConnection) day.viewers = day.line();
         day.ask(1);
         end.until(750'000);
-        day.nodes[11]->goOn();
+        day.nodes[11]->resume();
         end.until(2 * kSecond);
         EXPECT_EQ(day.said(1), "+");
     }
@@ -382,7 +382,9 @@
             for (Json& room : all["settings"]["request_classes"]) room["deadline"] = deadline;
         });
         for (const auto& s : day.servers)
-            s->does = [](const std::string& tag) { return tag == idOf(2) ? Does::Nothing : Does::Plays; };
+            s->does = [](const std::string& tag) {
+                return tag == idOf(2) ? SetupReaction::Nothing : SetupReaction::Plays;
+            };
         day.ask(1);
         day.run(500'000);
         Ending end(day);
@@ -407,7 +409,7 @@
 // A release that its viewer has no room for yet is waited for.
 TEST(NodeEnd, WaitsUntilWhatItSaidIsTaken) {
     VirtualDay day;
-    LateReader late(day.machine(13), day.front->at());
+    LateReader late(day.machine(13), day.front->endpoint());
     late.say(VirtualDay::start(1).dump() + "\n");
     day.run(500'000);
     std::string tests;
