--- a/src/adapter/simulator_adapter.cpp
+++ b/src/adapter/simulator_adapter.cpp
@@ -107,9 +107,9 @@
                 throwInvalid(where, "lifecycle '" + state + "' is unknown");
             SfuEntry entry;
             entry.id = sfu(record, where);
-            entry.standing = state == "on"       ? ServerState::On
-                             : state == "fading" ? ServerState::Draining
-                                                 : ServerState::Off;
+            entry.state = state == "on"       ? ServerState::On
+                          : state == "fading" ? ServerState::Draining
+                                              : ServerState::Off;
             entry.launched = durationOrZero(record, "launched", where);
             entry.cell = Cell{find(record, "position") ? uint32(record, "position", where) : 0};
             if (find(record, "sku"))
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -235,7 +235,7 @@
 }
 void Core::onServerListChange(std::span<const SfuEntry> some) {
     for (const SfuEntry& one : some)
-        if (one.standing == ServerState::Off) figuresAt_.erase(one.id);
+        if (one.state == ServerState::Off) figuresAt_.erase(one.id);
     callModule([&] { module_->onServerListChange(net_.now(), some); });
 }
 std::vector<ServerEvidence> Core::serverEvidence() const {
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -396,7 +396,7 @@
                              [&](const discovery::ServerListEntry& b) { return b.sfu.id == one.sfu.id; });
             if (same == held.boxes.end())
                 held.boxes.push_back(one);
-            else if (one.sfu.standing == ServerState::Off)
+            else if (one.sfu.state == ServerState::Off)
                 held.boxes.erase(same);
             else
                 *same = one;
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -118,7 +118,7 @@
     // ================= what happens =================
 
     void onServerList(std::span<const SfuEntry> entries, bool stale) {
-        for (auto& [id, s] : sfus_) s.standing = ServerState::Off;
+        for (auto& [id, s] : sfus_) s.state = ServerState::Off;
         listStale_ = stale;
         onServerListChange(entries);
     }
@@ -131,7 +131,7 @@
                 s.evidence = 0;
                 s.link = Pipe{};
             }
-            s.standing = e.standing;
+            s.state = e.state;
             s.cell = e.cell;
             s.kind = e.kind;
             s.size = e.size;
@@ -139,7 +139,7 @@
         }
         double places = 0;
         for (const auto& [id, s] : sfus_)
-            if (s.standing != ServerState::Off) places += placesOf(s);
+            if (s.state != ServerState::Off) places += placesOf(s);
         if (places > 0 && kbPerPlace_ == 0) {
             kbPerPlace_ = fleet_.linksKb / places;
             sizeUplinks();
@@ -233,8 +233,8 @@
                 break;
             case JoinResult::Full:
                 s.fullUntil = now + kSecond;
-                if (fleet_.fullFrom > 0 && untold())
-                    hearLink(now, s, std::max(fleet_.fullFrom, linkAsked(now, s)), 0, 1);
+                if (fleet_.fullThreshold > 0 && untold())
+                    hearLink(now, s, std::max(fleet_.fullThreshold, linkAsked(now, s)), 0, 1);
                 break;
             default:
                 break;
@@ -312,7 +312,7 @@
     std::vector<ServerEvidence> serverEvidence(Micros now) const {
         std::vector<ServerEvidence> out;
         for (const auto& [id, s] : sfus_) {
-            if (s.standing == ServerState::Off || (!s.link.told && s.evidence == 0)) continue;
+            if (s.state == ServerState::Off || (!s.link.told && s.evidence == 0)) continue;
             const Pipe& link = s.link;
             out.push_back({id, s.evidence, link.told ? std::optional(link.use) : std::nullopt,
                            link.told ? now - link.at : 0});
@@ -323,7 +323,7 @@
     void restoreServerEvidence(Micros now, std::span<const ServerEvidence> all) {
         for (const ServerEvidence& one : all) {
             const auto it = sfus_.find(one.id);
-            if (it == sfus_.end() || it->second.standing == ServerState::Off) continue;
+            if (it == sfus_.end() || it->second.state == ServerState::Off) continue;
             Sfu& s = it->second;
             if (s.evidence == 0) judge(now, s, one.evidence);
             if (one.linkUse && !s.link.told) hearLink(now, s, *one.linkUse, one.age, 1);
@@ -377,7 +377,7 @@
     };
 
     struct Sfu {
-        ServerState standing = ServerState::Off;
+        ServerState state = ServerState::Off;
         Cell cell;
         MachineKindId kind;
         double size = 1;
@@ -412,15 +412,16 @@
 
     // ================= shared streams =================
 
-    bool shares(const Sub& sub) const { return roomOf(sub).live && ladder_.joinPart < 1; }
+    bool shares(const Sub& sub) const { return roomOf(sub).live && ladder_.sharedRateFraction < 1; }
 
     // What a subscription adds to a link: a further viewer of a shared live stream only a part of its rate.
     // Nothing is told of what plays there through others; where all gather, one mostly finds company.
     double addsKb(const Sub& sub, SfuId at, int rung, bool gathered) const {
         if (!shares(sub)) return kbOf(sub, rung);
         if (streams_.contains({at, sub.wish.room, sub.wish.title, rung}))
-            return ladder_.joinPart * kbOf(sub, rung);
-        return (gathered ? ladder_.joinPart + kAlone * (1 - ladder_.joinPart) : 1) * kbOf(sub, rung);
+            return ladder_.sharedRateFraction * kbOf(sub, rung);
+        return (gathered ? ladder_.sharedRateFraction + kAlone * (1 - ladder_.sharedRateFraction) : 1) *
+               kbOf(sub, rung);
     }
     void count(const Sub& sub, int sign) {
         if (!shares(sub)) return;
@@ -443,7 +444,7 @@
         for (const char c : sub.wish.title.v)
             title = (title ^ static_cast<unsigned char>(c)) * 1099511628211u;
         for (const auto& [id, s] : sfus_) {
-            if (!holds(sub, s) || s.standing != ServerState::On || warmShare(now, s) < 1 || setAside(now, s))
+            if (!holds(sub, s) || s.state != ServerState::On || warmShare(now, s) < 1 || setAside(now, s))
                 continue;
             order.emplace_back(mixed(title ^ id.v), id);
         }
@@ -495,7 +496,7 @@
     std::vector<double> uplinksAsked(Micros now) const {
         std::vector<double> use(uplinks_.size(), 0);
         for (const auto& [id, s] : sfus_)
-            if (!untold() && s.standing != ServerState::Off)
+            if (!untold() && s.state != ServerState::Off)
                 use[rackOf(s)] += linkAsked(now, s) * linkKb(now, s);
         // Where no figure comes, what could be guessed of one uplink is no better than what is guessed of
         // all, and all fronts would guess alike: the rack that looked emptiest would get everyone's joins.
@@ -521,8 +522,7 @@
         if (up.kb <= 0) return known(s);
         double rackKb = 0;
         for (const auto& [id, one] : sfus_)
-            if (one.standing != ServerState::Off && rackOf(one) == rack)
-                rackKb += known(one) * linkKb(now, one);
+            if (one.state != ServerState::Off && rackOf(one) == rack) rackKb += known(one) * linkKb(now, one);
         return std::max(known(s), up.pipe.told ? carried(up.pipe, up.kb) : rackKb / up.kb);
     }
 
@@ -555,14 +555,14 @@
         // A narrow uplink makes every media server behind it short; one that is well clears it.
         int alsoShort = 0, well = 0;
         for (const auto& [id, one] : sfus_)
-            if (one.standing != ServerState::Off && rackOf(one) == rack && one.ownKb > 0)
+            if (one.state != ServerState::Off && rackOf(one) == rack && one.ownKb > 0)
                 ++(now - one.shortAt < 2 * kSecond ? alsoShort : well);
         if (well > alsoShort || (untold() && well == alsoShort)) return false;
         up.shortAt = now;
         // The shortness is of a while ago, and so must be what was asked: drops since then have made room.
         double then = 0;
         for (const auto& [id, one] : sfus_) {
-            if (one.standing == ServerState::Off || rackOf(one) != rack) continue;
+            if (one.state == ServerState::Off || rackOf(one) != rack) continue;
             const double kb = linkKb(now, one);
             then +=
                 one.link.told ? kb * carried(one.link, kb, now - tidings_.late) : kb * linkAsked(now, one);
@@ -622,11 +622,11 @@
         const RoomType& room = roomOf(sub);
         if (sub.state != State::Waiting || sub.gone) return false;  // one join out, no answer given
         if (now >= sub.wish.deadline || sub.joins >= allowed_.maxJoins) return false;
-        if (s.standing != ServerState::On) return false;  // drains are kept
+        if (s.state != ServerState::On) return false;  // drains are kept
         if (!holds(sub, s)) return false;
         if (room.paid && sub.mayHaveRun) return false;  // no set-up twice
         if (room.keyed && sub.mayHaveRun &&
-            ((!room.anyGroup && id != sub.at) || now - sub.joinedAt >= room.repeatWithin))
+            ((!room.anyServer && id != sub.at) || now - sub.joinedAt >= room.repeatWithin))
             return false;
         if (seatsLeft(sub) <= 0) return false;
         if (sub.joins > 0 && !budgetLeft(now)) return false;
@@ -830,7 +830,7 @@
         const Sub& sub = it->second;
         const RoomType& room = roomOf(sub);
         const bool mayThrottle =
-            now < sub.wish.deadline && (!sub.mayHaveRun || !(room.paid || (room.keyed && !room.anyGroup)));
+            now < sub.wish.deadline && (!sub.mayHaveRun || !(room.paid || (room.keyed && !room.anyServer)));
         if (mayThrottle)
             host_.throttle(id, retryAfter());
         else
@@ -862,7 +862,7 @@
 
     void sweep(Micros now) {
         std::erase_if(sfus_, [](const auto& entry) {  // gone, and nothing of this front left there
-            return entry.second.standing == ServerState::Off && entry.second.ownKb <= 0 &&
+            return entry.second.state == ServerState::Off && entry.second.ownKb <= 0 &&
                    entry.second.joinsOut <= 0;
         });
         std::erase_if(playedAt_, [&](const auto& entry) { return entry.second < now - kTitleKnown; });
@@ -870,7 +870,7 @@
         for (auto& [id, s] : sfus_) {
             while (!s.link.changes.empty() && s.link.changes.front().at < now - 20 * kSecond)
                 s.link.changes.pop_front();
-            if (s.standing != ServerState::On || !s.link.told || now - s.link.at > 6 * kSecond) continue;
+            if (s.state != ServerState::On || !s.link.told || now - s.link.at > 6 * kSecond) continue;
             sum += carried(s.link, linkKb(now, s));
             ++count;
         }
@@ -955,7 +955,7 @@
     // asked, and the last step, which that part does not hold, by chance. Then it waits for the next figure.
     void stepUp(Micros now, Sfu& s, const std::vector<SubId>& ids, double rackUse) {
         if (now - s.shortAt < (untold() ? kQuietUntold : kQuiet) || s.evidence >= kVerdict ||
-            s.standing == ServerState::Off)
+            s.state == ServerState::Off)
             return;
         // Where no figures come, every quiet time without a short note stands in for one.
         const Micros news = untold() ? now - kQuietUntold : s.link.told ? s.link.at : s.risenAt;
@@ -999,7 +999,7 @@
 
     // What a step down frees, and what one up adds.
     double lessBy(const Sub& sub) const {
-        const double frees = sub.gathered ? ladder_.joinPart * kbOf(sub, sub.rung) : sub.bookedKb;
+        const double frees = sub.gathered ? ladder_.sharedRateFraction * kbOf(sub, sub.rung) : sub.bookedKb;
         return frees - addsKb(sub, sub.at, sub.rung - 1, false);
     }
     double moreBy(const Sub& sub) const {
--- a/src/model/types.hpp
+++ b/src/model/types.hpp
@@ -15,16 +15,17 @@
     std::vector<double> worth;  // part of the benefit that each rung earns
     double stallLoss = 0;       // points of benefit lost for each point of the rate that is missing
     double switchSeconds = 0;   // a change of rung costs so many seconds of benefit
-    double joinPart = 1;        // part of the rate that a further viewer of a live stream adds; 1: all of it
+    double sharedRateFraction =
+        1;  // part of the rate that a further viewer of a live stream adds; 1: all of it
 };
 
 struct RoomType {
     std::string name;
     Micros joinObjective = 0;
     double benefit = 0;
-    bool paid = false;     // what it sets up must not be set up twice
-    bool keyed = false;    // may be repeated, but only within `repeatWithin` and to the same group
-    bool anyGroup = true;  // keyed: every media server is of the group
+    bool paid = false;      // what it sets up must not be set up twice
+    bool keyed = false;     // may be repeated, but only within `repeatWithin` and to the same group
+    bool anyServer = true;  // keyed: every media server is of the group
     Micros repeatWithin = 0;
     double rateFactor = 1;
     int floor = 0;
@@ -43,7 +44,8 @@
     bool listOnRequest = false;  // the list comes only to those who follow it
     std::vector<int> places;     // for each kind: streams at most
     ZoneId zone{};               // the front's own
-    double fullFrom = 0;  // a media server turns set-ups away while so much of its link is asked; 0: never
+    double fullThreshold =
+        0;  // a media server turns set-ups away while so much of its link is asked; 0: never
 };
 
 struct ColdStartLimits {  // of a media server that has just started
@@ -78,7 +80,7 @@
 
 struct SfuEntry {  // one line of the list of media servers
     SfuId id;
-    ServerState standing = ServerState::On;
+    ServerState state = ServerState::On;
     Micros launched = 0;  // 0: long ago
     Cell cell;
     MachineKindId kind;
--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -46,10 +46,10 @@
         for (const setup::Json& one : setup::array(fleet, "instances", where)) {
             discovery::ServerListEntry line;
             line.sfu.id = SfuId{idOf(setup::text(one, "instanceId", where), where)};
-            line.sfu.standing = standingOf(setup::text(one, "lifecycle", where), where);
+            line.sfu.state = standingOf(setup::text(one, "lifecycle", where), where);
             if (const auto to = net::parseEndpoint(setup::textOr(one, "hostPort", "", where)))
                 line.at = *to;
-            else if (line.sfu.standing != ServerState::Off)
+            else if (line.sfu.state != ServerState::Off)
                 setup::throwInvalid(where, "'hostPort' is no address and port");
             if (setup::find(one, "zone"))
                 line.sfu.zone = ZoneId{setup::indexOf(names.zones, setup::text(one, "zone", where), where)};
@@ -92,9 +92,9 @@
             line.at.ip =
                 net::IpAddress(boost::asio::ip::address_v4(static_cast<std::uint32_t>(bigEndian(r + 4, 4))));
             line.at.port = static_cast<std::uint16_t>(bigEndian(r + 8, 2));
-            line.sfu.standing = state == 0   ? ServerState::On
-                                : state == 1 ? ServerState::Draining
-                                             : ServerState::Off;
+            line.sfu.state = state == 0   ? ServerState::On
+                             : state == 1 ? ServerState::Draining
+                                          : ServerState::Off;
             line.sfu.zone = ZoneId{static_cast<std::uint32_t>(zone)};
             line.sfu.kind = MachineKindId{static_cast<std::uint32_t>(kindOf)};
             line.sfu.cell = Cell{static_cast<std::uint32_t>(bigEndian(r + 13, 2))};
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -195,10 +195,10 @@
                 held && started == it->second.started ? it->second.entry.launched : onOurClock(started);
             entries.push_back(entry);
             named.insert(entry.id);
-            if (entry.standing != ServerState::Off && !servers.knows(entry.id))
+            if (entry.state != ServerState::Off && !servers.knows(entry.id))
                 servers.setAddress(entry.id, line.at);
             if (held && started > it->second.started) anew.emplace_back(entry.id, entry.launched);
-            if (entry.standing == ServerState::Off)
+            if (entry.state == ServerState::Off)
                 listed.erase(entry.id);
             else
                 listed[entry.id] = {entry, started};
@@ -215,18 +215,18 @@
         // Only now: what the servers' side takes back is placed again at once, by what the module has just
         // heard.
         for (const discovery::ServerListEntry& line : event.boxes)
-            if (line.sfu.standing != ServerState::Off) servers.setAddress(line.sfu.id, line.at);
+            if (line.sfu.state != ServerState::Off) servers.setAddress(line.sfu.id, line.at);
         for (const auto& [id, launched] : anew) servers.onRestarted(id, launched);
         for (const SfuEntry& entry : entries) {
-            if (entry.standing == ServerState::Off) off.push_back(entry.id);
-            if (entry.standing == ServerState::Draining) servers.onDraining(entry.id);
+            if (entry.state == ServerState::Off) off.push_back(entry.id);
+            if (entry.state == ServerState::Draining) servers.onDraining(entry.id);
         }
         for (const SfuId id : off) servers.remove(id);
     }
     void changed(const ChangeEvent& event) override {
         nlohmann::ordered_json told{{"number", event.number}, {"whole", event.whole}};
         for (const discovery::ServerListEntry& line : event.boxes)
-            told["boxes"].push_back({line.sfu.id.v, static_cast<int>(line.sfu.standing)});
+            told["boxes"].push_back({line.sfu.id.v, static_cast<int>(line.sfu.state)});
         say(logging::Level::Info, "list", std::move(told));
         take(event, false);
     }
--- a/src/settings/site_settings.cpp
+++ b/src/settings/site_settings.cpp
@@ -14,7 +14,7 @@
     Ladder ladder;
     ladder.stallLoss = node.number("stall-loss", 0, 1'000, 5);
     ladder.switchSeconds = seconds(node.time("switch", 0, 60 * kSecond, 500'000));
-    ladder.joinPart = node.number("join", 0, 1, 1);
+    ladder.sharedRateFraction = node.number("join", 0, 1, 1);
     for (NodeReader& rung : node.childrenNamed("rung")) {
         const double kb = rung.number("kb", 0.01, 1e7), worth = rung.number("worth", 0, 1);
         if (!ladder.kb.empty() && kb <= ladder.kb.back())
@@ -77,7 +77,7 @@
     fleet.uplinkKb = node.number("uplink-kb", 0, 1e12, 0);
     fleet.hasSizes = fleet.linkKbPerSize > 0;
     fleet.listOnRequest = true;
-    fleet.fullFrom = node.number("full-from", 0, 100, 0);
+    fleet.fullThreshold = node.number("full-from", 0, 100, 0);
     for (NodeReader& zone : node.childrenNamed("zone")) {
         const std::string name = zone.argument("its name");
         if (name.empty() || std::find(out.zones.begin(), out.zones.end(), name) != out.zones.end())
--- a/src/setup/setup.cpp
+++ b/src/setup/setup.cpp
@@ -16,7 +16,8 @@
     Ladder ladder{numbers(video, "ladder_kb", where), numbers(video, "ladder_worth", where),
                   numberOr(video, "stall", 0, where), numberOr(video, "switch_cost_s", 0, where),
                   numberOr(video, "join", 1, where)};
-    if (ladder.joinPart < 0 || ladder.joinPart > 1) throwInvalid(where, "'join' is no part of a rate");
+    if (ladder.sharedRateFraction < 0 || ladder.sharedRateFraction > 1)
+        throwInvalid(where, "'join' is no part of a rate");
     if (ladder.kb.empty() || ladder.kb.size() != ladder.worth.size())
         throwInvalid(where, "'ladder_kb' and 'ladder_worth' do not match");
     return ladder;
@@ -56,7 +57,7 @@
     fleet.linksKb = number(video, "links_kb", where);
     fleet.linkKbPerSize = numberOr(video, "weight_kb", 0, where);
     fleet.uplinkKb = numberOr(video, "rack_link_kb", 0, where);
-    fleet.fullFrom = numberOr(video, "full_from", 0, where);
+    fleet.fullThreshold = numberOr(video, "full_from", 0, where);
     const std::string weights = textOr(setup, "weights", "none", where);
     fleet.listOnRequest = textOr(setup, "discovery", "push", where) == "ask";
     fleet.hasSizes = weights == "nominal" || weights == "rough";
--- a/src/simulation/baselines.cpp
+++ b/src/simulation/baselines.cpp
@@ -27,7 +27,7 @@
     }
     void onServerListChange(Micros, std::span<const SfuEntry> some) override {
         for (const SfuEntry& s : some) {
-            if (s.standing == ServerState::On)
+            if (s.state == ServerState::On)
                 on_[s.id] = s.cell;
             else
                 on_.erase(s.id);
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -152,7 +152,7 @@
         ++starts;
         SfuEntry& l = line_[std::size_t(i)];
         SfuEntry old = l;
-        old.standing = ServerState::Off;
+        old.state = ServerState::Off;
         Running& gone = running_[l.id];
         gone.off = true;
         for (const auto& [id, f] : gone.sessions) {
--- a/tests/logic_fixture.hpp
+++ b/tests/logic_fixture.hpp
@@ -27,8 +27,8 @@
     bool stale = false;
     bool listOnRequest = false;
     unsigned seed = 11;
-    double joinPart = 1;  // below 1: the room type "room" is live, and its viewers share streams
-    double fullFrom = 0;
+    double sharedRateFraction = 1;  // below 1: the room type "room" is live, and its viewers share streams
+    double fullThreshold = 0;
     double crossZone = 0;  // above 0: every second server stands in another zone
 };
 
@@ -43,11 +43,12 @@
   public:
     explicit Rig(const Site& s) : site(s) {
         const RoomType room{"room",         800'000, 1,       s.paid, s.keyed, true,
-                            s.repeatWithin, 1,       s.floor, 2,      s.seats, s.joinPart < 1};
+                            s.repeatWithin, 1,       s.floor, 2,      s.seats, s.sharedRateFraction < 1};
         const RoomType other{"other", 800'000, 2, false, false, true, 0, 1.4, 0, 2, 0};
         rooms = {room, other};
         logic = std::make_unique<Logic>(
-            *this, now, s.seed, s.fronts, Ladder{{100, 300, 900}, {.3, .7, 1}, 8, .5, s.joinPart}, rooms,
+            *this, now, s.seed, s.fronts, Ladder{{100, 300, 900}, {.3, .7, 1}, 8, .5, s.sharedRateFraction},
+            rooms,
             Fleet{s.sfus,
                   2,
                   10'000.0 * s.sfus,
@@ -57,7 +58,7 @@
                   s.listOnRequest,
                   {24},
                   ZoneId{},
-                  s.fullFrom},
+                  s.fullThreshold},
             ColdStartLimits{12 * kSecond, .4, 2.5, 3 * kSecond}, s.budget ? &*s.budget : nullptr,
             ReportTiming{kSecond, s.every}, SubscriptionLimits{3, s.retryAfter, kSecond / 2},
             ServingCosts{s.crossZone});
@@ -68,9 +69,13 @@
         }
         logic->onServerList(now, list, s.stale);
     }
-    static SfuEntry entry(int i, ServerState standing, Micros launched = 0) {
-        return {SfuId{100u + static_cast<unsigned>(i)}, standing,         launched,
-                Cell{static_cast<unsigned>(i)},         MachineKindId{0}, 1};
+    static SfuEntry entry(int i, ServerState state, Micros launched = 0) {
+        return {SfuId{100u + static_cast<unsigned>(i)},
+                state,
+                launched,
+                Cell{static_cast<unsigned>(i)},
+                MachineKindId{0},
+                1};
     }
     void subscribe(unsigned id, Micros giveUpIn = 3 * kSecond, unsigned room = 0,
                    const std::string& title = "t") {
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -274,7 +274,7 @@
 TEST(Shared, HundredsOfFrontsBringTheViewersOfALiveTitleTogether) {
     std::set<SfuId> live, recorded;
     for (unsigned seed = 1; seed <= 100; ++seed) {
-        Rig rig(Site{.sfus = 40, .fronts = 100, .every = 0, .seed = seed, .joinPart = .3});
+        Rig rig(Site{.sfus = 40, .fronts = 100, .every = 0, .seed = seed, .sharedRateFraction = .3});
         rig.subscribe(1);
         rig.subscribe(2, 3 * kSecond, 1);
         rig.run(kSecond / 10);
@@ -288,7 +288,7 @@
 TEST(Shared, AnotherTitleGathersElsewhereAndADrainingServerIsLeftOut) {
     std::set<SfuId> a, b;
     for (unsigned seed = 1; seed <= 30; ++seed) {
-        Rig rig(Site{.sfus = 40, .fronts = 100, .every = 0, .seed = seed, .joinPart = .3});
+        Rig rig(Site{.sfus = 40, .fronts = 100, .every = 0, .seed = seed, .sharedRateFraction = .3});
         rig.subscribe(1, 3 * kSecond, 0, "one");
         rig.subscribe(2, 3 * kSecond, 0, "two");
         rig.run(kSecond / 10);
@@ -296,7 +296,7 @@
         b.insert(rig.last(2).at);
     }
     EXPECT_NE(a, b);
-    Rig rig(Site{.sfus = 40, .fronts = 100, .every = 0, .joinPart = .3});
+    Rig rig(Site{.sfus = 40, .fronts = 100, .every = 0, .sharedRateFraction = .3});
     std::vector<SfuEntry> fading;
     for (const SfuId id : a)
         fading.push_back(Rig::entry(static_cast<int>(id.v - 100), ServerState::Draining));
@@ -311,7 +311,7 @@
     int shared = 0, alone = 0;
     for (unsigned seed = 1; seed <= 30; ++seed)
         for (const double part : {.3, 1.}) {
-            Rig rig(Site{.sfus = 1, .fronts = 50, .every = 0, .seed = seed, .joinPart = part});
+            Rig rig(Site{.sfus = 1, .fronts = 50, .every = 0, .seed = seed, .sharedRateFraction = part});
             rig.subscribe(1);
             rig.run(kSecond / 10);
             rig.play(1);
@@ -367,7 +367,7 @@
 TEST(Untold, OneThatTurnsAwayAsFullIsNotTheNextOnesFirstChoice) {
     int again = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        Rig rig(Site{.sfus = 3, .fronts = 50, .every = 0, .seed = seed, .fullFrom = 1});
+        Rig rig(Site{.sfus = 3, .fronts = 50, .every = 0, .seed = seed, .fullThreshold = 1});
         rig.subscribe(1);
         rig.run(kSecond / 10);
         const SfuId first = rig.last(1).at;
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -216,7 +216,7 @@
     servers.connect(core);
     servers.setAddress(SfuId{0}, day.servers[0]->endpoint());
     SfuEntry one;
-    one.standing = ServerState::On;
+    one.state = ServerState::On;
     core.onServerList(std::span(&one, 1), false);
     const auto ask = [&](std::uint32_t room, int n) {
         SubscriptionRequest wish;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -46,7 +46,7 @@
         EXPECT_TRUE(!room(r).paid || nothingRan(r)) << "a paid set-up repeated";
         EXPECT_TRUE(!room(r).keyed || nothingRan(r) || now - r.sent.back().second < room(r).repeatWithin);
         ASSERT_TRUE(lines.count(at));
-        EXPECT_EQ(lines[at].standing, ServerState::On) << "a join to a media server that drains or is gone";
+        EXPECT_EQ(lines[at].state, ServerState::On) << "a join to a media server that drains or is gone";
         bool holds = false;
         for (int j = 0; j < r.wish.holders; ++j)
             holds |= (r.wish.firstCell.v + static_cast<unsigned>(j)) % static_cast<unsigned>(site.sfus) ==
