--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -1,10 +1,11 @@
-// valekeel's decisions: all of them, with every table and tuned value. The interface is src/logic.hpp; the
-// adapter (src/adapter) makes one Logic for each front and calls one method for each thing that happens, in
-// order, with the time. The module answers by calling the Host that it was handed, at once or from onWake().
+// The decision module of one front: placement, rung selection, rules on joins and health of media servers.
+// The interface is src/logic.hpp: the owner (src/adapter, or a front) makes one Logic for each front and
+// calls one method for each event, in order, with the time. The module acts through the Host that it was
+// given, at once or from onWake().
 //
-// The ordinary path is ES-HAS (docs/design.md): onSubscribe() gathers requests for a slot, place() gives each
-// the holder and rung of least score, and sweep() steps playing subscriptions down and up. Each join passes
-// mayJoin(), which holds every rule; each final answer passes giveUp().
+// Normal operation is ES-HAS (docs/design.md): onSubscribe() collects requests for a time slot, place() gives
+// each the media server and rung of lowest score, and sweep() steps playing subscriptions down and up. Each
+// join passes mayJoin(), which holds every rule; each final answer passes reject().
 #include "logic.hpp"
 
 #include <algorithm>
@@ -20,72 +21,90 @@
 namespace valekeel {
 namespace {
 
-// ---- the ordinary path ----
-constexpr Micros kSlot = 20'000;    // theta; the paper finds under 52 ms harmless, and a join takes longer
-constexpr Micros kRound = 250'000;  // between looks at what plays
-constexpr double kAlphaTime = 0.1;  // a1 and a3: the design page's starting values
-constexpr double kAlphaGap = 0.02;  // a2: the page's 0.1 holds dear ladders down twice, beside a1
-constexpr double kAlphaRate = 0.8;
-constexpr double kFill = 0.9;        // a pair that would fill more of the room than this is skipped
-constexpr double kLeastFree = 0.02;  // part of a link that is never taken to be gone, to divide by
-constexpr double kCrossing = 3;      // how the price of crossing zones weighs beside the rate
-constexpr double kNearTie = 0.02;    // scores so near each other are settled by chance
-constexpr double kLinkTie = 0.3;   // how the link weighs beside the narrower of link and uplink, if none fits
-constexpr double kOverfull = 1.0;  // a lowest rung that fills a link beyond this is throttled
-constexpr double kDropOver = 1.02;      // a link asked for more than this is relieved ...
-constexpr double kDropTo = 0.95;        // ... down to this: true rates wander by some tens of percent
-constexpr double kSpare = 0.8;          // a rise must leave 20% spare
-constexpr double kLeastFreeable = 0.5;  // part of all rates that can be given up, taken at least
-constexpr double kNewValue = 0.02;      // part that a look at what plays moves the typical value of a step
-constexpr double kReliefTaken = 0.5;    // of what others can give up, so much is taken to be given at once
-constexpr Micros kDropPause = 10 * kSecond;
-constexpr Micros kQuiet = 6 * kSecond;
-constexpr double kRiseMore = 1.5;  // times its part of the room: some of those that play there can't rise
-constexpr double kEarnBack = 4;    // a rise must earn the switch this many times over
-
-// ---- what is believed of links ----
-constexpr double kUseHalfLife = 8;      // seconds after which a told figure counts half
-constexpr double kUseUntold = 0.6;      // what a link of which nothing is known is taken to be asked
-constexpr double kUntoldMost = 0.9;     // at most so: one join there tells, a guess of full never would
-constexpr Micros kAnswerAge = 400'000;  // load figures in answers are about this old
-constexpr double kLinkClear = 0.92;     // a link asked for under so much of a shortness is not its cause
-constexpr double kNoisyShare = 0.4;     // part that a noisy figure in an answer moves the belief
-constexpr double kUplinkBack = 0.05;  // an uplink found narrow widens by so much a second while used and well
-constexpr double kLikelyLeft = 25;    // seconds that a subscription without a hint is taken to go on
-
-// ---- where no figures of load come by themselves ----
-constexpr double kUplinkUntold = 0.75;  // what an uplink is taken to be asked, ...
-constexpr double kUplinkShort = 0.4;  // ... more by the part of own subscriptions that get short delivery ...
-constexpr double kUplinkMost = 0.92;  // ... and at most
-constexpr double kShortMoves = 0.15;  // part that a look moves that part
-constexpr Micros kFullTold = 3 * kSecond;      // a short note says so long that an uplink is full
-constexpr Micros kQuietUntold = 15 * kSecond;  // so long without a short note stands in for a figure
-constexpr double kEmptier = 0.3;               // how a link counts among those that get the same rung
+// Utilization ("use") is the demand on a link or uplink over its capacity: 1 is full. A link belongs to one
+// media server, an uplink to the rack in front of several.
+
+// ---- placement and rung selection ----
+constexpr Micros kSlotLength = 20'000;      // theta; harmless under 52 ms (paper), and a join takes longer
+constexpr Micros kSweepInterval = 250'000;  // between adjustments of playing subscriptions
+// Weights of the score, the paper's a1 to a3. a1 and a3 are the initial values of docs/design.md. Its 0.1 for
+// a2 would penalize the upper rungs of expensive ladders twice, as a1 does so already.
+constexpr double kAlphaTime = 0.1;             // a1: fetch time
+constexpr double kAlphaGap = 0.02;             // a2: distance from the lowest rung
+constexpr double kAlphaRate = 0.8;             // a3: benefit of the rung
+constexpr double kMaxHeadroomFill = 0.9;       // part of the free capacity that one placement may take
+constexpr double kMinFreeFraction = 0.02;      // lower bound of a link's free part where it is a divisor
+constexpr double kCrossZoneWeight = 3;         // weight of the cross-zone cost relative to kAlphaRate
+constexpr double kScoreJitter = 0.02;          // largest random term of a score: breaks near ties
+constexpr double kFallbackLinkWeight = 0.3;    // if no rung fits: weight of the link beside max(link, uplink)
+constexpr double kMaxFallbackUse = 1.0;        // a request whose lowest rung exceeds this is throttled
+constexpr double kStepDownAboveUse = 1.02;     // utilization above which rungs are stepped down ...
+constexpr double kStepDownTargetUse = 0.95;    // ... to this one: true rates vary by some tens of percent
+constexpr double kStepUpMaxUse = 0.8;          // a step up must leave 20% spare
+constexpr double kMinFreeableFraction = 0.5;   // lower bound of freeableFraction_ where it is a divisor
+constexpr double kStepValueSmoothing = 0.02;   // smoothing factor of typicalStepValue_, for each sweep
+constexpr double kOthersReliefFraction = 0.5;  // assumed part that other fronts free at once
+constexpr Micros kStepDownInterval = 10 * kSecond;  // from a rung change of a subscription to its step down
+constexpr Micros kStepUpInterval = 6 * kSecond;     // from a rung change or a short delivery to a step up
+// Times this front's proportional part of the free capacity: some of the subscriptions there can't step up.
+constexpr double kStepUpShareFactor = 1.5;
+constexpr double kMinSwitchReturn = 4;  // a step up must earn the cost of the switch this many times over
+
+// ---- estimates of link use ----
+constexpr double kUseHalfLifeSeconds = 8;   // half-life of the weight of a reported utilization
+constexpr double kDefaultLinkUse = 0.6;     // assumed of a link while nothing is known
+constexpr double kMaxAssumedLinkUse = 0.9;  // a link assumed to be full would get no join to disprove it
+constexpr Micros kAnswerLoadAge = 400'000;  // load values in answers are about this old
+// A link that is used less than this part of the demand behind a short delivery is not its cause.
+constexpr double kLinkClearFraction = 0.92;
+constexpr double kAnswerLoadSmoothing = 0.4;  // smoothing factor of the noisy load values in answers
+constexpr double kReportSmoothing = 0.8;      // smoothing factor of load reports on playing subscriptions
+constexpr double kUplinkRecoveryPerSecond = 0.05;  // growth of an uplink estimate while used and not short
+constexpr double kDefaultRemainingSeconds = 25;    // assumed of a subscription without a watch time hint
+constexpr double kFullShare = 0.98;                // delivered share from which delivery is not short
+constexpr Micros kMaxReportAge = 6 * kSecond;      // older reports do not count for the mean of the fleet
+constexpr double kUplinkRecoveryMinUse = 0.5;      // for growth of an estimate up to the configured capacity
+constexpr double kUplinkGrowthMinUse = 0.9;        // for growth of an estimate beyond it
+constexpr Micros kUplinkRecoveryDelay = 3 * kSecond;  // from a short delivery to the recovery of an estimate
+constexpr Micros kShortageFresh = 2 * kSecond;   // a media server counts as short this long after a report
+constexpr Micros kChangeHistory = 20 * kSecond;  // how long own rate changes are kept
+constexpr Micros kFullHoldoff = kSecond;         // no join this long after a media server answered "full"
+constexpr Micros kLongAgo = -1'000 * kSecond;    // "never" of time stamps
+
+// ---- deployments without periodic load reports ----
+constexpr double kDefaultUplinkUse = 0.75;          // assumed of an uplink, ...
+constexpr double kUplinkUsePerShortFraction = 0.4;  // ... plus this times shortFraction_, ...
+constexpr double kMaxAssumedUplinkUse = 0.92;       // ... but no more than this
+constexpr double kShortFractionSmoothing = 0.15;    // smoothing factor of shortFraction_, for each sweep
+constexpr Micros kUplinkFullMemory = 3 * kSecond;   // a short delivery marks an uplink as full this long
+constexpr Micros kStepUpIntervalUnreported = 15 * kSecond;  // this long without a short delivery is a report
+constexpr double kLinkUseTieWeight = 0.3;  // weight of the link's use among servers that get the same rung
 
 // ---- live streams that viewers share ----
-constexpr double kGather = 0.15;  // part of a live title's holders that all fronts bring its viewers to ...
-constexpr int kShareSteps = 2;    // gathered viewers are set up at every second rung, to meet at it
-constexpr double kAlone = 0.2;    // how often one finds nobody at its rung where its title gathers
-constexpr std::size_t kGatherLeast = 2;  // ... and so many at least
+constexpr double kGatherFraction = 0.15;      // part of a live title's holders that get all its viewers ...
+constexpr std::size_t kMinGatherServers = 2;  // ... and the least number of them
+constexpr int kGatherRungStep = 2;            // gathered viewers use every second rung, to share streams
+constexpr double kAloneProbability = 0.2;     // of finding no other viewer at the rung where a title gathers
 
 // ---- health: a sequential test, H1 "half of its joins fail" against H0 "two in a hundred do" ----
-const double kFailStep = std::log(0.5 / 0.02);
-const double kGoodStep = std::log(0.5 / 0.98);
-constexpr double kVerdict = 4.0;  // evidence at which a media server is set aside
-constexpr double kMostEvidence = 6.5;
-constexpr double kDoubtWeight = 0.15;         // how a doubt short of a verdict weighs in the score
-constexpr Micros kTitleKnown = 60 * kSecond;  // a title seen to play so lately is no asker's invention
-constexpr Micros kFirstPause = 1 * kSecond, kLongestPause = 8 * kSecond;
-
-// ---- time-outs ----
-constexpr Micros kSetupEdges[] = {60'000,  100'000, 150'000, 200'000,   300'000,
-                                  400'000, 600'000, 900'000, 1'500'000, 3'000'000};
-constexpr double kEnoughSetups = 8;
-constexpr Micros kLeastPatience = 250'000;
-constexpr Micros kAskAgain = 500'000;
-constexpr double kColdPart = 0.6;  // of the pace that the rules allow a cold media server
-constexpr double kTurn =
-    3;  // tipAfters that a turn lasts: any one tipAfter meets 1 + 1/3 times as many turns
+const double kFailureEvidence = std::log(0.5 / 0.02);
+const double kSuccessEvidence = std::log(0.5 / 0.98);
+constexpr double kUnhealthyEvidence = 4.0;  // evidence at which the circuit breaker of a media server opens
+constexpr double kMaxEvidence = 6.5;
+constexpr double kEvidencePenalty = 0.15;        // weight of evidence below that threshold in the score
+constexpr Micros kTitleKnownFor = 60 * kSecond;  // a title that played this recently does exist
+constexpr Micros kMinProbeBackoff = 1 * kSecond, kMaxProbeBackoff = 8 * kSecond;
+
+// ---- timeouts, retries and cold start ----
+constexpr Micros kSetupTimeEdges[] = {60'000,  100'000, 150'000, 200'000,   300'000,
+                                      400'000, 600'000, 900'000, 1'500'000, 3'000'000};
+constexpr double kMinSetupSamples = 8;
+constexpr int kMaxSetupSamples = 64;  // above this all samples lose half of their weight
+constexpr Micros kMinJoinTimeout = 250'000;
+constexpr Micros kMinListRetryDelay = 500'000;  // the longest is twice this
+constexpr double kColdPaceFraction = 0.6;       // of the pace that the rules allow a cold media server
+// Length of a turn in tipAfters: any one tipAfter overlaps 1 + 1/3 times as many turns.
+constexpr double kColdTurnTipAfters = 3;
 
 }  // namespace
 
@@ -93,250 +112,265 @@
   public:
     Impl(Host& host, Micros now, std::uint64_t seed, int fronts, const Ladder& ladder,
          const std::vector<RoomType>& rooms, const Fleet& fleet, const ColdStartLimits& cold,
-         const JoinBudget* budget, const ReportTiming& tidings, const SubscriptionLimits& allowed,
-         const ServingCosts& prices)
+         const JoinBudget* budget, const ReportTiming& reportTiming, const SubscriptionLimits& limits,
+         const ServingCosts& costs)
         : host_(host),
-          bornAt_(now),
-          chance_(static_cast<std::knuth_b::result_type>(seed)),
+          startedAt_(now),
+          random_(static_cast<std::knuth_b::result_type>(seed)),
           seed_(seed),
-          fronts_(std::max(1, fronts)),
+          frontCount_(std::max(1, fronts)),
           ladder_(ladder),
           rooms_(rooms),
           fleet_(fleet),
           cold_(cold),
-          tidings_(tidings),
-          allowed_(allowed),
-          prices_(prices),
-          setups_(kSetupEdges) {
+          reportTiming_(reportTiming),
+          limits_(limits),
+          costs_(costs),
+          setupTimes_(kSetupTimeEdges) {
         if (budget) budget_ = *budget;
-        for (const RoomType& r : rooms_) meanBenefit_ += r.benefit / static_cast<double>(rooms_.size());
+        for (const RoomType& room : rooms_) meanBenefit_ += room.benefit / static_cast<double>(rooms_.size());
         uplinks_.resize(static_cast<std::size_t>(fleet_.racks));
-        host_.wakeAfter(kRound, "sweep");
+        host_.wakeAfter(kSweepInterval, "sweep");
         if (fleet_.listOnRequest) host_.followList();
     }
 
-    // ================= what happens =================
+    // ================= events =================
 
     void onServerList(std::span<const SfuEntry> entries, bool stale) {
         for (auto& [id, s] : sfus_) s.state = ServerState::Off;
-        listStale_ = stale;
+        isListStale_ = stale;
         onServerListChange(entries);
     }
 
     void onServerListChange(std::span<const SfuEntry> entries) {
-        for (const SfuEntry& e : entries) {
-            Sfu& s = sfus_[e.id];
-            if (e.launched > s.startedAt) {  // a new process: what was held against the old one is void
-                s.startedAt = e.launched;
+        for (const SfuEntry& entry : entries) {
+            Sfu& s = sfus_[entry.id];
+            if (entry.launched >
+                s.startedAt) {  // a new process: evidence and load of the old one do not apply
+                s.startedAt = entry.launched;
                 s.evidence = 0;
-                s.link = Pipe{};
+                s.link = UseEstimate{};
             }
-            s.state = e.state;
-            s.cell = e.cell;
-            s.kind = e.kind;
-            s.size = e.size;
-            s.zone = e.zone;
+            s.state = entry.state;
+            s.cell = entry.cell;
+            s.kind = entry.kind;
+            s.size = entry.size;
+            s.zone = entry.zone;
         }
         double places = 0;
         for (const auto& [id, s] : sfus_)
             if (s.state != ServerState::Off) places += placesOf(s);
         if (places > 0 && kbPerPlace_ == 0) {
             kbPerPlace_ = fleet_.linksKb / places;
-            sizeUplinks();
+            estimateUplinkCapacities();
         }
     }
 
-    // Only the mean uplink is told. Uplinks are built for the links behind them, so each is taken to be that
-    // part of the mean; else all fronts would take the rack of the smallest links for the emptiest.
-    void sizeUplinks() {
-        std::vector<double> links(uplinks_.size(), 0);
-        double all = 0;
+    // Estimates the capacity of each uplink. Only the mean is configured. Uplinks are built for the links
+    // behind them, so capacities are in proportion to those links; equal ones would make all fronts take the
+    // rack of the smallest links for the emptiest.
+    void estimateUplinkCapacities() {
+        std::vector<double> rackLinksKb(uplinks_.size(), 0);
+        double totalKb = 0;
         for (const auto& [id, s] : sfus_) {
-            links[rackOf(s)] += nominalKb(s);
-            all += nominalKb(s);
+            rackLinksKb[rackOf(s)] += nominalKb(s);
+            totalKb += nominalKb(s);
         }
-        for (std::size_t rack = 0; rack < links.size(); ++rack)
-            uplinks_[rack].kb = uplinks_[rack].nominalKb =
-                fleet_.uplinkKb * links[rack] * static_cast<double>(links.size()) / std::max(1.0, all);
+        for (std::size_t rack = 0; rack < rackLinksKb.size(); ++rack)
+            uplinks_[rack].capacityKb = uplinks_[rack].nominalKb = fleet_.uplinkKb * rackLinksKb[rack] *
+                                                                   static_cast<double>(rackLinksKb.size()) /
+                                                                   std::max(1.0, totalKb);
     }
 
-    // The list held still applies. All fronts may have failed together, so they ask again apart.
+    // The list held so far still applies. All fronts may have failed at once, so retries are spread out.
     void onServerListFailure() {
         if (fleet_.listOnRequest)
-            host_.wakeAfter(std::uniform_int_distribution<Micros>(kAskAgain, 2 * kAskAgain)(chance_), "list");
+            host_.wakeAfter(
+                std::uniform_int_distribution<Micros>(kMinListRetryDelay, 2 * kMinListRetryDelay)(random_),
+                "list");
     }
 
-    void onSubscribe(Micros now, SubId id, const SubscriptionRequest& wish) {
-        Sub& sub = subs_[id] = Sub{};
-        sub.wish = wish;
-        sub.takenAt = now;
+    void onSubscribe(Micros now, SubId id, const SubscriptionRequest& request) {
+        Subscription& sub = subs_[id] = Subscription{};
+        sub.request = request;
+        sub.requestedAt = now;
         sub.rung = roomOf(sub).floor;
-        if (budget_) taken_.push_back(now);
+        if (budget_) requestTimes_.push_back(now);
         waiting_.push_back(id);
-        if (tooLateToWait(now, sub))
-            placeAll(now);
+        if (cannotWaitForSlot(now, sub))
+            placeWaiting(now);
         else
             openSlot();
     }
 
-    void onAdopted(Micros now, SubId id, const SubscriptionRequest& wish, SfuId at) {
-        Sub& sub = subs_[id] = Sub{};
-        sub.wish = wish;
-        sub.takenAt = sub.playsSince = now;
+    void onAdopted(Micros now, SubId id, const SubscriptionRequest& request, SfuId server) {
+        Subscription& sub = subs_[id] = Subscription{};
+        sub.request = request;
+        sub.requestedAt = sub.playingSince = now;
         sub.state = State::Playing;
-        sub.joins = 1;
+        sub.joinCount = 1;
         sub.rung = roomOf(sub).floor;
-        sub.at = at;
-        handedOver_ = true;
-        playedAt_[titleOf(sub)] = now;
-        hold(now, sub, +1);
-        forgetChanges(sfus_[at]);
+        sub.server = server;
+        hasAdopted_ = true;
+        lastPlayedAt_[titleOf(sub)] = now;
+        book(now, sub, +1);
+        discardRateChanges(sfus_[server]);
     }
 
-    void onPlaying(Micros now, SubId id, int, SfuId at, Micros took) {
+    void onPlaying(Micros now, SubId id, int, SfuId server, Micros setupTime) {
         auto it = subs_.find(id);
         if (it == subs_.end()) return;
-        Sub& sub = it->second;
-        if (sub.state == State::Joining) --sfus_[at].joinsOut;
+        Subscription& sub = it->second;
+        if (sub.state == State::Joining) --sfus_[server].joinsInFlight;
         sub.state = State::Playing;
-        sub.playsSince = now;
-        learnSetup(took);
-        playedAt_[titleOf(sub)] = now;
-        // It answers again after breaks or silence: it may have started just now, whatever the list says yet.
-        // Guards against a rush onto a cold server; after a mere cut of the network it costs one warm-up.
-        Sfu& s = sfus_[at];
-        if (s.evidence >= kVerdict && s.mayHaveRestartedAt > s.startedAt) s.mayHaveRestartedAt = now;
-        judge(now, sfus_[at], kGoodStep);
-    }
-
-    void onJoinEnded(Micros now, SubId id, SfuId at, JoinResult end, bool over, const LoadReport& load) {
-        Sfu& s = sfus_[at];
-        if (load.linkUse) hearLink(now, s, *load.linkUse, kAnswerAge, kNoisyShare);
-        if (load.uplinkUse) hearUplink(now, rackOf(s), *load.uplinkUse, kAnswerAge, kNoisyShare);
+        sub.playingSince = now;
+        recordSetupTime(setupTime);
+        lastPlayedAt_[titleOf(sub)] = now;
+        // A server that answers again after failures or silence may have just restarted, even if the list
+        // does not say so yet. Guards against a rush onto a cold server; after a mere network outage it costs
+        // one warm-up.
+        Sfu& s = sfus_[server];
+        if (s.evidence >= kUnhealthyEvidence && s.mayHaveRestartedAt > s.startedAt)
+            s.mayHaveRestartedAt = now;
+        addEvidence(now, sfus_[server], kSuccessEvidence);
+    }
+
+    void onJoinEnded(Micros now, SubId id, SfuId server, JoinResult result, bool isOver,
+                     const LoadReport& load) {
+        Sfu& s = sfus_[server];
+        if (load.linkUse) updateLinkUse(now, s, *load.linkUse, kAnswerLoadAge, kAnswerLoadSmoothing);
+        if (load.uplinkUse)
+            updateUplinkUse(now, rackOf(s), *load.uplinkUse, kAnswerLoadAge, kAnswerLoadSmoothing);
         auto it = subs_.find(id);
-        const bool played = it != subs_.end() && it->second.state == State::Playing;
-        const bool suspected = it != subs_.end() && it->second.overdue;
-        // An error over a title that was not seen to play may be the asker's own: guards against callers who
-        // ask for what no media server has. It hides a sick one while nothing but unseen titles is asked for.
-        const bool askers =
-            end == JoinResult::Error && it != subs_.end() && !playedAt_.contains(titleOf(it->second));
-        switch (end) {
+        const bool wasPlaying = it != subs_.end() && it->second.state == State::Playing;
+        const bool alreadyCounted = it != subs_.end() && it->second.countedAsFailure;
+        // An error for a title that has not been seen to play may be the caller's own: guards against callers
+        // who request titles that no media server has. It hides a failing server while only such titles are
+        // requested.
+        const bool isCallersFault =
+            result == JoinResult::Error && it != subs_.end() && !lastPlayedAt_.contains(titleOf(it->second));
+        switch (result) {
             case JoinResult::Error:
             case JoinResult::Reset:
             case JoinResult::NoConnection:
             case JoinResult::TimedOut:
-                if (!suspected && !askers) judge(now, s, kFailStep);
-                // A break of what plays, or nobody there, says that the process is lost. An answer that did
-                // not come may be no more than that: one alone must not make a whole fleet count as cold.
-                if (played || end == JoinResult::NoConnection || s.evidence >= kVerdict)
+                if (!alreadyCounted && !isCallersFault) addEvidence(now, s, kFailureEvidence);
+                // A playing session that breaks, or a refused connection, means that the process is lost. A
+                // missing answer may be a lost message: a single one must not make a whole fleet count as
+                // cold.
+                if (wasPlaying || result == JoinResult::NoConnection || s.evidence >= kUnhealthyEvidence)
                     s.mayHaveRestartedAt = now;
                 break;
             case JoinResult::Full:
-                s.fullUntil = now + kSecond;
-                if (fleet_.fullThreshold > 0 && untold())
-                    hearLink(now, s, std::max(fleet_.fullThreshold, linkAsked(now, s)), 0, 1);
+                s.fullUntil = now + kFullHoldoff;
+                if (fleet_.fullThreshold > 0 && lacksLoadReports())
+                    updateLinkUse(now, s, std::max(fleet_.fullThreshold, estimateLinkUse(now, s)), 0, 1);
                 break;
             default:
                 break;
         }
         if (it == subs_.end()) return;
-        Sub& sub = it->second;
-        hold(now, sub, -1);
-        if (over || played || sub.gone) {
+        Subscription& sub = it->second;
+        book(now, sub, -1);
+        if (isOver || wasPlaying || sub.hasLeft) {
             subs_.erase(it);
             return;
         }
-        if (end != JoinResult::Full && end != JoinResult::NoConnection && end != JoinResult::NeverSent)
+        if (result != JoinResult::Full && result != JoinResult::NoConnection &&
+            result != JoinResult::NeverSent)
             sub.mayHaveRun = true;
         sub.state = State::Waiting;
-        sub.overdue = false;
-        // A paid set-up that may have run can't be tried again, and no other try can still be in time.
-        if ((roomOf(sub).paid && sub.mayHaveRun) || end == JoinResult::NeverSent ||
-            (askers && sub.joins > 1) || now >= sub.takenAt + roomOf(sub).joinObjective) {
-            giveUp(now, id);
+        sub.countedAsFailure = false;
+        // A paid set-up that may have run must not be repeated, and a retry past the objective is too late.
+        if ((roomOf(sub).paid && sub.mayHaveRun) || result == JoinResult::NeverSent ||
+            (isCallersFault && sub.joinCount > 1) || now >= sub.requestedAt + roomOf(sub).joinObjective) {
+            reject(now, id);
             return;
         }
         waiting_.push_back(id);
-        placeAll(now);
+        placeWaiting(now);
     }
 
     void onViewerLeft(Micros, SubId id) {
         auto it = subs_.find(id);
         if (it == subs_.end()) return;
         if (it->second.state == State::Joining)
-            it->second.gone = true;  // its Result is still to come, and holds its seat until then
+            it->second.hasLeft = true;  // its result is pending, and it holds its seat until then
         else if (it->second.state == State::Waiting)
             subs_.erase(it);
     }
 
-    void onShareDelivered(Micros now, SfuId at, double share) {
-        Sfu& s = sfus_[at];
-        if (share >= 0.98) {
+    void onShareDelivered(Micros now, SfuId server, double share) {
+        Sfu& s = sfus_[server];
+        if (share >= kFullShare) {
             Uplink& up = uplinks_[rackOf(s)];
-            s.shortBy = 0;
-            if (s.link.told) s.link.use = std::min(s.link.use, 0.97);
-            if (up.pipe.told) up.pipe.use = std::min(up.pipe.use, 0.97);
+            s.shortageRatio = 0;
+            if (s.link.hasReport) s.link.use = std::min(s.link.use, 0.97);
+            if (up.estimate.hasReport) up.estimate.use = std::min(up.estimate.use, 0.97);
             return;
         }
-        // A short note marks the link full. Whether it was the link or the uplink shows when the next figure
-        // of the link comes, which is as old as the note.
-        s.shortAt = now;
-        s.shortBy = 1 / std::max(0.05, share);
-        // Where no figure will come, the one believed stands in for it.
-        if (untold() && linkAsked(now, s) < kLinkClear * s.shortBy && uplinkShort(now, s))
-            hearUplink(now, rackOf(s), s.shortBy, tidings_.late, 1);
+        // A report of short delivery marks the link as full. The next report of link use, which is as old as
+        // this one, shows whether the link or the uplink was the bottleneck.
+        s.lastShortAt = now;
+        s.shortageRatio = 1 / std::max(0.05, share);
+        // Without periodic load reports the current estimate takes its place.
+        if (lacksLoadReports() && estimateLinkUse(now, s) < kLinkClearFraction * s.shortageRatio &&
+            detectUplinkBottleneck(now, s))
+            updateUplinkUse(now, rackOf(s), s.shortageRatio, reportTiming_.late, 1);
         else
-            hearLink(now, s, std::max(s.shortBy, linkAsked(now, s)), tidings_.late, 1);
+            updateLinkUse(now, s, std::max(s.shortageRatio, estimateLinkUse(now, s)), reportTiming_.late, 1);
     }
 
     void onRungInForce(Micros now, SubId id, int rung) {
         auto it = subs_.find(id);
         if (it == subs_.end()) return;
-        setRung(now, it->second, rung);
-        forgetChanges(sfus_[it->second.at]);
+        applyRung(now, it->second, rung);
+        discardRateChanges(sfus_[it->second.server]);
     }
 
-    void onLinkUse(Micros now, SubId id, SfuId at, double use) {
-        Sfu& s = sfus_[at];
-        const Micros age = noteAge(now, id);
-        if (age > 0 && s.shortBy > 0 && now - s.shortAt < 2 * kSecond && use < kLinkClear * s.shortBy)
-            uplinkShort(now, s);
-        hearLink(now, s, use, age, 0.8);
+    void onLinkUse(Micros now, SubId id, SfuId server, double use) {
+        Sfu& s = sfus_[server];
+        const Micros age = reportAge(now, id);
+        if (age > 0 && s.shortageRatio > 0 && now - s.lastShortAt < kShortageFresh &&
+            use < kLinkClearFraction * s.shortageRatio)
+            detectUplinkBottleneck(now, s);
+        updateLinkUse(now, s, use, age, kReportSmoothing);
     }
-    void onUplinkUse(Micros now, SubId id, SfuId at, double use) {
-        hearUplink(now, rackOf(sfus_[at]), use, noteAge(now, id), 0.8);
+    void onUplinkUse(Micros now, SubId id, SfuId server, double use) {
+        updateUplinkUse(now, rackOf(sfus_[server]), use, reportAge(now, id), kReportSmoothing);
     }
 
-    // What of this front's knowledge still means the same to its next life. Set-up times, shortness and
+    // The knowledge that stays valid across a restart of this front. Set-up times, short deliveries and
     // uplinks belong to routes and racks that may have changed.
     std::vector<ServerEvidence> serverEvidence(Micros now) const {
-        std::vector<ServerEvidence> out;
+        std::vector<ServerEvidence> entries;
         for (const auto& [id, s] : sfus_) {
-            if (s.state == ServerState::Off || (!s.link.told && s.evidence == 0)) continue;
-            const Pipe& link = s.link;
-            out.push_back({id, s.evidence, link.told ? std::optional(link.use) : std::nullopt,
-                           link.told ? now - link.at : 0});
+            if (s.state == ServerState::Off || (!s.link.hasReport && s.evidence == 0)) continue;
+            const UseEstimate& link = s.link;
+            entries.push_back({id, s.evidence, link.hasReport ? std::optional(link.use) : std::nullopt,
+                               link.hasReport ? now - link.reportedAt : 0});
         }
-        return out;
+        return entries;
     }
-    // Guards against a next life that pays again for what is known; an id that is not listed tells nothing.
-    void restoreServerEvidence(Micros now, std::span<const ServerEvidence> all) {
-        for (const ServerEvidence& one : all) {
-            const auto it = sfus_.find(one.id);
+    // Keeps a restarted front from learning the same again at the viewers' expense. Ids that are not listed
+    // are ignored.
+    void restoreServerEvidence(Micros now, std::span<const ServerEvidence> entries) {
+        for (const ServerEvidence& entry : entries) {
+            const auto it = sfus_.find(entry.id);
             if (it == sfus_.end() || it->second.state == ServerState::Off) continue;
             Sfu& s = it->second;
-            if (s.evidence == 0) judge(now, s, one.evidence);
-            if (one.linkUse && !s.link.told) hearLink(now, s, *one.linkUse, one.age, 1);
+            if (s.evidence == 0) addEvidence(now, s, entry.evidence);
+            if (entry.linkUse && !s.link.hasReport) updateLinkUse(now, s, *entry.linkUse, entry.age, 1);
         }
     }
 
     void onWake(Micros now, const std::string& why) {
         if (why == "sweep") {
             sweep(now);
-            host_.wakeAfter(kRound, "sweep");
+            host_.wakeAfter(kSweepInterval, "sweep");
         } else if (why == "slot") {
-            slotOpen_ = false;
-            placeAll(now);
+            isSlotOpen_ = false;
+            placeWaiting(now);
         } else if (why == "list") {
             host_.followList();
         }
@@ -345,35 +379,36 @@
   private:
     enum class State { Waiting, Joining, Playing };
 
-    struct Sub {
-        SubscriptionRequest wish;
+    struct Subscription {
+        SubscriptionRequest request;
         State state = State::Waiting;
-        Micros takenAt = 0, joinedAt = 0, playsSince = 0, changedAt = 0;
-        int joins = 0;
+        Micros requestedAt = 0, joinedAt = 0, playingSince = 0, rungChangedAt = 0;
+        int joinCount = 0;
         int rung = 0;
-        SfuId at;
-        bool mayHaveRun = false;  // some earlier join is not proven never to have run
-        bool overdue = false;     // its silence has been held against the media server
-        bool gone = false;
-        bool gathered = false;  // it plays where all fronts bring its title's viewers
-        double bookedKb = 0;    // what it is taken to add to its link
+        SfuId server;
+        bool mayHaveRun = false;        // an earlier join is not proven never to have run
+        bool countedAsFailure = false;  // its missing answer is already evidence against the server
+        bool hasLeft = false;           // the viewer left while the join was in flight
+        bool isGathered = false;        // placed where all fronts gather the viewers of its title
+        double bookedKb = 0;            // kB/s that it is booked with on its link
     };
 
-    struct Pipe {  // a link or an uplink, as told
-        bool told = false;
-        double use = 0;  // asked over given, at `at`
-        Micros at = 0;
+    // Reported utilization of a link or an uplink, and the rate changes since.
+    struct UseEstimate {
+        bool hasReport = false;
+        double use = 0;  // demand over capacity, at time `reportedAt`
+        Micros reportedAt = 0;
         struct Change {
             Micros at;
-            double ownKb, othersKb;  // of this front's own rates, and what others are taken to have changed
+            double ownKb, othersKb;  // kB/s: of this front's own rates, and assumed of the other fronts
         };
-        std::deque<Change> changes;
+        std::deque<Change> changes;  // oldest first
     };
 
     struct Uplink {
-        Pipe pipe;
-        double kb = 0, nominalKb = 0;
-        Micros shortAt = -1'000 * kSecond;
+        UseEstimate estimate;
+        double capacityKb = 0, nominalKb = 0;  // capacity in kB/s: estimated and configured; 0: not modelled
+        Micros lastShortAt = kLongAgo;
     };
 
     struct Sfu {
@@ -383,28 +418,32 @@
         double size = 1;
         ZoneId zone;
         Micros startedAt = 0, mayHaveRestartedAt = 0;
-        Pipe link;
-        double ownKb = 0;
+        UseEstimate link;
+        double ownKb = 0;     // kB/s booked by this front
         double evidence = 0;  // of the sequential test
-        Micros pause = 0, askAgainAt = 0;
-        double shortBy = 0;  // asked over given, by the last short note
-        Micros risenAt = 0, fullUntil = 0, shortAt = -1'000 * kSecond;
-        Micros lastJoinAt = -1'000 * kSecond;
-        int joinsOut = 0;
+        // Circuit breaker: current backoff, and when the next join may probe the server.
+        Micros probeBackoff = 0, nextProbeAt = 0;
+        // Demand over capacity by the last short delivery; 0: none, or full delivery since.
+        double shortageRatio = 0;
+        Micros steppedUpAt = 0, fullUntil = 0, lastShortAt = kLongAgo;
+        Micros lastJoinAt = kLongAgo;
+        int joinsInFlight = 0;
     };
 
-    static std::pair<RoomTypeId, TitleId> titleOf(const Sub& sub) { return {sub.wish.room, sub.wish.title}; }
-    const RoomType& roomOf(const Sub& sub) const { return rooms_[sub.wish.room.v]; }
-    double kbOf(const Sub& sub, int rung) const {
+    static std::pair<RoomTypeId, TitleId> titleOf(const Subscription& sub) {
+        return {sub.request.room, sub.request.title};
+    }
+    const RoomType& roomOf(const Subscription& sub) const { return rooms_[sub.request.room.v]; }
+    double rateKb(const Subscription& sub, int rung) const {
         return ladder_.kb[static_cast<std::size_t>(rung)] * roomOf(sub).rateFactor;
     }
-    double earns(const Sub& sub, int rung) const {
+    double benefitOf(const Subscription& sub, int rung) const {
         return ladder_.worth[static_cast<std::size_t>(rung)] * roomOf(sub).benefit;
     }
-    int topOf(const Sub& sub) const {
-        return std::max(floorOf(sub), std::min(roomOf(sub).top, sub.wish.maxRung));
+    int maxRungOf(const Subscription& sub) const {
+        return std::max(minRungOf(sub), std::min(roomOf(sub).top, sub.request.maxRung));
     }
-    int floorOf(const Sub& sub) const { return roomOf(sub).floor; }
+    int minRungOf(const Subscription& sub) const { return roomOf(sub).floor; }
     double placesOf(const Sfu& s) const {
         return s.kind.v < fleet_.places.size() ? std::max(1, fleet_.places[s.kind.v]) : 1;
     }
@@ -412,425 +451,489 @@
 
     // ================= shared streams =================
 
-    bool shares(const Sub& sub) const { return roomOf(sub).live && ladder_.sharedRateFraction < 1; }
+    bool isShared(const Subscription& sub) const {
+        return roomOf(sub).live && ladder_.sharedRateFraction < 1;
+    }
 
-    // What a subscription adds to a link: a further viewer of a shared live stream only a part of its rate.
-    // Nothing is told of what plays there through others; where all gather, one mostly finds company.
-    double addsKb(const Sub& sub, SfuId at, int rung, bool gathered) const {
-        if (!shares(sub)) return kbOf(sub, rung);
-        if (streams_.contains({at, sub.wish.room, sub.wish.title, rung}))
-            return ladder_.sharedRateFraction * kbOf(sub, rung);
-        return (gathered ? ladder_.sharedRateFraction + kAlone * (1 - ladder_.sharedRateFraction) : 1) *
-               kbOf(sub, rung);
+    // Returns the kB/s that a subscription adds to a link: a further viewer of a shared live stream adds only
+    // a part of its rate. The viewers of other fronts are not reported; where all fronts gather a title, one
+    // is likely to be there.
+    double marginalKb(const Subscription& sub, SfuId server, int rung, bool isGathered) const {
+        if (!isShared(sub)) return rateKb(sub, rung);
+        if (streamViewers_.contains({server, sub.request.room, sub.request.title, rung}))
+            return ladder_.sharedRateFraction * rateKb(sub, rung);
+        return (isGathered ? ladder_.sharedRateFraction + kAloneProbability * (1 - ladder_.sharedRateFraction)
+                           : 1) *
+               rateKb(sub, rung);
     }
-    void count(const Sub& sub, int sign) {
-        if (!shares(sub)) return;
-        const auto it = streams_.try_emplace({sub.at, sub.wish.room, sub.wish.title, sub.rung}, 0).first;
-        if ((it->second += sign) <= 0) streams_.erase(it);
+    // Adds a viewer to the shared stream of a subscription (sign +1), or removes one (-1).
+    void countViewer(const Subscription& sub, int sign) {
+        if (!isShared(sub)) return;
+        const auto it =
+            streamViewers_.try_emplace({sub.server, sub.request.room, sub.request.title, sub.rung}, 0).first;
+        if ((it->second += sign) <= 0) streamViewers_.erase(it);
     }
 
-    static std::uint64_t mixed(std::uint64_t v) {
+    // Mixes the bits of a 64-bit value, to hash ids.
+    static std::uint64_t mixBits(std::uint64_t v) {
         v *= 0x9E3779B97F4A7C15u;
         v = (v ^ (v >> 29)) * 0xBF58476D1CE4E5B9u;
         return v ^ (v >> 32);
     }
 
-    // Fronts share nothing, yet all rank the holders of a title alike, by a hash of title and id. Its viewers
-    // gather at the first few that are on, warm and not set aside.
-    std::vector<SfuId> gathering(Micros now, const Sub& sub) {
-        std::vector<std::pair<std::uint64_t, SfuId>> order;
-        if (!shares(sub)) return {};
-        std::uint64_t title = 14695981039346656037u;
-        for (const char c : sub.wish.title.v)
-            title = (title ^ static_cast<unsigned char>(c)) * 1099511628211u;
+    // Returns the media servers at which all fronts gather the viewers of a live title: in the order of a
+    // hash of title and id, the first few that are on, warm and whose circuit breaker is closed. So fronts
+    // agree without shared state (rendezvous hashing).
+    std::vector<SfuId> gatherServers(Micros now, const Subscription& sub) {
+        std::vector<std::pair<std::uint64_t, SfuId>> ranked;
+        if (!isShared(sub)) return {};
+        std::uint64_t titleHash = 14695981039346656037u;
+        for (const char c : sub.request.title.v)
+            titleHash = (titleHash ^ static_cast<unsigned char>(c)) * 1099511628211u;
         for (const auto& [id, s] : sfus_) {
-            if (!holds(sub, s) || s.state != ServerState::On || warmShare(now, s) < 1 || setAside(now, s))
+            if (!holdsTitle(sub, s) || s.state != ServerState::On || warmFraction(now, s) < 1 ||
+                isCircuitOpen(now, s))
                 continue;
-            order.emplace_back(mixed(title ^ id.v), id);
+            ranked.emplace_back(mixBits(titleHash ^ id.v), id);
         }
-        const auto part = static_cast<std::size_t>(kGather * std::min(sub.wish.holders, fleet_.cells));
-        const std::size_t few = std::min(order.size(), std::max(kGatherLeast, part));
-        std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(few), order.end());
-        std::vector<SfuId> out;
-        for (std::size_t i = 0; i < few; ++i) out.push_back(order[i].second);
-        return out;
+        const auto wanted =
+            static_cast<std::size_t>(kGatherFraction * std::min(sub.request.holders, fleet_.cells));
+        const std::size_t taken = std::min(ranked.size(), std::max(kMinGatherServers, wanted));
+        std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(taken), ranked.end());
+        std::vector<SfuId> servers;
+        for (std::size_t i = 0; i < taken; ++i) servers.push_back(ranked[i].second);
+        return servers;
     }
 
-    // ================= room =================
+    // ================= link and uplink estimates =================
 
-    // What a media server's link gives, as told; less while it is young, as its link is cold too.
+    // Configured capacity of a media server's link in kB/s, and the capacity now: less while the server is
+    // cold.
     double nominalKb(const Sfu& s) const {
         return fleet_.hasSizes ? fleet_.linkKbPerSize * s.size : kbPerPlace_ * placesOf(s);
     }
-    double linkKb(Micros now, const Sfu& s) const { return std::max(1.0, nominalKb(s) * warmShare(now, s)); }
+    double linkKb(Micros now, const Sfu& s) const {
+        return std::max(1.0, nominalKb(s) * warmFraction(now, s));
+    }
 
-    double warmShare(Micros now, const Sfu& s) const {
+    // Returns the part of its capacity that a media server has since its last start: 1 once it is warm.
+    double warmFraction(Micros now, const Sfu& s) const {
         const Micros since = std::max(s.startedAt, s.mayHaveRestartedAt);
         if (since <= 0 || now - since >= cold_.warmUp) return 1;
         return cold_.firstShare + (1 - cold_.firstShare) * seconds(now - since) / seconds(cold_.warmUp);
     }
 
-    // A told figure, carried forward by what this front has changed since, and by the relief that others are
-    // taken to have given. Of what else they change nothing is known, and nothing is guessed.
-    double carried(const Pipe& p, double kb, Micros until = std::numeric_limits<Micros>::max()) const {
-        double moved = 0;
-        for (const Pipe::Change& c : p.changes)
-            if (c.at > p.at && c.at <= until) moved += c.ownKb + c.othersKb;
-        return std::max(0.0, p.use + moved / kb);
-    }
-
-    // What is asked of a link over what it gives. A figure counts for less with its age; in its place comes
-    // what is known of the fleet, and never less than this front's own rates.
-    double linkAsked(Micros now, const Sfu& s) const {
-        const double kb = linkKb(now, s);
-        const double untold = s.ownKb / kb + (1 - 1.0 / fronts_) * std::min(fleetUse_, kUntoldMost);
-        double asked = untold;
-        if (s.link.told) {
-            const double trust = std::exp2(-seconds(now - s.link.at) / kUseHalfLife);
-            asked = trust * carried(s.link, kb) + (1 - trust) * untold;
+    // Projects a reported utilization to `until`: adds the rate changes of this front since the report, and
+    // the relief that other fronts are assumed to have given. Their other changes are unknown and not
+    // estimated.
+    double projectUse(const UseEstimate& estimate, double capacityKb,
+                      Micros until = std::numeric_limits<Micros>::max()) const {
+        double changedKb = 0;
+        for (const UseEstimate::Change& change : estimate.changes)
+            if (change.at > estimate.reportedAt && change.at <= until)
+                changedKb += change.ownKb + change.othersKb;
+        return std::max(0.0, estimate.use + changedKb / capacityKb);
+    }
+
+    // Estimates the utilization of a link. A report loses weight with its age to the mean of the fleet; the
+    // estimate is never less than this front's own rates.
+    double estimateLinkUse(Micros now, const Sfu& s) const {
+        const double capacityKb = linkKb(now, s);
+        const double useWithoutReport =
+            s.ownKb / capacityKb + (1 - 1.0 / frontCount_) * std::min(meanLinkUse_, kMaxAssumedLinkUse);
+        double use = useWithoutReport;
+        if (s.link.hasReport) {
+            const double weight = std::exp2(-seconds(now - s.link.reportedAt) / kUseHalfLifeSeconds);
+            use = weight * projectUse(s.link, capacityKb) + (1 - weight) * useWithoutReport;
         }
-        return std::max(asked, s.ownKb / kb);
+        return std::max(use, s.ownKb / capacityKb);
     }
 
-    // Of all uplinks in one pass: with hundreds of servers a sum for each would cost more than all else.
-    std::vector<double> uplinksAsked(Micros now) const {
+    // Estimates the utilization of all uplinks in one pass: with hundreds of servers, one sum for each
+    // candidate would dominate the cost of a placement.
+    std::vector<double> estimateUplinkUse(Micros now) const {
         std::vector<double> use(uplinks_.size(), 0);
         for (const auto& [id, s] : sfus_)
-            if (!untold() && s.state != ServerState::Off)
-                use[rackOf(s)] += linkAsked(now, s) * linkKb(now, s);
-        // Where no figure comes, what could be guessed of one uplink is no better than what is guessed of
-        // all, and all fronts would guess alike: the rack that looked emptiest would get everyone's joins.
-        const double guess = std::min(kUplinkMost, kUplinkUntold + kUplinkShort * shortPart_);
+            if (!lacksLoadReports() && s.state != ServerState::Off)
+                use[rackOf(s)] += estimateLinkUse(now, s) * linkKb(now, s);
+        // Without load reports all uplinks get the same estimate. Separate ones would be no better, and alike
+        // on all fronts: the rack that looked emptiest would get everyone's joins.
+        const double assumedUse =
+            std::min(kMaxAssumedUplinkUse, kDefaultUplinkUse + kUplinkUsePerShortFraction * shortFraction_);
         for (std::size_t rack = 0; rack < use.size(); ++rack) {
             const Uplink& up = uplinks_[rack];
-            use[rack] = up.kb <= 0 ? 0 : untold() ? guess : use[rack] / up.kb;
-            if (up.kb <= 0 || !up.pipe.told) continue;
-            const double trust = std::exp2(-seconds(now - up.pipe.at) / kUseHalfLife);
-            use[rack] = trust * carried(up.pipe, up.kb) + (1 - trust) * use[rack];
+            use[rack] = up.capacityKb <= 0 ? 0 : lacksLoadReports() ? assumedUse : use[rack] / up.capacityKb;
+            if (up.capacityKb <= 0 || !up.estimate.hasReport) continue;
+            const double weight = std::exp2(-seconds(now - up.estimate.reportedAt) / kUseHalfLifeSeconds);
+            use[rack] = weight * projectUse(up.estimate, up.capacityKb) + (1 - weight) * use[rack];
         }
         return use;
     }
 
-    // What is known to be asked, for drops: they are paid for, so no guess about others causes one.
-    double knownAsked(Micros now, const Sfu& s) const {
-        auto known = [&](const Sfu& one) {
-            const double kb = linkKb(now, one);
-            return std::max(one.link.told ? carried(one.link, kb) : 0, one.ownKb / kb);
+    // Returns the utilization that is certain, the larger of link and uplink. Used for steps down: they cost
+    // benefit, so no assumption about other fronts may cause one.
+    double certainUse(Micros now, const Sfu& s) const {
+        auto knownUse = [&](const Sfu& other) {
+            const double capacityKb = linkKb(now, other);
+            return std::max(other.link.hasReport ? projectUse(other.link, capacityKb) : 0,
+                            other.ownKb / capacityKb);
         };
         const std::size_t rack = rackOf(s);
         const Uplink& up = uplinks_[rack];
-        if (up.kb <= 0) return known(s);
+        if (up.capacityKb <= 0) return knownUse(s);
         double rackKb = 0;
-        for (const auto& [id, one] : sfus_)
-            if (one.state != ServerState::Off && rackOf(one) == rack) rackKb += known(one) * linkKb(now, one);
-        return std::max(known(s), up.pipe.told ? carried(up.pipe, up.kb) : rackKb / up.kb);
-    }
-
-    void hear(Micros now, Pipe& p, double kb, double use, Micros age, double part) {
-        const Micros at = now - age;
-        if (at < p.at) return;
-        p.use = p.told ? part * use + (1 - part) * carried(p, kb) : use;
-        p.told = true;
-        p.at = at;
-        while (!p.changes.empty() && p.changes.front().at <= at) p.changes.pop_front();
-    }
-    void hearLink(Micros now, Sfu& s, double use, Micros age, double part) {
-        hear(now, s.link, linkKb(now, s), use, age, part);
-    }
-    void hearUplink(Micros now, std::size_t rack, double use, Micros age, double part) {
-        if (uplinks_[rack].kb > 0) hear(now, uplinks_[rack].pipe, uplinks_[rack].kb, use, age, part);
-    }
-
-    // No figure of load comes by itself: short notes, "full" and quiet stand in for it.
-    bool untold() const { return tidings_.every == 0; }
-
-    // Its figures come by themselves; where none do, short notes alone mark it full.
-    bool speaks(const Uplink& up) const { return up.pipe.told && !untold(); }
-
-    // Delivery is short by more than the link explains: the uplink is the narrow one.
-    bool uplinkShort(Micros now, const Sfu& s) {
+        for (const auto& [id, other] : sfus_)
+            if (other.state != ServerState::Off && rackOf(other) == rack)
+                rackKb += knownUse(other) * linkKb(now, other);
+        return std::max(knownUse(s), up.estimate.hasReport ? projectUse(up.estimate, up.capacityKb)
+                                                           : rackKb / up.capacityKb);
+    }
+
+    // Merges a report of `age` into an estimate, with the smoothing factor `weight`. Ignores one that is
+    // older than the last.
+    void updateEstimate(Micros now, UseEstimate& estimate, double capacityKb, double use, Micros age,
+                        double weight) {
+        const Micros measuredAt = now - age;
+        if (measuredAt < estimate.reportedAt) return;
+        estimate.use =
+            estimate.hasReport ? weight * use + (1 - weight) * projectUse(estimate, capacityKb) : use;
+        estimate.hasReport = true;
+        estimate.reportedAt = measuredAt;
+        while (!estimate.changes.empty() && estimate.changes.front().at <= measuredAt)
+            estimate.changes.pop_front();
+    }
+    void updateLinkUse(Micros now, Sfu& s, double use, Micros age, double weight) {
+        updateEstimate(now, s.link, linkKb(now, s), use, age, weight);
+    }
+    void updateUplinkUse(Micros now, std::size_t rack, double use, Micros age, double weight) {
+        if (uplinks_[rack].capacityKb > 0)
+            updateEstimate(now, uplinks_[rack].estimate, uplinks_[rack].capacityKb, use, age, weight);
+    }
+
+    // True if the site sends no periodic load reports: short deliveries, "full" answers and the absence of
+    // short deliveries take their place.
+    bool lacksLoadReports() const { return reportTiming_.every == 0; }
+
+    // True if the use of the uplink is reported. If not, only short deliveries mark it as full.
+    bool hasLoadReports(const Uplink& up) const { return up.estimate.hasReport && !lacksLoadReports(); }
+
+    // Called when delivery is shorter than the link explains. Returns true if the uplink is the bottleneck,
+    // and lowers its estimated capacity.
+    bool detectUplinkBottleneck(Micros now, const Sfu& s) {
         const std::size_t rack = rackOf(s);
         Uplink& up = uplinks_[rack];
-        if (speaks(up) || up.kb <= 0) return false;  // one that is told speaks for itself
-        // A narrow uplink makes every media server behind it short; one that is well clears it.
-        int alsoShort = 0, well = 0;
-        for (const auto& [id, one] : sfus_)
-            if (one.state != ServerState::Off && rackOf(one) == rack && one.ownKb > 0)
-                ++(now - one.shortAt < 2 * kSecond ? alsoShort : well);
-        if (well > alsoShort || (untold() && well == alsoShort)) return false;
-        up.shortAt = now;
-        // The shortness is of a while ago, and so must be what was asked: drops since then have made room.
-        double then = 0;
-        for (const auto& [id, one] : sfus_) {
-            if (one.state == ServerState::Off || rackOf(one) != rack) continue;
-            const double kb = linkKb(now, one);
-            then +=
-                one.link.told ? kb * carried(one.link, kb, now - tidings_.late) : kb * linkAsked(now, one);
+        if (hasLoadReports(up) || up.capacityKb <= 0) return false;  // reported, or not modelled
+        // A saturated uplink makes every media server behind it short; a majority with full delivery clears
+        // it.
+        int shortCount = 0, servedCount = 0;
+        for (const auto& [id, other] : sfus_)
+            if (other.state != ServerState::Off && rackOf(other) == rack && other.ownKb > 0)
+                ++(now - other.lastShortAt < kShortageFresh ? shortCount : servedCount);
+        if (servedCount > shortCount || (lacksLoadReports() && servedCount == shortCount)) return false;
+        up.lastShortAt = now;
+        // The report is late, so the demand is taken at that time too: steps down since then have freed
+        // capacity.
+        double demandKb = 0;
+        for (const auto& [id, other] : sfus_) {
+            if (other.state == ServerState::Off || rackOf(other) != rack) continue;
+            const double capacityKb = linkKb(now, other);
+            demandKb += other.link.hasReport
+                            ? capacityKb * projectUse(other.link, capacityKb, now - reportTiming_.late)
+                            : capacityKb * estimateLinkUse(now, other);
         }
-        up.kb = std::clamp(then / s.shortBy, 0.1 * up.nominalKb, up.kb);
+        up.capacityKb = std::clamp(demandKb / s.shortageRatio, 0.1 * up.nominalKb, up.capacityKb);
         return true;
     }
 
-    // A note at set-up speaks of now, the others of a while ago.
-    Micros noteAge(Micros now, SubId id) const {
+    // Returns the age of a report on a subscription: one at set-up is current, later ones are delayed.
+    Micros reportAge(Micros now, SubId id) const {
         auto it = subs_.find(id);
-        const bool fresh =
-            it != subs_.end() && it->second.joinedAt > 0 && now - it->second.playsSince < tidings_.late / 2;
-        return fresh ? 0 : tidings_.late;
+        const bool isAtSetup = it != subs_.end() && it->second.joinedAt > 0 &&
+                               now - it->second.playingSince < reportTiming_.late / 2;
+        return isAtSetup ? 0 : reportTiming_.late;
     }
 
-    // Books a subscription's rate and seat on its media server, or frees them.
-    void hold(Micros now, Sub& sub, int sign) {
-        Sfu& s = sfus_[sub.at];
+    // Books a subscription's rate and seat on its media server (sign +1), or frees them (-1).
+    void book(Micros now, Subscription& sub, int sign) {
+        Sfu& s = sfus_[sub.server];
         if (sign > 0) {
-            if (untold() && s.ownKb <= 0) s.risenAt = now;  // quiet counts from when this front plays here
-            sub.bookedKb = addsKb(sub, sub.at, sub.rung, sub.gathered);
-            count(sub, +1);
+            if (lacksLoadReports() && s.ownKb <= 0)
+                s.steppedUpAt = now;  // the time without shortage starts with the first session here
+            sub.bookedKb = marginalKb(sub, sub.server, sub.rung, sub.isGathered);
+            countViewer(sub, +1);
         }
-        shift(now, s, sign * sub.bookedKb);
-        if (sign < 0) count(sub, -1);
-        const auto seat = seats_.try_emplace(titleOf(sub), 0).first;
-        if ((seat->second += sign) <= 0) seats_.erase(seat);
-        if (sub.state == State::Joining || (sign > 0 && sub.state == State::Waiting)) s.joinsOut += sign;
+        addOwnRate(now, s, sign * sub.bookedKb);
+        if (sign < 0) countViewer(sub, -1);
+        const auto seat = seatsInUse_.try_emplace(titleOf(sub), 0).first;
+        if ((seat->second += sign) <= 0) seatsInUse_.erase(seat);
+        if (sub.state == State::Joining || (sign > 0 && sub.state == State::Waiting)) s.joinsInFlight += sign;
     }
 
-    void shift(Micros now, Sfu& s, double kb) {
+    // Adds `kb` kB/s, which may be negative, to the rates that this front has booked on a media server.
+    void addOwnRate(Micros now, Sfu& s, double kb) {
         s.ownKb = std::max(0.0, s.ownKb + kb);
         s.link.changes.push_back({now, kb, 0});
-        uplinks_[rackOf(s)].pipe.changes.push_back({now, kb, 0});
+        uplinks_[rackOf(s)].estimate.changes.push_back({now, kb, 0});
     }
 
-    // What was handed over has long been part of what is told of a link: it is no change.
-    void forgetChanges(Sfu& s) {
+    // An adopted subscription or a reported rung is already part of the reported use: it is no change.
+    void discardRateChanges(Sfu& s) {
         s.link.changes.clear();
-        uplinks_[rackOf(s)].pipe.changes.clear();
+        uplinks_[rackOf(s)].estimate.changes.clear();
     }
 
-    void setRung(Micros now, Sub& sub, int rung) {
-        const int kept = std::clamp(rung, 0, static_cast<int>(ladder_.kb.size()) - 1);
-        count(sub, -1);
-        sub.rung = kept;
-        const double kb = addsKb(sub, sub.at, kept, sub.gathered);
-        count(sub, +1);
-        shift(now, sfus_[sub.at], kb - sub.bookedKb);
+    // Books a subscription with another rung, limited to the ladder.
+    void applyRung(Micros now, Subscription& sub, int rung) {
+        const int newRung = std::clamp(rung, 0, static_cast<int>(ladder_.kb.size()) - 1);
+        countViewer(sub, -1);
+        sub.rung = newRung;
+        const double kb = marginalKb(sub, sub.server, newRung, sub.isGathered);
+        countViewer(sub, +1);
+        addOwnRate(now, sfus_[sub.server], kb - sub.bookedKb);
         sub.bookedKb = kb;
     }
 
-    // ================= the rules: the one place that every join passes =================
+    // ================= rules on joins =================
 
-    bool mayJoin(Micros now, const Sub& sub, SfuId id, const Sfu& s, Micros turnBy) {
+    // Returns whether a join of this subscription at this media server, sent by `sendBy`, keeps every rule.
+    bool mayJoin(Micros now, const Subscription& sub, SfuId id, const Sfu& s, Micros sendBy) {
         const RoomType& room = roomOf(sub);
-        if (sub.state != State::Waiting || sub.gone) return false;  // one join out, no answer given
-        if (now >= sub.wish.deadline || sub.joins >= allowed_.maxJoins) return false;
-        if (s.state != ServerState::On) return false;  // drains are kept
-        if (!holds(sub, s)) return false;
-        if (room.paid && sub.mayHaveRun) return false;  // no set-up twice
+        if (sub.state != State::Waiting || sub.hasLeft) return false;  // one join in flight, no final answer
+        if (now >= sub.request.deadline || sub.joinCount >= limits_.maxJoins) return false;
+        if (s.state != ServerState::On) return false;  // a draining server gets no joins
+        if (!holdsTitle(sub, s)) return false;
+        if (room.paid && sub.mayHaveRun) return false;  // never set up twice
         if (room.keyed && sub.mayHaveRun &&
-            ((!room.anyServer && id != sub.at) || now - sub.joinedAt >= room.repeatWithin))
+            ((!room.anyServer && id != sub.server) || now - sub.joinedAt >= room.repeatWithin))
             return false;
         if (seatsLeft(sub) <= 0) return false;
-        if (sub.joins > 0 && !budgetLeft(now)) return false;
-        return coldTurn(now, id, s) <= turnBy;
+        if (sub.joinCount > 0 && !hasJoinBudget(now)) return false;
+        return earliestColdJoin(now, id, s) <= sendBy;
     }
 
-    bool holds(const Sub& sub, const Sfu& s) const {
+    // A title is held in `holders` consecutive cells from `firstCell`, wrapping round.
+    bool holdsTitle(const Subscription& sub, const Sfu& s) const {
         const auto cells = static_cast<std::uint32_t>(fleet_.cells);
-        return (s.cell.v + cells - sub.wish.firstCell.v % cells) % cells <
-               static_cast<std::uint32_t>(std::max(0, sub.wish.holders));
+        return (s.cell.v + cells - sub.request.firstCell.v % cells) % cells <
+               static_cast<std::uint32_t>(std::max(0, sub.request.holders));
     }
 
-    int seatsLeft(const Sub& sub) const {
+    // Returns the free seats of the title for this front; 1 where seats are unlimited.
+    int seatsLeft(const Subscription& sub) const {
         const int seats = roomOf(sub).seats;
         if (seats <= 0) return 1;
-        auto it = seats_.find(titleOf(sub));
-        return seats - (it == seats_.end() ? 0 : it->second);
+        auto it = seatsInUse_.find(titleOf(sub));
+        return seats - (it == seatsInUse_.end() ? 0 : it->second);
     }
 
-    bool budgetLeft(Micros now) {
+    // True if a join beyond the first of its subscription is within the budget of the window.
+    bool hasJoinBudget(Micros now) {
         if (!budget_) return true;
-        while (!taken_.empty() && taken_.front() <= now - budget_->window) taken_.pop_front();
-        while (!further_.empty() && further_.front() < now - budget_->window) further_.pop_front();
-        return static_cast<double>(further_.size() + 1) <=
-               budget_->free + budget_->share * static_cast<double>(taken_.size());
-    }
-
-    // When this front may next join a media server that may be cold. Whatever traffic each front has, all of
-    // them together keep to a part of what the server bears in a tipAfter at its start: each has the same
-    // share of that part as its own number of joins in such a time. A share is mostly a fraction: it is had
-    // as a turn that lasts some tipAfters and comes back after that many divided by the fraction, at a phase
-    // that a hash gives, as fronts can't agree on one. A turn that passes unused is gone.
-    Micros coldTurn(Micros now, SfuId id, const Sfu& s) const {
-        // A front that has just come up knows an old list: any media server may have restarted meanwhile.
-        const bool blind = listStale_ && !handedOver_ && now - bornAt_ < cold_.warmUp;
-        if (warmShare(now, s) >= 1 && !blind) return 0;
-        const double span = static_cast<double>(cold_.tipAfter), lasts = kTurn * span;
-        const double share = kColdPart * cold_.fallMultiple * cold_.firstShare * placesOf(s) * span /
-                             static_cast<double>(cold_.warmUp) / fronts_;
-        const double gap = lasts / std::max(1e-6, share - std::floor(share));
-        const double phase = static_cast<double>(mixed(mixed(seed_) ^ id.v) >> 11) * 0x1p-53;
-        const double since = std::fmod(static_cast<double>(now) + phase * gap, gap);
-        const double joins = std::floor(share) + (since < lasts ? 1 : 0);
-        if (joins > 0) return s.lastJoinAt + static_cast<Micros>(std::ceil(span / joins));
-        return now + static_cast<Micros>(gap - since) + 1;
-    }
-
-    // ================= placing =================
+        while (!requestTimes_.empty() && requestTimes_.front() <= now - budget_->window)
+            requestTimes_.pop_front();
+        while (!retryTimes_.empty() && retryTimes_.front() < now - budget_->window) retryTimes_.pop_front();
+        return static_cast<double>(retryTimes_.size() + 1) <=
+               budget_->free + budget_->share * static_cast<double>(requestTimes_.size());
+    }
+
+    // Returns when this front may next join a media server that may be cold; 0 if at any time. All fronts
+    // together keep to a part of the joins that the server can take in one tipAfter at its start, whatever
+    // the traffic of each: every front has an equal share of them, as its number of joins in a tipAfter. The
+    // fractional part of a share becomes a turn of one join that lasts kColdTurnTipAfters and recurs after
+    // that time divided by the fraction, at a phase given by a hash, as fronts cannot agree on one. An unused
+    // turn does not carry over.
+    Micros earliestColdJoin(Micros now, SfuId id, const Sfu& s) const {
+        // A front that has just started with a stale list: any media server may have restarted meanwhile.
+        const bool listMayBeOutdated = isListStale_ && !hasAdopted_ && now - startedAt_ < cold_.warmUp;
+        if (warmFraction(now, s) >= 1 && !listMayBeOutdated) return 0;
+        const double tipAfter = static_cast<double>(cold_.tipAfter),
+                     turnLength = kColdTurnTipAfters * tipAfter;
+        const double share = kColdPaceFraction * cold_.fallMultiple * cold_.firstShare * placesOf(s) *
+                             tipAfter / static_cast<double>(cold_.warmUp) / frontCount_;
+        const double turnPeriod = turnLength / std::max(1e-6, share - std::floor(share));
+        const double phase = static_cast<double>(mixBits(mixBits(seed_) ^ id.v) >> 11) * 0x1p-53;
+        const double sinceTurnStart = std::fmod(static_cast<double>(now) + phase * turnPeriod, turnPeriod);
+        const double joinsInTipAfter = std::floor(share) + (sinceTurnStart < turnLength ? 1 : 0);
+        if (joinsInTipAfter > 0)
+            return s.lastJoinAt + static_cast<Micros>(std::ceil(tipAfter / joinsInTipAfter));
+        return now + static_cast<Micros>(turnPeriod - sinceTurnStart) + 1;
+    }
+
+    // ================= placement =================
 
     void openSlot() {
-        if (slotOpen_) return;
-        slotOpen_ = true;
-        host_.wakeAfter(kSlot, "slot");
+        if (isSlotOpen_) return;
+        isSlotOpen_ = true;
+        host_.wakeAfter(kSlotLength, "slot");
     }
 
-    // What counts is the viewer's own time, not the room type's: it may end before the slot does, and the
-    // wake that ends a slot may come late.
-    static bool tooLateToWait(Micros now, const Sub& sub) { return sub.wish.deadline - now <= 2 * kSlot; }
+    // Compares with the client timeout, not the room type's objective: it may expire before the slot ends,
+    // and the wake that ends a slot may be late.
+    static bool cannotWaitForSlot(Micros now, const Subscription& sub) {
+        return sub.request.deadline - now <= 2 * kSlotLength;
+    }
 
-    // Serving from another zone is paid for by the second, so a slot's score counts it beside the rate.
-    double crossing(const Sfu& s) const {
-        return s.zone == fleet_.zone ? 0 : kCrossing * kAlphaRate * prices_.crossZone;
+    // Returns the penalty in the score for serving from another zone, which is charged by the second like the
+    // benefit.
+    double crossZonePenalty(const Sfu& s) const {
+        return s.zone == fleet_.zone ? 0 : kCrossZoneWeight * kAlphaRate * costs_.crossZone;
     }
 
-    bool setAside(Micros now, const Sfu& s) const {
-        return s.evidence >= kVerdict && (now < s.askAgainAt || s.joinsOut > 0);
+    // True while the circuit breaker of a media server is open, or half-open with a probe in flight.
+    bool isCircuitOpen(Micros now, const Sfu& s) const {
+        return s.evidence >= kUnhealthyEvidence && (now < s.nextProbeAt || s.joinsInFlight > 0);
     }
 
-    void placeAll(Micros now) {
+    // Places all waiting requests, those of the highest benefit first.
+    void placeWaiting(Micros now) {
         std::vector<SubId> queue;
         queue.swap(waiting_);
         std::stable_sort(queue.begin(), queue.end(), [&](SubId a, SubId b) {
-            auto worth = [&](SubId id) {
+            auto benefit = [&](SubId id) {
                 auto it = subs_.find(id);
                 return it == subs_.end() ? 0.0 : roomOf(it->second).benefit;
             };
-            return worth(a) > worth(b);
+            return benefit(a) > benefit(b);
         });
         for (SubId id : queue) place(now, id);
         if (!waiting_.empty()) openSlot();
     }
 
+    // Joins the media server and rung of lowest score, keeps the request waiting, or rejects it.
     void place(Micros now, SubId id) {
         auto found = subs_.find(id);
         if (found == subs_.end() || found->second.state != State::Waiting) return;
-        Sub& sub = found->second;
-        double best = 1e18, roomiest = 1e18, askedThere = 0;
-        const std::vector<double> uplinks = uplinksAsked(now);
-        const std::vector<SfuId> gather = gathering(now, sub);
-        const auto gathersAt = [&](SfuId at) {
-            return std::find(gather.begin(), gather.end(), at) != gather.end();
+        Subscription& sub = found->second;
+        double bestScore = 1e18, leastLoaded = 1e18, fallbackUse = 0;
+        const std::vector<double> uplinkUses = estimateUplinkUse(now);
+        const std::vector<SfuId> gatherIds = gatherServers(now, sub);
+        const auto isGatherServer = [&](SfuId server) {
+            return std::find(gatherIds.begin(), gatherIds.end(), server) != gatherIds.end();
         };
         std::optional<SfuId> chosen, fallback;
-        int chosenRung = floorOf(sub), among = 0;
-        const double middle = ladder_.kb[ladder_.kb.size() / 2];
+        int chosenRung = minRungOf(sub), candidateCount = 0;
+        const double middleRungKb = ladder_.kb[ladder_.kb.size() / 2];
         for (auto& [sfuId, s] : sfus_) {
-            if (!mayJoin(now, sub, sfuId, s, now) || setAside(now, s) || now < s.fullUntil) continue;
-            if (roomOf(sub).paid && s.evidence >= kVerdict) continue;  // no trial with what can't be repeated
-            ++among;
-            const bool here = gathersAt(sfuId);
-            const double link = linkAsked(now, s), uplink = uplinks[rackOf(s)];
-            // A front knows nothing of most media servers: all would take the first of those alike.
-            const double doubt = kDoubtWeight * std::max(0.0, s.evidence) + crossing(s) +
-                                 std::uniform_real_distribution<double>(0, kNearTie)(chance_);
-            // Link and uplink lie one behind the other: their fetch times add up. The larger alone would
-            // leave the media servers of a crowded rack alike, however empty some of their links are.
-            const double planned = untold() ? std::max(link, fleetUse_) : link;
-            const double slowness =
-                (1 / std::max(kLeastFree, 1 - planned) + 1 / std::max(kLeastFree, 1 - uplink)) / 2 +
-                (untold() ? kEmptier * link : 0);
-            const double crowd = std::max(link, uplink) + kLinkTie * link + doubt;
-            if (crowd < roomiest) {
-                roomiest = crowd;
-                // No guess about an uplink turns a viewer away: a refused one asks again and earns nothing.
-                const bool told = !untold() || (uplinks_[rackOf(s)].pipe.told &&
-                                                now - uplinks_[rackOf(s)].pipe.at < kFullTold);
-                askedThere = std::max(link, told ? uplink : 0) +
-                             addsKb(sub, sfuId, floorOf(sub), here) / linkKb(now, s);
+            if (!mayJoin(now, sub, sfuId, s, now) || isCircuitOpen(now, s) || now < s.fullUntil) continue;
+            if (roomOf(sub).paid && s.evidence >= kUnhealthyEvidence) continue;  // not repeatable: no probe
+            ++candidateCount;
+            const bool gathersHere = isGatherServer(sfuId);
+            const double linkUse = estimateLinkUse(now, s), uplinkUse = uplinkUses[rackOf(s)];
+            // The random term spreads fronts over the media servers that they know nothing of; else all would
+            // take the first.
+            const double penalty = kEvidencePenalty * std::max(0.0, s.evidence) + crossZonePenalty(s) +
+                                   std::uniform_real_distribution<double>(0, kScoreJitter)(random_);
+            // Link and uplink are in series, so their fetch times add up. The larger alone would score
+            // all servers of a saturated rack the same, however idle some of their links are.
+            const double plannedUse = lacksLoadReports() ? std::max(linkUse, meanLinkUse_) : linkUse;
+            const double slowness = (1 / std::max(kMinFreeFraction, 1 - plannedUse) +
+                                     1 / std::max(kMinFreeFraction, 1 - uplinkUse)) /
+                                        2 +
+                                    (lacksLoadReports() ? kLinkUseTieWeight * linkUse : 0);
+            const double fallbackScore =
+                std::max(linkUse, uplinkUse) + kFallbackLinkWeight * linkUse + penalty;
+            if (fallbackScore < leastLoaded) {
+                leastLoaded = fallbackScore;
+                // An uplink that is only estimated throttles nobody: a throttled viewer retries and earns
+                // nothing.
+                const bool uplinkIsKnown =
+                    !lacksLoadReports() ||
+                    (uplinks_[rackOf(s)].estimate.hasReport &&
+                     now - uplinks_[rackOf(s)].estimate.reportedAt < kUplinkFullMemory);
+                fallbackUse = std::max(linkUse, uplinkIsKnown ? uplinkUse : 0) +
+                              marginalKb(sub, sfuId, minRungOf(sub), gathersHere) / linkKb(now, s);
                 fallback = sfuId;
             }
-            const double room = (1 - link) * linkKb(now, s);
-            const double rackRoom = (1 - uplink) * uplinks_[rackOf(s)].kb;
-            for (int rung = floorOf(sub); rung <= topOf(sub); ++rung) {
-                if (here && (rung - floorOf(sub)) % kShareSteps != 0) continue;
-                const double kb = addsKb(sub, sfuId, rung, here);
-                if (kb > kFill * room || (uplinks_[rackOf(s)].kb > 0 && kb > kFill * rackRoom)) continue;
-                const double fetch = kb / middle * slowness;
-                const double gap = (rung - floorOf(sub)) / static_cast<double>(ladder_.kb.size());
-                const double score = kAlphaTime * fetch + kAlphaGap * gap -
-                                     kAlphaRate * earns(sub, rung) / meanBenefit_ + doubt;
-                if (score < best) {
-                    best = score;
+            const double linkFreeKb = (1 - linkUse) * linkKb(now, s);
+            const double uplinkFreeKb = (1 - uplinkUse) * uplinks_[rackOf(s)].capacityKb;
+            for (int rung = minRungOf(sub); rung <= maxRungOf(sub); ++rung) {
+                if (gathersHere && (rung - minRungOf(sub)) % kGatherRungStep != 0) continue;
+                const double kb = marginalKb(sub, sfuId, rung, gathersHere);
+                if (kb > kMaxHeadroomFill * linkFreeKb ||
+                    (uplinks_[rackOf(s)].capacityKb > 0 && kb > kMaxHeadroomFill * uplinkFreeKb))
+                    continue;
+                const double fetchTime = kb / middleRungKb * slowness;
+                const double rungGap = (rung - minRungOf(sub)) / static_cast<double>(ladder_.kb.size());
+                const double score = kAlphaTime * fetchTime + kAlphaGap * rungGap -
+                                     kAlphaRate * benefitOf(sub, rung) / meanBenefit_ + penalty;
+                if (score < bestScore) {
+                    bestScore = score;
                     chosen = sfuId;
                     chosenRung = rung;
                 }
             }
         }
-        // None fits: the lowest rung on the roomiest, unless even that would overfill.
+        // No rung fits: use the lowest on the least loaded server, unless even that would overload it.
         const bool fits = chosen.has_value();
-        if (!chosen && fallback && askedThere <= kOverfull) chosen = fallback;
+        if (!chosen && fallback && fallbackUse <= kMaxFallbackUse) chosen = fallback;
         if (chosen) {
-            host_.recordPlacement(id, *chosen, fits ? &best : nullptr, among);
-            sub.gathered = gathersAt(*chosen);
+            host_.recordPlacement(id, *chosen, fits ? &bestScore : nullptr, candidateCount);
+            sub.isGathered = isGatherServer(*chosen);
             sendJoin(now, id, sub, *chosen, chosenRung);
             return;
         }
-        const Micros waitUntil = sub.takenAt + roomOf(sub).joinObjective / 2;
-        if (now < waitUntil && !tooLateToWait(now, sub) && holderMayComeFree(now, sub, waitUntil))
+        const Micros waitUntil = sub.requestedAt + roomOf(sub).joinObjective / 2;
+        if (now < waitUntil && !cannotWaitForSlot(now, sub) && holderMayBecomeFree(now, sub, waitUntil))
             waiting_.push_back(id);
         else
-            giveUp(now, id);
+            reject(now, id);
     }
 
-    bool holderMayComeFree(Micros now, const Sub& sub, Micros by) {
+    // True if some media server that holds the title may accept this request by time `by`.
+    bool holderMayBecomeFree(Micros now, const Subscription& sub, Micros by) {
         return std::any_of(sfus_.begin(), sfus_.end(), [&](const auto& entry) {
             const Sfu& s = entry.second;
-            const Micros free = std::max(s.evidence >= kVerdict ? s.askAgainAt : 0, s.fullUntil);
-            return free <= by && mayJoin(now, sub, entry.first, s, by);
+            const Micros freeAt = std::max(s.evidence >= kUnhealthyEvidence ? s.nextProbeAt : 0, s.fullUntil);
+            return freeAt <= by && mayJoin(now, sub, entry.first, s, by);
         });
     }
 
-    void sendJoin(Micros now, SubId id, Sub& sub, SfuId at, int rung) {
-        Sfu& s = sfus_[at];
-        if (!mayJoin(now, sub, at, s, now)) return;
-        if (budget_ && sub.joins > 0) further_.push_back(now);
-        sub.at = at;
+    void sendJoin(Micros now, SubId id, Subscription& sub, SfuId server, int rung) {
+        Sfu& s = sfus_[server];
+        if (!mayJoin(now, sub, server, s, now)) return;
+        if (budget_ && sub.joinCount > 0) retryTimes_.push_back(now);
+        sub.server = server;
         sub.rung = rung;
         sub.joinedAt = now;
-        hold(now, sub, +1);
-        ++sub.joins;
+        book(now, sub, +1);
+        ++sub.joinCount;
         sub.state = State::Joining;
         s.lastJoinAt = now;
         host_.setRung(id, rung);
-        host_.join(id, at, timeOut(now, sub));
+        host_.join(id, server, joinTimeout(now, sub));
     }
 
-    // A paid set-up is waited for to the end, as it can't be repeated; a free one while another is in time.
-    Micros timeOut(Micros now, const Sub& sub) {
-        const Micros left = sub.wish.deadline - now;
-        const Micros objective = sub.takenAt + roomOf(sub).joinObjective;
-        if (roomOf(sub).paid || sub.joins >= allowed_.maxJoins || now + 2 * patience() > objective ||
-            !budgetLeft(now))
-            return left;
-        return std::min(left, patience());
+    // Returns how long to wait for the answer to a join. A paid set-up gets all the time left, as it must not
+    // be repeated; another only as long as a retry can still meet the objective.
+    Micros joinTimeout(Micros now, const Subscription& sub) {
+        const Micros remaining = sub.request.deadline - now;
+        const Micros objective = sub.requestedAt + roomOf(sub).joinObjective;
+        if (roomOf(sub).paid || sub.joinCount >= limits_.maxJoins || now + 2 * slowSetupTime() > objective ||
+            !hasJoinBudget(now))
+            return remaining;
+        return std::min(remaining, slowSetupTime());
     }
 
-    Micros patience() const {
-        if (setups_.total() < kEnoughSetups) return 2 * kLeastPatience;
-        return std::max(kLeastPatience, 2 * setups_.quantile(0.95));
+    // Time after which an unanswered join is unusually slow: twice the 95th percentile of set-up times.
+    Micros slowSetupTime() const {
+        if (setupTimes_.total() < kMinSetupSamples) return 2 * kMinJoinTimeout;
+        return std::max(kMinJoinTimeout, 2 * setupTimes_.quantile(0.95));
     }
 
-    void learnSetup(Micros took) {
-        setups_.add(took);
-        if (setups_.total() > 64) setups_.halve();
+    void recordSetupTime(Micros setupTime) {
+        setupTimes_.add(setupTime);
+        if (setupTimes_.total() > kMaxSetupSamples) setupTimes_.halve();
     }
 
-    // The one place that ends a request without its playing. It is answered at once.
-    void giveUp(Micros now, SubId id) {
+    // Ends a request that does not play: sends its final answer at once. Nothing else throttles or
+    // terminates.
+    void reject(Micros now, SubId id) {
         auto it = subs_.find(id);
         if (it == subs_.end() || it->second.state != State::Waiting) return;
-        const Sub& sub = it->second;
+        const Subscription& sub = it->second;
         const RoomType& room = roomOf(sub);
-        const bool mayThrottle =
-            now < sub.wish.deadline && (!sub.mayHaveRun || !(room.paid || (room.keyed && !room.anyServer)));
+        const bool mayThrottle = now < sub.request.deadline &&
+                                 (!sub.mayHaveRun || !(room.paid || (room.keyed && !room.anyServer)));
         if (mayThrottle)
             host_.throttle(id, retryAfter());
         else
@@ -838,232 +941,259 @@
         subs_.erase(it);
     }
 
-    Micros retryAfter() {  // spread, so that those sent away together don't return together
-        if (!allowed_.retryAfter) return 0;
-        return std::uniform_int_distribution<Micros>(allowed_.maxRetryAfter / 2,
-                                                     allowed_.maxRetryAfter)(chance_);
+    Micros retryAfter() {  // random, so that viewers throttled together do not retry together
+        if (!limits_.retryAfter) return 0;
+        return std::uniform_int_distribution<Micros>(limits_.maxRetryAfter / 2,
+                                                     limits_.maxRetryAfter)(random_);
     }
 
     // ================= health =================
 
-    void judge(Micros now, Sfu& s, double step) {
-        s.evidence = std::clamp(s.evidence + step, -2.0, kMostEvidence);
-        if (s.evidence < kVerdict) {
-            s.pause = 0;
+    // Adds evidence of failure (above 0) or success (below 0), and opens or closes the circuit breaker.
+    void addEvidence(Micros now, Sfu& s, double step) {
+        // The lower bound lets a few failures outweigh any number of successes.
+        s.evidence = std::clamp(s.evidence + step, -2.0, kMaxEvidence);
+        if (s.evidence < kUnhealthyEvidence) {
+            s.probeBackoff = 0;
             return;
         }
-        if (step > 0 && now >= s.askAgainAt) {  // the breaks of one loss come together and count once
-            s.pause = std::clamp(2 * s.pause, kFirstPause, kLongestPause);
-            s.askAgainAt = now + s.pause;
+        if (step > 0 && now >= s.nextProbeAt) {  // the failures of one crash come together and count once
+            s.probeBackoff = std::clamp(2 * s.probeBackoff, kMinProbeBackoff, kMaxProbeBackoff);
+            s.nextProbeAt = now + s.probeBackoff;
         }
     }
 
-    // ================= what plays =================
+    // ================= playing subscriptions =================
 
+    // Refreshes the estimates and adjusts the rungs of all playing subscriptions. Runs every kSweepInterval.
     void sweep(Micros now) {
-        std::erase_if(sfus_, [](const auto& entry) {  // gone, and nothing of this front left there
+        std::erase_if(sfus_, [](const auto& entry) {  // not listed, and no session of this front
             return entry.second.state == ServerState::Off && entry.second.ownKb <= 0 &&
-                   entry.second.joinsOut <= 0;
+                   entry.second.joinsInFlight <= 0;
         });
-        std::erase_if(playedAt_, [&](const auto& entry) { return entry.second < now - kTitleKnown; });
-        double sum = 0, count = 0;
+        std::erase_if(lastPlayedAt_, [&](const auto& entry) { return entry.second < now - kTitleKnownFor; });
+        double useSum = 0, linkCount = 0;
         for (auto& [id, s] : sfus_) {
-            while (!s.link.changes.empty() && s.link.changes.front().at < now - 20 * kSecond)
+            while (!s.link.changes.empty() && s.link.changes.front().at < now - kChangeHistory)
                 s.link.changes.pop_front();
-            if (s.state != ServerState::On || !s.link.told || now - s.link.at > 6 * kSecond) continue;
-            sum += carried(s.link, linkKb(now, s));
-            ++count;
+            if (s.state != ServerState::On || !s.link.hasReport || now - s.link.reportedAt > kMaxReportAge)
+                continue;
+            useSum += projectUse(s.link, linkKb(now, s));
+            ++linkCount;
         }
-        if (!untold()) fleetUse_ = count > 0 ? sum / count : kUseUntold;
-        const std::vector<double> uplinks = uplinksAsked(now);
+        if (!lacksLoadReports()) meanLinkUse_ = linkCount > 0 ? useSum / linkCount : kDefaultLinkUse;
+        const std::vector<double> uplinkUses = estimateUplinkUse(now);
         for (std::size_t rack = 0; rack < uplinks_.size(); ++rack) {
             Uplink& up = uplinks_[rack];
-            while (!up.pipe.changes.empty() && up.pipe.changes.front().at < now - 20 * kSecond)
-                up.pipe.changes.pop_front();
-            // A width learnt from a shortness fades while the uplink is used and nothing is short: quickly to
-            // what was told, beyond it only if the uplink is nearly full by that.
-            const double used = speaks(up) ? 0 : uplinks[rack];
-            if (now - up.shortAt > 3 * kSecond && used > (up.kb < up.nominalKb ? 0.5 : 0.9))
-                up.kb *= 1 + kUplinkBack * seconds(kRound);
+            while (!up.estimate.changes.empty() && up.estimate.changes.front().at < now - kChangeHistory)
+                up.estimate.changes.pop_front();
+            // An estimate lowered by short deliveries recovers while the uplink is used and nothing is short:
+            // up to the configured capacity at moderate use, beyond it only if the uplink is nearly full by
+            // that.
+            const double use = hasLoadReports(up) ? 0 : uplinkUses[rack];
+            if (now - up.lastShortAt > kUplinkRecoveryDelay &&
+                use > (up.capacityKb < up.nominalKb ? kUplinkRecoveryMinUse : kUplinkGrowthMinUse))
+                up.capacityKb *= 1 + kUplinkRecoveryPerSecond * seconds(kSweepInterval);
         }
-        std::map<SfuId, std::vector<SubId>> mine;
-        double kbAll = 0, kbFree = 0, value = 0, steps = 0, inAll = 1, inShort = 0;
+        std::map<SfuId, std::vector<SubId>> playingAt;
+        double totalKb = 0, freeableKb = 0, stepValueSum = 0, stepCount = 0, playingCount = 1, shortCount = 0;
         for (auto& [id, sub] : subs_) {
             if (sub.state == State::Playing) {
-                mine[sub.at].push_back(id);
-                kbAll += kbOf(sub, sub.rung);
-                ++inAll;
-                if (now - sfus_[sub.at].shortAt < 2 * kSecond) ++inShort;
-                for (int rung = std::max(1, sub.rung); rung <= std::min(sub.rung + 1, topOf(sub)); ++rung) {
-                    value += stepValue(sub, rung);
-                    ++steps;
+                playingAt[sub.server].push_back(id);
+                totalKb += rateKb(sub, sub.rung);
+                ++playingCount;
+                if (now - sfus_[sub.server].lastShortAt < kShortageFresh) ++shortCount;
+                for (int rung = std::max(1, sub.rung); rung <= std::min(sub.rung + 1, maxRungOf(sub));
+                     ++rung) {
+                    stepValueSum += stepValue(sub, rung);
+                    ++stepCount;
                 }
-                if (now - sub.changedAt >= kDropPause)
-                    kbFree += kbOf(sub, sub.rung) - kbOf(sub, floorOf(sub));
+                if (now - sub.rungChangedAt >= kStepDownInterval)
+                    freeableKb += rateKb(sub, sub.rung) - rateKb(sub, minRungOf(sub));
             }
-            if (sub.state == State::Joining && !sub.overdue && now - sub.joinedAt > patience()) {
-                sub.overdue = true;  // silence counts like a failure, long before a time-out says so
-                judge(now, sfus_[sub.at], kFailStep);
+            if (sub.state == State::Joining && !sub.countedAsFailure &&
+                now - sub.joinedAt > slowSetupTime()) {
+                sub.countedAsFailure = true;  // a failure long before the timeout
+                addEvidence(now, sfus_[sub.server], kFailureEvidence);
             }
         }
-        if (steps > 0) typicalValue_ += (value / steps - typicalValue_) * (typicalValue_ > 0 ? kNewValue : 1);
-        shortPart_ += kShortMoves * (inShort / inAll - shortPart_);
-        freeable_ = kbAll > 0 ? kbFree / kbAll : 1;
-        for (auto& [at, ids] : mine) {
-            const double use = knownAsked(now, sfus_[at]);
-            if (use > kDropOver)
-                stepDown(now, sfus_[at], ids, use);
+        if (stepCount > 0)
+            typicalStepValue_ += (stepValueSum / stepCount - typicalStepValue_) *
+                                 (typicalStepValue_ > 0 ? kStepValueSmoothing : 1);
+        shortFraction_ += kShortFractionSmoothing * (shortCount / playingCount - shortFraction_);
+        freeableFraction_ = totalKb > 0 ? freeableKb / totalKb : 1;
+        for (auto& [server, ids] : playingAt) {
+            const double use = certainUse(now, sfus_[server]);
+            if (use > kStepDownAboveUse)
+                stepDown(now, sfus_[server], ids, use);
             else
-                stepUp(now, sfus_[at], ids, uplinks[rackOf(sfus_[at])]);
+                stepUp(now, sfus_[server], ids, uplinkUses[rackOf(sfus_[server])]);
         }
     }
 
-    // Own subscriptions give up this front's part of what is too much, the cheapest benefit per kB first. The
-    // last step, which that part does not fill, is taken by chance, as are those of the others who hear the
-    // same: together they give up what is too much, and this front takes them to have done so.
+    // Lowers rungs until this front's part of the excess demand is freed, the least benefit per kB first. The
+    // last step, which that part does not fill, is drawn at random. Other fronts get the same reports and do
+    // the same: together they free the excess, and this front's estimates assume that they have.
     void stepDown(Micros now, Sfu& s, const std::vector<SubId>& ids, double use) {
-        const double excess = 1 - kDropTo / use;
-        double toFree = s.ownKb * excess / std::max(kLeastFreeable, freeable_);
-        const double others =
-            std::max(0.0, use * linkKb(now, s) - s.ownKb) * std::min(excess, kReliefTaken * freeable_);
-        s.link.changes.push_back({now, 0, -others});
-        uplinks_[rackOf(s)].pipe.changes.push_back({now, 0, -others});
-        while (toFree > 0) {
+        const double excess = 1 - kStepDownTargetUse / use;
+        double kbToFree = s.ownKb * excess / std::max(kMinFreeableFraction, freeableFraction_);
+        const double othersFreedKb = std::max(0.0, use * linkKb(now, s) - s.ownKb) *
+                                     std::min(excess, kOthersReliefFraction * freeableFraction_);
+        s.link.changes.push_back({now, 0, -othersFreedKb});
+        uplinks_[rackOf(s)].estimate.changes.push_back({now, 0, -othersFreedKb});
+        while (kbToFree > 0) {
             std::optional<SubId> pick;
-            double least = 1e18;
+            double lowestCost = 1e18;
             for (SubId id : ids) {
-                const Sub& sub = subs_.at(id);
-                if (sub.rung <= floorOf(sub) || now - sub.changedAt < kDropPause) continue;
-                if (lessBy(sub) <= 0) continue;  // it leaves a shared stream for one of its own
-                const double cost = (earns(sub, sub.rung) - earns(sub, sub.rung - 1)) / lessBy(sub);
-                if (cost < least) {
-                    least = cost;
+                const Subscription& sub = subs_.at(id);
+                if (sub.rung <= minRungOf(sub) || now - sub.rungChangedAt < kStepDownInterval) continue;
+                if (kbFreedByStepDown(sub) <= 0)
+                    continue;  // it would leave a shared stream for one of its own
+                const double cost =
+                    (benefitOf(sub, sub.rung) - benefitOf(sub, sub.rung - 1)) / kbFreedByStepDown(sub);
+                if (cost < lowestCost) {
+                    lowestCost = cost;
                     pick = id;
                 }
             }
             if (!pick) return;
-            Sub& sub = subs_.at(*pick);
-            const double less = lessBy(sub);
-            if (!byLot(toFree, less, typicalValue_ / least)) return;
-            toFree -= less;
-            retune(now, *pick, sub, sub.rung - 1);
+            Subscription& sub = subs_.at(*pick);
+            const double freedKb = kbFreedByStepDown(sub);
+            if (!drawStep(kbToFree, freedKb, typicalStepValue_ / lowestCost)) return;
+            kbToFree -= freedKb;
+            changeRung(now, *pick, sub, sub.rung - 1);
         }
     }
 
-    // Room that a told figure leaves is taken up in steps, the most benefit per kB first. All fronts that
-    // play there hear the same figure: each takes the part of the room that its own rates are of what is
-    // asked, and the last step, which that part does not hold, by chance. Then it waits for the next figure.
-    void stepUp(Micros now, Sfu& s, const std::vector<SubId>& ids, double rackUse) {
-        if (now - s.shortAt < (untold() ? kQuietUntold : kQuiet) || s.evidence >= kVerdict ||
-            s.state == ServerState::Off)
+    // Raises rungs into the free capacity after a load report, the most benefit per kB first. All fronts with
+    // sessions there get the same report: each takes the part of the free capacity that its own rates are of
+    // the demand, and draws the last step, which that part does not hold, at random. It
+    // then waits for the next report.
+    void stepUp(Micros now, Sfu& s, const std::vector<SubId>& ids, double uplinkUse) {
+        if (now - s.lastShortAt < (lacksLoadReports() ? kStepUpIntervalUnreported : kStepUpInterval) ||
+            s.evidence >= kUnhealthyEvidence || s.state == ServerState::Off)
             return;
-        // Where no figures come, every quiet time without a short note stands in for one.
-        const Micros news = untold() ? now - kQuietUntold : s.link.told ? s.link.at : s.risenAt;
-        if (news <= s.risenAt) return;
-        s.risenAt = untold() ? now : news;
+        // Without load reports, a time without short delivery takes the place of one.
+        const Micros reportedAt = lacksLoadReports() ? now - kStepUpIntervalUnreported
+                                  : s.link.hasReport ? s.link.reportedAt
+                                                     : s.steppedUpAt;
+        if (reportedAt <= s.steppedUpAt) return;
+        s.steppedUpAt = lacksLoadReports() ? now : reportedAt;
         const Uplink& up = uplinks_[rackOf(s)];
-        // The room of the uplink is for all behind it: own rates count against what is asked of the whole.
-        const auto partOf = [&](double room, double askedKb) {
-            return room * std::min(1.0, kRiseMore * s.ownKb / std::max(1.0, askedKb));
+        // The free capacity of the uplink is for all servers behind it: own rates count against its whole
+        // demand.
+        const auto ownPartOf = [&](double freeKb, double demandKb) {
+            return freeKb * std::min(1.0, kStepUpShareFactor * s.ownKb / std::max(1.0, demandKb));
         };
-        const double use = linkAsked(now, s), kb = linkKb(now, s);
-        double room = (kSpare - use) * kb, part = partOf(room, use * kb);
-        if (up.kb > 0) {
-            room = std::min(room, (kSpare - rackUse) * up.kb);
-            part = std::min(part, partOf((kSpare - rackUse) * up.kb, rackUse * up.kb));
+        const double use = estimateLinkUse(now, s), capacityKb = linkKb(now, s);
+        double freeKb = (kStepUpMaxUse - use) * capacityKb, ownPartKb = ownPartOf(freeKb, use * capacityKb);
+        if (up.capacityKb > 0) {
+            freeKb = std::min(freeKb, (kStepUpMaxUse - uplinkUse) * up.capacityKb);
+            ownPartKb = std::min(
+                ownPartKb, ownPartOf((kStepUpMaxUse - uplinkUse) * up.capacityKb, uplinkUse * up.capacityKb));
         }
         for (;;) {
             std::optional<SubId> pick;
-            double most = 0;
+            double bestGainPerKb = 0;
             for (SubId id : ids) {
-                const Sub& sub = subs_.at(id);
-                if (sub.rung >= topOf(sub) || (sub.changedAt > 0 && now - sub.changedAt < kQuiet)) continue;
-                const double more = moreBy(sub);
-                if (more > room) continue;
-                const double gain = earns(sub, sub.rung + 1) - earns(sub, sub.rung);
-                if (gain * secondsLeft(now, sub) < kEarnBack * ladder_.switchSeconds * roomOf(sub).benefit)
+                const Subscription& sub = subs_.at(id);
+                if (sub.rung >= maxRungOf(sub) ||
+                    (sub.rungChangedAt > 0 && now - sub.rungChangedAt < kStepUpInterval))
+                    continue;
+                const double addedKb = kbAddedByStepUp(sub);
+                if (addedKb > freeKb) continue;
+                const double gain = benefitOf(sub, sub.rung + 1) - benefitOf(sub, sub.rung);
+                if (gain * remainingSeconds(now, sub) <
+                    kMinSwitchReturn * ladder_.switchSeconds * roomOf(sub).benefit)
                     continue;
-                if (gain / more > most) {
-                    most = gain / more;
+                if (gain / addedKb > bestGainPerKb) {
+                    bestGainPerKb = gain / addedKb;
                     pick = id;
                 }
             }
             if (!pick) return;
-            Sub& sub = subs_.at(*pick);
-            const double more = moreBy(sub);
-            if (!byLot(part, more, most / typicalValue_)) return;
-            part -= more;
-            retune(now, *pick, sub, sub.rung + 1);
+            Subscription& sub = subs_.at(*pick);
+            const double addedKb = kbAddedByStepUp(sub);
+            if (!drawStep(ownPartKb, addedKb, bestGainPerKb / typicalStepValue_)) return;
+            ownPartKb -= addedKb;
+            changeRung(now, *pick, sub, sub.rung + 1);
         }
     }
 
-    // What a step down frees, and what one up adds.
-    double lessBy(const Sub& sub) const {
-        const double frees = sub.gathered ? ladder_.sharedRateFraction * kbOf(sub, sub.rung) : sub.bookedKb;
-        return frees - addsKb(sub, sub.at, sub.rung - 1, false);
+    // Return the kB/s that a step down frees and that a step up adds.
+    double kbFreedByStepDown(const Subscription& sub) const {
+        const double releasedKb =
+            sub.isGathered ? ladder_.sharedRateFraction * rateKb(sub, sub.rung) : sub.bookedKb;
+        return releasedKb - marginalKb(sub, sub.server, sub.rung - 1, false);
     }
-    double moreBy(const Sub& sub) const {
-        return std::max(1.0, addsKb(sub, sub.at, sub.rung + 1, false) - sub.bookedKb);
+    double kbAddedByStepUp(const Subscription& sub) const {
+        return std::max(1.0, marginalKb(sub, sub.server, sub.rung + 1, false) - sub.bookedKb);
     }
-    // Benefit per kB of the step up to this rung.
-    double stepValue(const Sub& sub, int rung) const {
-        return (earns(sub, rung) - earns(sub, rung - 1)) / (kbOf(sub, rung) - kbOf(sub, rung - 1));
+    // Benefit per kB/s of the step up to this rung.
+    double stepValue(const Subscription& sub, int rung) const {
+        return (benefitOf(sub, rung) - benefitOf(sub, rung - 1)) /
+               (rateKb(sub, rung) - rateKb(sub, rung - 1));
     }
-    // A step that its part holds is taken; one that it doesn't at that chance, weighed by its worth beside
-    // the usual one: with one subscription at a server there is no order to keep.
-    bool byLot(double part, double step, double weight) {
-        const double lot = std::uniform_real_distribution<double>(0, 1)(chance_);
-        return part >= step || part * weight * weight >= lot * step;
+    // Returns whether to take a step: always if `budgetKb` holds it, else with the probability budgetKb /
+    // stepKb times the square of `weight`, the value of the step relative to a typical one. The weight
+    // replaces the order by value, which a single subscription at a server does not have.
+    bool drawStep(double budgetKb, double stepKb, double weight) {
+        const double sample = std::uniform_real_distribution<double>(0, 1)(random_);
+        return budgetKb >= stepKb || budgetKb * weight * weight >= sample * stepKb;
     }
 
-    double secondsLeft(Micros now, const Sub& sub) const {
-        if (!sub.wish.watchSeconds) return kLikelyLeft;
-        return std::max(0.0, *sub.wish.watchSeconds - seconds(now - sub.takenAt));
+    double remainingSeconds(Micros now, const Subscription& sub) const {
+        if (!sub.request.watchSeconds) return kDefaultRemainingSeconds;
+        return std::max(0.0, *sub.request.watchSeconds - seconds(now - sub.requestedAt));
     }
 
-    void retune(Micros now, SubId id, Sub& sub, int rung) {
-        setRung(now, sub, rung);
-        sub.changedAt = now;
-        sub.gathered = false;
+    void changeRung(Micros now, SubId id, Subscription& sub, int rung) {
+        applyRung(now, sub, rung);
+        sub.rungChangedAt = now;
+        sub.isGathered = false;
         host_.setRung(id, rung);
     }
 
     Host& host_;
-    Micros bornAt_;
-    std::knuth_b chance_;
+    Micros startedAt_;
+    std::knuth_b random_;
     std::uint64_t seed_;
-    int fronts_;
+    int frontCount_;
     Ladder ladder_;
     std::vector<RoomType> rooms_;
     Fleet fleet_;
     ColdStartLimits cold_;
     std::optional<JoinBudget> budget_;
-    ReportTiming tidings_;
-    SubscriptionLimits allowed_;
-    ServingCosts prices_;
+    ReportTiming reportTiming_;
+    SubscriptionLimits limits_;
+    ServingCosts costs_;
 
     std::map<SfuId, Sfu> sfus_;
-    std::map<SubId, Sub> subs_;
+    std::map<SubId, Subscription> subs_;
     std::vector<Uplink> uplinks_;
-    std::vector<SubId> waiting_;
-    std::map<std::pair<RoomTypeId, TitleId>, int> seats_;
-    std::map<std::pair<RoomTypeId, TitleId>, Micros> playedAt_;
-    std::map<std::tuple<SfuId, RoomTypeId, TitleId, int>, int> streams_;  // own viewers of a shared stream
-    std::deque<Micros> taken_, further_;
-    Histogram setups_;
-    double meanBenefit_ = 0, kbPerPlace_ = 0, fleetUse_ = kUseUntold;
-    double typicalValue_ = 0;  // benefit per kB of a step of own subscriptions; others are taken to be alike
-    double freeable_ = 1;   // part of own rates above the floor that may be given up now; others fare alike
-    double shortPart_ = 0;  // of own subscriptions that get short delivery
-    bool slotOpen_ = false, listStale_ = false, handedOver_ = false;
+    std::vector<SubId> waiting_;                                     // requests to place when the slot ends
+    std::map<std::pair<RoomTypeId, TitleId>, int> seatsInUse_;       // by this front alone
+    std::map<std::pair<RoomTypeId, TitleId>, Micros> lastPlayedAt_;  // titles that do exist
+    // Own viewers of each shared stream, by server, room type, title and rung.
+    std::map<std::tuple<SfuId, RoomTypeId, TitleId, int>, int> streamViewers_;
+    // For the join budget: times of requests, and of joins beyond the first of each, within its window.
+    std::deque<Micros> requestTimes_, retryTimes_;
+    Histogram setupTimes_;
+    // Of room types; link capacity in kB/s for each place; of links with a recent report.
+    double meanBenefit_ = 0, kbPerPlace_ = 0, meanLinkUse_ = kDefaultLinkUse;
+    // Means over own subscriptions; those of other fronts are assumed to be similar.
+    double typicalStepValue_ = 0;  // benefit per kB/s of one step
+    double freeableFraction_ = 1;  // part of the rates that steps down may free now
+    double shortFraction_ = 0;     // part of the subscriptions with short delivery
+    bool isSlotOpen_ = false, isListStale_ = false, hasAdopted_ = false;
 };
 
 Logic::Logic(Host& host, Micros now, std::uint64_t seed, int fronts, const Ladder& ladder,
              const std::vector<RoomType>& rooms, const Fleet& fleet, const ColdStartLimits& cold,
-             const JoinBudget* budget, const ReportTiming& tidings, const SubscriptionLimits& allowed,
-             const ServingCosts& prices)
-    : impl_(std::make_unique<Impl>(host, now, seed, fronts, ladder, rooms, fleet, cold, budget, tidings,
-                                   allowed, prices)) {}
+             const JoinBudget* budget, const ReportTiming& reportTiming, const SubscriptionLimits& limits,
+             const ServingCosts& costs)
+    : impl_(std::make_unique<Impl>(host, now, seed, fronts, ladder, rooms, fleet, cold, budget, reportTiming,
+                                   limits, costs)) {}
 Logic::~Logic() = default;
 
 void Logic::onServerList(Micros, std::span<const SfuEntry> entries, bool stale) {
@@ -1075,33 +1205,33 @@
 void Logic::onServerListFailure(Micros) {
     impl_->onServerListFailure();
 }
-void Logic::onSubscribe(Micros now, SubId id, const SubscriptionRequest& wish) {
-    impl_->onSubscribe(now, id, wish);
+void Logic::onSubscribe(Micros now, SubId id, const SubscriptionRequest& request) {
+    impl_->onSubscribe(now, id, request);
 }
-void Logic::onAdopted(Micros now, SubId id, const SubscriptionRequest& wish, SfuId at) {
-    impl_->onAdopted(now, id, wish, at);
+void Logic::onAdopted(Micros now, SubId id, const SubscriptionRequest& request, SfuId server) {
+    impl_->onAdopted(now, id, request, server);
 }
-void Logic::onPlaying(Micros now, SubId id, int joinNo, SfuId at, Micros took) {
-    impl_->onPlaying(now, id, joinNo, at, took);
+void Logic::onPlaying(Micros now, SubId id, int joinNo, SfuId server, Micros took) {
+    impl_->onPlaying(now, id, joinNo, server, took);
 }
-void Logic::onJoinEnded(Micros now, SubId id, int, SfuId at, JoinResult end, bool over, Micros,
+void Logic::onJoinEnded(Micros now, SubId id, int, SfuId server, JoinResult result, bool isOver, Micros,
                         const LoadReport& load) {
-    impl_->onJoinEnded(now, id, at, end, over, load);
+    impl_->onJoinEnded(now, id, server, result, isOver, load);
 }
 void Logic::onViewerLeft(Micros now, SubId id) {
     impl_->onViewerLeft(now, id);
 }
-void Logic::onShareDelivered(Micros now, SubId, SfuId at, double share) {
-    impl_->onShareDelivered(now, at, share);
+void Logic::onShareDelivered(Micros now, SubId, SfuId server, double share) {
+    impl_->onShareDelivered(now, server, share);
 }
 void Logic::onRungInForce(Micros now, SubId id, int rung) {
     impl_->onRungInForce(now, id, rung);
 }
-void Logic::onLinkUse(Micros now, SubId id, SfuId at, double use) {
-    impl_->onLinkUse(now, id, at, use);
+void Logic::onLinkUse(Micros now, SubId id, SfuId server, double use) {
+    impl_->onLinkUse(now, id, server, use);
 }
-void Logic::onUplinkUse(Micros now, SubId id, SfuId at, double use) {
-    impl_->onUplinkUse(now, id, at, use);
+void Logic::onUplinkUse(Micros now, SubId id, SfuId server, double use) {
+    impl_->onUplinkUse(now, id, server, use);
 }
 std::vector<ServerEvidence> Logic::serverEvidence(Micros now) const {
     return impl_->serverEvidence(now);
