--- a/fuzz/node.cpp
+++ b/fuzz/node.cpp
@@ -8,17 +8,17 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace valekeel::node;
     const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-    if (const auto message = messageOf(bytes)) {
-        const std::string line = lineOf(*message);
-        const auto again = messageOf(std::string_view(line).substr(0, line.size() - 1));
+    if (const auto message = parseMessage(bytes)) {
+        const std::string line = formatMessage(*message);
+        const auto again = parseMessage(std::string_view(line).substr(0, line.size() - 1));
         if (!again || again->tag != message->tag || again->description != message->description ||
             again->cause != message->cause || again->opts != message->opts)
             std::abort();
     }
     std::size_t whole = 0, cut = 0;
     FrameReader one(2, 2, 16), two(2, 2, 16);
-    const bool readable = one.feed(bytes, [&](const ChangeEvent& e, bool) { whole += 1 + e.boxes.size(); });
-    const auto count = [&](const ChangeEvent& e, bool) { cut += 1 + e.boxes.size(); };
+    const bool readable = one.feed(bytes, [&](const ChangeEvent& e, bool) { whole += 1 + e.entries.size(); });
+    const auto count = [&](const ChangeEvent& e, bool) { cut += 1 + e.entries.size(); };
     const bool both = two.feed(bytes.substr(0, size / 2), count) && two.feed(bytes.substr(size / 2), count);
     if (readable != both || whole != cut) std::abort();
     return 0;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -65,13 +65,13 @@
     const char* path = std::getenv("BALANCER_CONFIG");
     if (!path) throw std::invalid_argument("BALANCER_CONFIG names no file");
     const std::string text = settings::readFile(path);
-    net::EpollNet real(node::seedOf(node::readConfiguration(path, text)));
+    net::EpollNet real(node::parseSeed(node::parseConfiguration(path, text)));
     logging::Log log("-", logging::parseLevel(level), 5);
     node::Node front(real, path, text, log);
     real.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int which) {
         if (which != SIGHUP) return front.stop([&] { real.stop(); });
         try {
-            front.reread(settings::readFile(path));
+            front.reloadConfiguration(settings::readFile(path));
         } catch (const std::exception& e) {  // half way through being replaced: the one held applies
             std::fprintf(stderr, "valekeel: %s\n", e.what());
         }
--- a/src/fakes/platform.cpp
+++ b/src/fakes/platform.cpp
@@ -62,10 +62,10 @@
 }
 
 void PlatformServer::start(PlatformConnection& line, const std::string& tag) {
-    standing.insert(tag);
+    playing.insert(tag);
     by_[tag] = &line;
-    if (saysFirst > 0) note(tag, "link_use", saysFirst);
-    line.say({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}, {"blob", "words of " + tag}});
+    if (saysFirst > 0) sendNotice(tag, "link_use", saysFirst);
+    line.send({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}, {"blob", "words of " + tag}});
 }
 
 void PlatformServer::heard(PlatformConnection& line, const Json& message) {
@@ -74,43 +74,43 @@
     if (verb == "RATE") rungs.emplace_back(tag, std::stoi(message.at("opts").at("rung").get<std::string>()));
     if (verb == "FINISH") {
         ++cuts;
-        if (standing.erase(tag))
-            line.say({{"verb", "FINISH"}, {"tag", tag}, {"opts", Json::object()}, {"rc", 31}});
+        if (playing.erase(tag))
+            line.send({{"verb", "FINISH"}, {"tag", tag}, {"opts", Json::object()}, {"rc", 31}});
     }
     if (verb != "START") return;
     const Json& opts = message.at("opts");
     setups.push_back({tag, opts.at("key"), opts.at("class"), message.at("blob"), net_.now(),
                       std::stoi(opts.value("rung", "0"))});
     const auto refuse = [&](int cause) {
-        line.say({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
+        line.send({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
     };
-    switch (does(tag)) {
-        case SetupReaction::Plays:
+    switch (reaction(tag)) {
+        case SetupReaction::Play:
             return start(line, tag);
-        case SetupReaction::Full:
+        case SetupReaction::RefuseFull:
             return refuse(34);
-        case SetupReaction::Errs:
+        case SetupReaction::RefuseError:
             return refuse(47);
-        case SetupReaction::Resets:
+        case SetupReaction::Reset:
             return line.close(true);
-        case SetupReaction::Nothing:
+        case SetupReaction::NoAnswer:
             return;
-        case SetupReaction::Noise:
-            standing.insert(tag);
+        case SetupReaction::Garbage:
+            playing.insert(tag);
             return line.bytes("\x01\xff{noise\n");
-        case SetupReaction::Unfinished:
-            standing.insert(tag);
+        case SetupReaction::PartialLine:
+            playing.insert(tag);
             return line.bytes("{\"verb\":\"STARTED\",\"tag\":\"" + tag);
-        case SetupReaction::PlaysTwice:
+        case SetupReaction::PlayTwice:
             start(line, tag);
             return start(line, tag);
-        case SetupReaction::UnknownFirst:
-            line.say(
+        case SetupReaction::UnknownTagFirst:
+            line.send(
                 {{"verb", "STARTED"}, {"tag", "00000000deadbeef"}, {"opts", Json::object()}, {"blob", "x"}});
             return start(line, tag);
-        case SetupReaction::NoWords:
-            standing.insert(tag);
-            return line.say({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}});
+        case SetupReaction::NoDescription:
+            playing.insert(tag);
+            return line.send({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}});
     }
 }
 
@@ -123,21 +123,21 @@
     return nullptr;
 }
 void PlatformServer::end(const std::string& tag, int cause) {
-    standing.erase(tag);
+    playing.erase(tag);
     if (PlatformConnection* line = lineOf(tag))
-        line->say({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
+        line->send({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
 }
-void PlatformServer::note(const std::string& tag, const std::string& kind, double value) {
+void PlatformServer::sendNotice(const std::string& tag, const std::string& kind, double value) {
     if (PlatformConnection* line = lineOf(tag))
-        line->say({{"verb", "NOTICE"}, {"tag", tag}, {"opts", {{"note", kind}, {"value", value}}}});
+        line->send({{"verb", "NOTICE"}, {"tag", tag}, {"opts", {{"note", kind}, {"value", value}}}});
 }
-void PlatformServer::resetAll() {
+void PlatformServer::resetConnections() {
     for (const auto& line : lines_) line->close(true);
 }
 void PlatformServer::die() {
     listener_.reset();
-    standing.clear();
-    resetAll();
+    playing.clear();
+    resetConnections();
 }
 
 // ================= the change log =================
--- a/src/fakes/platform.hpp
+++ b/src/fakes/platform.hpp
@@ -21,7 +21,7 @@
     using Heard = std::function<void(PlatformConnection&, const nlohmann::json&)>;
     PlatformConnection(std::unique_ptr<net::Stream>, Heard);     // accepted
     PlatformConnection(net::Net&, const net::Endpoint&, Heard);  // connects
-    void say(const nlohmann::json& message) { bytes(message.dump() + "\n"); }
+    void send(const nlohmann::json& message) { bytes(message.dump() + "\n"); }
     void bytes(const std::string&);
     void close(bool hard);
     bool ended() const { return ended_; }
@@ -39,30 +39,30 @@
 
 // What a media server does with a set-up.
 enum class SetupReaction {
-    Plays,
-    Full,
-    Errs,
-    Resets,
-    Nothing,
-    Noise,
-    Unfinished,
-    PlaysTwice,
-    UnknownFirst,
-    NoWords
+    Play,
+    RefuseFull,
+    RefuseError,
+    Reset,
+    NoAnswer,
+    Garbage,
+    PartialLine,
+    PlayTwice,
+    UnknownTagFirst,
+    NoDescription
 };
 
 class PlatformServer final : private net::ListenerHandler {
   public:
     PlatformServer(net::Net&, const net::Endpoint&);
     net::Endpoint endpoint() const { return listener_->endpoint(); }
-    std::function<SetupReaction(const std::string& tag)> does = [](const std::string&) {
-        return SetupReaction::Plays;
+    std::function<SetupReaction(const std::string& tag)> reaction = [](const std::string&) {
+        return SetupReaction::Play;
     };
     double saysFirst = 0;  // above 0: its link's use, in a note just before each answer
     void end(const std::string& tag, int cause);
-    void note(const std::string& tag, const std::string& kind, double value);
-    void resetAll();  // its connections; what stands goes on
-    void die();       // refuses from then on; all that stood is cut
+    void sendNotice(const std::string& tag, const std::string& kind, double value);
+    void resetConnections();  // its connections; what stands goes on
+    void die();               // refuses from then on; all that stood is cut
 
     struct Setup {
         std::string tag, title, room, words;
@@ -70,7 +70,7 @@
         int rung;
     };
     std::vector<Setup> setups;  // all that arrived whole
-    std::set<std::string> standing;
+    std::set<std::string> playing;
     std::vector<std::pair<std::string, int>> rungs;
     int cuts = 0, tests = 0, connections = 0;
 
--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -59,7 +59,7 @@
             line.sfu.cell = Cell{setup::find(one, "cell") ? setup::uint32(one, "cell", where) : 0};
             line.sfu.size = setup::numberOr(one, "weight", 1, where);
             line.sfu.launched = static_cast<Micros>(setup::numberOr(one, "startedAtMs", 0, where)) * 1000;
-            event.boxes.push_back(line);
+            event.entries.push_back(line);
         }
         out.push_back(std::move(event));
     }
@@ -100,7 +100,7 @@
             line.sfu.cell = Cell{static_cast<std::uint32_t>(bigEndian(r + 13, 2))};
             line.sfu.size = static_cast<double>(bigEndian(r + 15, 4)) / 1000;
             line.sfu.launched = static_cast<Micros>(bigEndian(r + 19, 8)) * 1000;
-            event.boxes.push_back(line);
+            event.entries.push_back(line);
         }
         heard(event, kind == 0);
         from += 4 + length;
--- a/src/node/changelog.hpp
+++ b/src/node/changelog.hpp
@@ -15,8 +15,8 @@
 
 struct ChangeEvent {
     std::uint64_t number = 0;
-    bool whole = false;                             // the whole list, else changes
-    std::vector<discovery::ServerListEntry> boxes;  // `launched` in Unix microseconds
+    bool whole = false;                               // the whole list, else changes
+    std::vector<discovery::ServerListEntry> entries;  // `launched` in Unix microseconds
 };
 
 // What `known` of the configuration holds. Throws setup::Bad.
--- a/src/node/message.cpp
+++ b/src/node/message.cpp
@@ -32,7 +32,7 @@
     return numberOf(it->get_ref<const std::string&>());
 }
 
-std::optional<Message> messageOf(std::string_view line) {
+std::optional<Message> parseMessage(std::string_view line) {
     Json read = Json::parse(line, nullptr, false);
     if (!read.is_object()) return std::nullopt;
     Message out;
@@ -59,7 +59,7 @@
     return out;
 }
 
-std::string lineOf(const Message& message) {
+std::string formatMessage(const Message& message) {
     nlohmann::ordered_json line;
     line["verb"] = message.verb;
     line["tag"] = message.tag;
--- a/src/node/message.hpp
+++ b/src/node/message.hpp
@@ -22,9 +22,9 @@
 };
 
 // What a line holds; nothing where it is no message. A field of the wrong kind makes it none.
-std::optional<Message> messageOf(std::string_view line);
+std::optional<Message> parseMessage(std::string_view line);
 // With the line's end. Texts are written as they were read.
-std::string lineOf(const Message&);
+std::string formatMessage(const Message&);
 
 bool wellFormedTag(std::string_view);                   // 16 hex digits
 std::optional<double> numberOf(std::string_view text);  // whole text, finite
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -114,7 +114,7 @@
 
 }  // namespace
 
-Json readConfiguration(const std::string& file, const std::string& text) {
+Json parseConfiguration(const std::string& file, const std::string& text) {
     try {
         Json all = Json::parse(text);
         if (!all.is_object()) setup::throwInvalid(file, "an object is expected");
@@ -129,7 +129,7 @@
     }
 }
 
-std::uint64_t seedOf(const Json& all) {
+std::uint64_t parseSeed(const Json& all) {
     const std::string told = setup::text(all, "seed", "configuration");
     std::uint64_t seed = 0;
     const auto [end, wrong] = std::from_chars(told.data(), told.data() + told.size(), seed, 16);
@@ -156,7 +156,7 @@
           core(net, setup::parseRoomTypes(settings, setup::parseLadder(settings, where), where),
                core::CoreLimits{20'000, kAnswerMargin, 0}, kSecond, servers, *this,
                [&](Host& host, Micros now) {
-                   return setup::makeDecider<core::LogicModule>(host, now, seedOf(all), settings, where);
+                   return setup::makeDecider<core::LogicModule>(host, now, parseSeed(all), settings, where);
                }),
           log_(net, changelogAt, known.empty() ? 0 : known.back().number,
                FrameReader(names.kinds.size(), names.zones.size(), 4096), ChangeLogTimes{}, *this),
@@ -184,7 +184,7 @@
         std::vector<SfuEntry> entries;
         std::vector<std::pair<SfuId, Micros>> anew;
         std::set<SfuId> named;
-        for (const discovery::ServerListEntry& line : event.boxes) {
+        for (const discovery::ServerListEntry& line : event.entries) {
             SfuEntry entry = line.sfu;
             const Micros started = line.sfu.launched;
             const auto it = listed.find(entry.id);
@@ -214,7 +214,7 @@
         }
         // Only now: what the servers' side takes back is placed again at once, by what the module has just
         // heard.
-        for (const discovery::ServerListEntry& line : event.boxes)
+        for (const discovery::ServerListEntry& line : event.entries)
             if (line.sfu.standing != ServerState::Off) servers.setAddress(line.sfu.id, line.at);
         for (const auto& [id, launched] : anew) servers.onRestarted(id, launched);
         for (const SfuEntry& entry : entries) {
@@ -225,7 +225,7 @@
     }
     void changed(const ChangeEvent& event) override {
         nlohmann::ordered_json told{{"number", event.number}, {"whole", event.whole}};
-        for (const discovery::ServerListEntry& line : event.boxes)
+        for (const discovery::ServerListEntry& line : event.entries)
             told["boxes"].push_back({line.sfu.id.v, static_cast<int>(line.sfu.standing)});
         say(logging::Level::Info, "list", std::move(told));
         take(event, false);
@@ -380,7 +380,7 @@
 };
 
 Node::Node(net::Net& net, const std::string& file, const std::string& text, logging::Log& log)
-    : parts_(std::make_unique<Parts>(net, file, readConfiguration(file, text), log)) {}
+    : parts_(std::make_unique<Parts>(net, file, parseConfiguration(file, text), log)) {}
 Node::~Node() = default;
 
 net::Endpoint Node::endpoint() const {
@@ -395,9 +395,9 @@
     return parts_->viewers.connections() + parts_->viewers.lingering();
 }
 
-void Node::reread(const std::string& text) {
+void Node::reloadConfiguration(const std::string& text) {
     try {
-        const Json all = readConfiguration(parts_->file, text);
+        const Json all = parseConfiguration(parts_->file, text);
         const net::Endpoint to = changeLogOf(all, parts_->file);
         parts_->say(logging::Level::Info, "configuration replaced", {{"changelog", net::toString(to)}});
         parts_->log_.moveTo(to);
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -13,7 +13,7 @@
 
 // The configuration's text, read whole. Throws setup::Bad: file, line and column where it is no JSON, else
 // what is missing or wrong and where.
-setup::Json readConfiguration(const std::string& file, const std::string& text);
+setup::Json parseConfiguration(const std::string& file, const std::string& text);
 
 class Node {
   public:
@@ -22,7 +22,7 @@
     ~Node();
     net::Endpoint endpoint() const;
     // The configuration was replaced. One that can't be read is passed over: the one held applies.
-    void reread(const std::string& text);
+    void reloadConfiguration(const std::string& text);
     // Entries in all tables that grow with what viewers do, and connections: for tests of what is left over.
     std::size_t remembered() const;
     std::size_t connections() const;
@@ -36,6 +36,6 @@
 };
 
 // The seed that the configuration hands out, for the loop that is made before the node. Throws setup::Bad.
-std::uint64_t seedOf(const setup::Json& configuration);
+std::uint64_t parseSeed(const setup::Json& configuration);
 
 }  // namespace valekeel::node
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -32,7 +32,7 @@
     end.verb = "FINISH";
     end.tag = tag;
     end.cause = 16;
-    return lineOf(end);
+    return formatMessage(end);
 }
 
 constexpr std::size_t kMostEarly = 4;
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-LoadReport loadOf(const Message& message) {
+LoadReport parseLoadReport(const Message& message) {
     LoadReport load;
     const std::string* told = message.text("load");
     if (!told) return load;
@@ -73,7 +73,7 @@
     void opened() override;
     void onDrained() override { all.sendWaiting(*this); }
     void line(std::string_view bytes) override {
-        const auto message = messageOf(bytes);
+        const auto message = parseMessage(bytes);
         // After what can't be read nothing on this connection can be trusted to begin where it should.
         if (!message) {
             all.odd_("a media server's line can't be read", bytes.substr(0, 200));
@@ -392,7 +392,7 @@
         setup.description = words->description;
         held.sent = true;
         held.late->at(held.until);
-        held.from = link.wire.say(lineOf(setup));
+        held.from = link.wire.say(formatMessage(setup));
     }
 }
 
@@ -519,7 +519,7 @@
     rate.verb = "RATE";
     rate.tag = it->second.tag;
     rate.opts["rung"] = std::to_string(rung);
-    sendLine(*server, lineOf(rate));
+    sendLine(*server, formatMessage(rate));
 }
 
 void Servers::adopt(SubId id, SfuId at) {
@@ -555,7 +555,7 @@
         Message told;
         told.verb = "FINISHED";
         told.tag = message.tag;
-        link.wire.say(lineOf(told));
+        link.wire.say(formatMessage(told));
         // It is over there, whoever ended it.
         std::erase_if(server.owed,
                       [&](const Server::Owed& one) { return one.saidOn && one.tag == message.tag; });
@@ -563,7 +563,7 @@
     // What nobody here waits for at this server: of a set-up given up on, told twice, or never asked for.
     if (it == held_.end() || it->second.at != server.id || (!it->second.stands && !it->second.sent)) {
         ++counts_.unknown;
-        return odd_("about no subscription held there", lineOf(message));
+        return odd_("about no subscription held there", formatMessage(message));
     }
     const SubId id = it->first;
     Held& held = it->second;
@@ -601,7 +601,7 @@
             if (const SetupRequest* words = user_.wordsOf(id))
                 odd_("a media server could not use a set-up",
                      words->tag + " " + words->room + " " + words->title + " " + words->description);
-        ended(id, {meaning.end, meaning.neverRan, took, loadOf(message), meaning.why});
+        ended(id, {meaning.end, meaning.neverRan, took, parseLoadReport(message), meaning.why});
     }
 }
 
@@ -610,7 +610,7 @@
     if (message.verb == "FINISH") {
         const int cause = message.cause.value_or(0);
         if (message.text("load")) ++counts_.figures;
-        user_.over(id, endOfStanding(cause), cause, loadOf(message));
+        user_.over(id, endOfStanding(cause), cause, parseLoadReport(message));
         return forget(id);
     }
     if (message.verb != "NOTICE") return;
--- a/src/node/servers.hpp
+++ b/src/node/servers.hpp
@@ -142,6 +142,6 @@
 };
 
 // "x0:12;x1:0.4": what of it the module reads.
-LoadReport loadOf(const Message&);
+LoadReport parseLoadReport(const Message&);
 
 }  // namespace valekeel::node
--- a/src/node/viewers.cpp
+++ b/src/node/viewers.cpp
@@ -257,7 +257,7 @@
 
 void Viewers::heard(Conn& conn, std::string_view line) {
     ++lines_;
-    const auto message = messageOf(line);
+    const auto message = parseMessage(line);
     if (!message) {
         ++counts_.unreadable;
         odd_("a viewer's line can't be read", line.substr(0, 200));
@@ -272,7 +272,7 @@
         passed.verb = "ECHOED";
         passed.tag = message->tag;
         passed.cause = 1;
-        conn.wire.say(lineOf(passed));
+        conn.wire.say(formatMessage(passed));
     } else if (message->verb == "FINISHED") {
         if (const auto told = unheard_.find(message->tag); told != unheard_.end()) unheard_.erase(told);
     } else if (message->verb != "PENDING") {
@@ -283,9 +283,9 @@
 // Refused as unusable. Nothing of it reaches the core, and no media server is asked.
 void Viewers::useless(Conn& conn, const Message& m, const char* why) {
     ++counts_.unusable;
-    odd_(why, lineOf(m));
+    odd_(why, formatMessage(m));
     const std::string& tag = m.tag;
-    conn.wire.say(lineOf(finish(wellFormedTag(tag) ? tag : "", kUnusable)));
+    conn.wire.say(formatMessage(finish(wellFormedTag(tag) ? tag : "", kUnusable)));
     // Whoever sends the same again as soon as it is turned away must not take up the core.
     if (++conn.useless >= kMostUseless) drop(conn);
 }
@@ -302,7 +302,7 @@
         ++counts_.twice;
         const SubId id = known->second;
         if (conn.open.count(id)) {
-            conn.wire.say(lineOf(finish(m.tag, kUnusable)));
+            conn.wire.say(formatMessage(finish(m.tag, kUnusable)));
             conn.open.erase(id);
             core_->unsubscribe(id);
         }
@@ -317,7 +317,7 @@
                             ? core_->adopt(*this, request->wish, *request->playsAt)
                             : std::nullopt;
         if (!id) {  // what plays at a server that is gone is over
-            conn.wire.say(lineOf(finish(m.tag, kCut)));
+            conn.wire.say(formatMessage(finish(m.tag, kCut)));
             return;
         }
         Asking& asking = asking_[*id];
@@ -333,7 +333,7 @@
     const bool taken = !draining_ && !conn.tooMany && conn.open.size() < limits_.openOnOne;
     const auto id = taken ? core_->subscribe(*this, request->wish, request->left) : std::nullopt;
     if (!id) {
-        conn.wire.say(lineOf(finish(m.tag, kBusy)));
+        conn.wire.say(formatMessage(finish(m.tag, kBusy)));
         if (conn.tooMany) drop(conn);
         return;
     }
@@ -351,7 +351,7 @@
         Message heard;
         heard.verb = "FINISHED";
         heard.tag = m.tag;
-        conn.wire.say(lineOf(heard));
+        conn.wire.say(formatMessage(heard));
         return;
     }
     const SubId id = known->second;
@@ -381,7 +381,7 @@
 void Viewers::tell(SubId id, const Message& message, bool release) {
     const auto it = asking_.find(id);
     if (it == asking_.end()) return;
-    const std::string line = lineOf(message);
+    const std::string line = formatMessage(message);
     if (const auto conn = conns_.find(it->second.conn); conn != conns_.end()) {
         conn->second->open.erase(id);
         if (release)
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -584,14 +584,14 @@
         "told_late":1,"told_every":2}})"));
     }
     void ask(int n) {
-        viewers->say({{"verb", "START"},
-                      {"tag", nodetest::idOf(n)},
-                      {"opts",
-                       {{"class", "talk"},
-                        {"left", "3000"},
-                        {"key", "t" + std::to_string(n)},
-                        {"extras", "home:0;copies:3;top:2"}}},
-                      {"blob", "offer"}});
+        viewers->send({{"verb", "START"},
+                       {"tag", nodetest::idOf(n)},
+                       {"opts",
+                        {{"class", "talk"},
+                         {"left", "3000"},
+                         {"key", "t" + std::to_string(n)},
+                         {"extras", "home:0;copies:3;top:2"}}},
+                       {"blob", "offer"}});
     }
     // Until each of so many plays, from `from` on.
     void play(int from, int count) {
@@ -602,7 +602,7 @@
     }
     int standing(int n) const {
         for (std::size_t i = 0; i < servers.size(); ++i)
-            if (servers[i]->standing.count(nodetest::idOf(n))) return static_cast<int>(i);
+            if (servers[i]->playing.count(nodetest::idOf(n))) return static_cast<int>(i);
         return -1;
     }
     void run(Micros time) { world.runUntil(world.now() + time); }
@@ -616,7 +616,7 @@
 TEST_F(NodeListDay, AWholeListInMidCourseLeavesOutWhoIsGone) {
     come();
     play(1, 12);
-    ASSERT_FALSE(servers[0]->standing.empty());
+    ASSERT_FALSE(servers[0]->playing.empty());
     log->add({{1, servers[1]->endpoint(), 0, 1}}, true);
     run(500'000);
     const std::size_t before = servers[0]->setups.size();
@@ -642,7 +642,7 @@
     log->add({{1, servers[1]->endpoint(), 0, 1, started}});
     run(12 * kSecond);  // warm
     play(1, 12);
-    ASSERT_FALSE(servers[1]->standing.empty());
+    ASSERT_FALSE(servers[1]->playing.empty());
     machine(11).wallSkew -= 20 * kSecond;
     log->add({{0, servers[0]->endpoint(), 0, 0}, {1, servers[1]->endpoint(), 0, 1, started}}, true);
     log->add({{1, servers[1]->endpoint(), 0, 1, started}});
@@ -671,7 +671,7 @@
     log.reset();
     front = std::make_unique<node::Node>(machine(11), "config.json", configured.dump(), record);
     connect();
-    viewers->say({{"verb", "ECHO"}, {"tag", nodetest::idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
+    viewers->send({{"verb", "ECHO"}, {"tag", nodetest::idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
     run(50'000);
     EXPECT_EQ(said[nodetest::idOf(99)], "1");  // passed: ready, though nobody has told it anything
     play(1, 4);
@@ -705,7 +705,7 @@
              {nowhere.dump(), "config.json: 'changelog' is 'nowhere', and should be an address and a port"},
              {noPort.dump(),
               "config.json: 'changelog' is '10.0.0.1:0', and should be an address and a port"}}) {
-        front->reread(text);
+        front->reloadConfiguration(text);
         run(1'100'000);  // one a second is written
         EXPECT_NE(logged().find(why), std::string::npos) << why;
     }
@@ -725,7 +725,7 @@
     front->stop([&] { over = true; });
     Json all = configuration();
     all["changelog"] = net::toString(other.endpoint());
-    front->reread(all.dump());
+    front->reloadConfiguration(all.dump());
     other.add({{0, servers[0]->endpoint(), 1, 0}});
     run(300'000);
     for (int n = 1; n <= 10; ++n) ask(n);
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -62,7 +62,7 @@
 
 using nodetest::idOf;
 
-struct Day : nodetest::Virtual {
+struct Day : nodetest::VirtualMachines {
     Json settings;
     std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
     std::unique_ptr<fakes::PlatformChangeLog> log;
@@ -92,14 +92,14 @@
     void ask(int n, std::size_t room = 0, int left = 0) {
         const Json& told = settings["request_classes"][room];
         if (left == 0) left = static_cast<int>(told["deadline"].get<double>() * 1000);
-        viewers->say({{"verb", "START"},
-                      {"tag", idOf(n)},
-                      {"opts",
-                       {{"class", told["name"]},
-                        {"left", std::to_string(left)},
-                        {"key", "t" + std::to_string(n)},
-                        {"extras", "home:0;copies:4;top:2"}}},
-                      {"blob", "offer"}});
+        viewers->send({{"verb", "START"},
+                       {"tag", idOf(n)},
+                       {"opts",
+                        {{"class", told["name"]},
+                         {"left", std::to_string(left)},
+                         {"key", "t" + std::to_string(n)},
+                         {"extras", "home:0;copies:4;top:2"}}},
+                       {"blob", "offer"}});
     }
     // What was said of it: "+" that it plays, a cause of a release, in order.
     std::string said(int n) {
@@ -142,7 +142,7 @@
     const auto load = [](const char* told) {
         node::Message m;
         m.opts["load"] = told;
-        return node::loadOf(m);
+        return node::parseLoadReport(m);
     };
     const LoadReport last = load("throughput:9;errors_per_s:0;outstanding:12;utilization:0.4");
     EXPECT_EQ(last.linkUse, 0.4);
@@ -171,7 +171,8 @@
 // One attempt is one, also where the first was refused and proven not to have run.
 TEST(Deployments, OneAttemptIsOne) {
     Day day(pierNotices());
-    for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Full; };
+    for (const auto& s : day.servers)
+        s->reaction = [](const std::string&) { return SetupReaction::RefuseFull; };
     day.ask(1);
     day.run(kSecond);
     std::size_t sent = 0;
@@ -206,7 +207,7 @@
     Day day(pierNotices(), 1);
     day.ask(1);
     day.run(kSecond);
-    day.servers[0]->resetAll();
+    day.servers[0]->resetConnections();
     day.run(3 * kSecond);
     EXPECT_EQ(day.said(1), "+");
     day.servers[0]->end(idOf(1), 16);
@@ -221,7 +222,7 @@
         day.ask(1);
         day.run(kSecond);
         ASSERT_EQ(day.said(1), "+");
-        day.servers[0]->note(idOf(1), "link_use", 0.2);
+        day.servers[0]->sendNotice(idOf(1), "link_use", 0.2);
         day.run(20'000);
         const Micros ended = day.world.now();
         day.nodes[0]->pause();
@@ -247,7 +248,7 @@
         day.world.latency = nullptr;
         day.run(kSecond);
         EXPECT_EQ(day.said(1), "+") << told["allowed"]["connect_timeout"];
-        EXPECT_EQ(day.servers[0]->standing.size(), 1u);
+        EXPECT_EQ(day.servers[0]->playing.size(), 1u);
     }
 }
 
@@ -259,7 +260,8 @@
         double longest = 0;
         for (const Json& room : told["request_classes"])
             longest = std::max(longest, room["deadline"].get<double>());
-        for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Nothing; };
+        for (const auto& s : day.servers)
+            s->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
         const std::size_t rooms = told["request_classes"].size();
         for (std::size_t i = 0; i < rooms; ++i) day.ask(static_cast<int>(i) + 1, i);
         day.run(100'000);
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -99,10 +99,10 @@
                 {"blob", "offer"}};
     }
     void ask(int n, const std::string& room = "talk", const std::string& title = "t") {
-        viewers->say(start(n, room, title));
+        viewers->send(start(n, room, title));
     }
     void end(int n) {
-        viewers->say({{"verb", "FINISH"}, {"tag", idOf(n)}, {"opts", Json::object()}, {"rc", 16}});
+        viewers->send({{"verb", "FINISH"}, {"tag", idOf(n)}, {"opts", Json::object()}, {"rc", 16}});
     }
     // What was said of it: "+" that it plays, a cause of a release, in order.
     std::string said(int n) {
@@ -114,7 +114,7 @@
     }
     fakes::PlatformServer* playerOf(int n) {
         for (const auto& s : servers)
-            if (s->standing.count(idOf(n))) return s.get();
+            if (s->playing.count(idOf(n))) return s.get();
         return nullptr;
     }
     int setupsOf(int n) {
@@ -125,7 +125,7 @@
     }
 };
 
-struct Virtual {
+struct VirtualMachines {
     net::VirtualWorld world{5};
     std::map<int, net::VirtualNode*> nodes;
     net::Net& machine(int n) {
@@ -138,7 +138,7 @@
     }
     void run(Micros time) { world.runUntil(world.now() + time); }
 };
-using VirtualDay = Day<Virtual>;
+using VirtualDay = Day<VirtualMachines>;
 
 // The same on loopback sockets, where connections really are refused and reset.
 struct Sockets {
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -44,7 +44,7 @@
     VirtualDay day(1);
     connectsTake(day, 200'000);
     const auto other = day.line();
-    other->say(VirtualDay::start(1, "paid", "a"));
+    other->send(VirtualDay::start(1, "paid", "a"));
     day.ask(2, "talk", "b");
     day.run(60'000);
     other->close(false);
@@ -73,7 +73,7 @@
     for (int n = 1; n <= 24; ++n) {
         Json setup = VirtualDay::start(n, "talk", "t" + std::to_string(n));
         setup["blob"] = std::string(15'000, 'x');
-        day.viewers->say(setup);
+        day.viewers->send(setup);
         if (n % 8 == 0) day.run(30'000);
     }
     for (int n = 1; n <= 24; ++n) day.end(n);
@@ -84,7 +84,7 @@
     for (int n = 1; n <= 24; ++n) arrived += day.setupsOf(n);
     EXPECT_GE(arrived, 15);
     EXPECT_LE(arrived * 15'000, static_cast<int>(net::VirtualWorld::kBuffer) + 15'000);
-    EXPECT_EQ(day.servers[0]->standing.size(), 1u);  // the first alone
+    EXPECT_EQ(day.servers[0]->playing.size(), 1u);  // the first alone
 }
 
 // ================= what is owed to a server =================
@@ -93,15 +93,15 @@
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    day.servers[0]->resetAll();
+    day.servers[0]->resetConnections();
     day.run(1'000);
     day.nodes[0]->pause();  // no connection comes up for a while
     day.end(1);
     day.run(700'000);
-    EXPECT_EQ(day.servers[0]->standing.size(), 1u);
+    EXPECT_EQ(day.servers[0]->playing.size(), 1u);
     day.nodes[0]->resume();
     day.run(kSecond);
-    EXPECT_TRUE(day.servers[0]->standing.empty());
+    EXPECT_TRUE(day.servers[0]->playing.empty());
 }
 
 // A network that is cut for some seconds: the viewers are told, and what played on at the server is ended
@@ -113,47 +113,47 @@
     day.nodes[0]->pause();
     day.run(8 * kSecond);
     for (int n = 1; n <= 3; ++n) EXPECT_EQ(day.said(n), "+ 41") << n;
-    EXPECT_EQ(day.servers[0]->standing.size(), 3u);
+    EXPECT_EQ(day.servers[0]->playing.size(), 3u);
     day.nodes[0]->resume();
     day.run(3 * kSecond);
-    EXPECT_TRUE(day.servers[0]->standing.empty());
+    EXPECT_TRUE(day.servers[0]->playing.empty());
 }
 
 // An end that is owed to the first try must not end the second of the same id at the same server.
 TEST(NodeServers, AnEndOwedToAnEarlierTryDoesNotEndTheNext) {
     VirtualDay day(1);
     int bad = 0;
-    day.servers[0]->does = [&](const std::string&) {
-        return bad++ == 0 ? SetupReaction::Resets : SetupReaction::Plays;
+    day.servers[0]->reaction = [&](const std::string&) {
+        return bad++ == 0 ? SetupReaction::Reset : SetupReaction::Play;
     };
     day.ask(1);
     day.run(3 * kSecond);
     EXPECT_EQ(day.said(1), "+");
     EXPECT_EQ(day.setupsOf(1), 2);
-    EXPECT_EQ(day.servers[0]->standing.size(), 1u);
+    EXPECT_EQ(day.servers[0]->playing.size(), 1u);
 }
 
 // The same where the first try timed out, and the connection on which its end was said breaks after that.
 TEST(NodeServers, AnEndThatIsSaidOnceMoreDoesNotEndTheNextTry) {
     VirtualDay day(1);
     int bad = 0;
-    day.servers[0]->does = [&](const std::string&) {
-        return bad++ == 0 ? SetupReaction::Nothing : SetupReaction::Plays;
+    day.servers[0]->reaction = [&](const std::string&) {
+        return bad++ == 0 ? SetupReaction::NoAnswer : SetupReaction::Play;
     };
     day.ask(1);
     for (int turn = 0; turn < 40 && day.said(1).empty(); ++turn) day.run(50'000);
     ASSERT_EQ(day.said(1), "+");
     ASSERT_EQ(day.setupsOf(1), 2);
-    day.servers[0]->resetAll();
+    day.servers[0]->resetConnections();
     day.run(kSecond);
-    EXPECT_EQ(day.servers[0]->standing.size(), 1u);
+    EXPECT_EQ(day.servers[0]->playing.size(), 1u);
 }
 
 TEST(NodeServers, ConnectionsToAnEarlierPlaceOfAServerAreClosed) {
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    fakes::PlatformServer moved(day.machine(20), Virtual::place(20));
+    fakes::PlatformServer moved(day.machine(20), VirtualMachines::place(20));
     day.log->add({{0, moved.endpoint(), 0, 0}});
     day.run(100'000);
     day.ask(2);
@@ -202,7 +202,7 @@
 
 TEST(NodeServers, OneMayBeCalledOffWhileItsConnectionGoes) {
     VirtualDay day(1);
-    day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
+    day.servers[0]->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
     net::Net& net = day.machine(21);
     Follows user;
     core::CoreObserver watcher;
@@ -232,7 +232,7 @@
     user.other = ask(0, 2);
     day.run(200'000);
     ASSERT_EQ(day.servers[0]->setups.size(), 2u);
-    day.servers[0]->resetAll();
+    day.servers[0]->resetConnections();
     day.run(kSecond);
     EXPECT_EQ(user.ended, std::vector<SubId>{paid});
     EXPECT_EQ(core.subscriptionCount(), 0u);
@@ -252,11 +252,11 @@
 
 // Guards against a dead server that fills the memory, and is knocked at by hundreds of fronts all the time.
 TEST(NodeServers, EndsOwedToAServerThatNeverComesBackAreBounded) {
-    Virtual machines;
+    VirtualMachines machines;
     Words user;
     node::ServerLimits limits;
     node::Servers servers(machines.machine(1), limits, user);
-    servers.setAddress(SfuId{0}, Virtual::place(0));  // nobody listens there
+    servers.setAddress(SfuId{0}, VirtualMachines::place(0));  // nobody listens there
     const auto most = static_cast<std::uint32_t>(limits.owed);
     for (std::uint32_t n = 1; n <= most + 88; ++n) servers.release(SubId{n}, SfuId{0});
     EXPECT_EQ(servers.owed(), limits.owed);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -25,8 +25,8 @@
     m.opts = {{"left", "1500"}, {"rung", 2}, {"odd", "1e400"}, {"words", "12x"}};
     m.cause = 34;
     m.description = "c=IN\r\n\"\\ é";
-    const std::string line = node::lineOf(m);
-    const auto back = node::messageOf(line.substr(0, line.size() - 1));
+    const std::string line = node::formatMessage(m);
+    const auto back = node::parseMessage(line.substr(0, line.size() - 1));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->description, m.description);
     EXPECT_EQ(back->cause, 34);
@@ -37,7 +37,7 @@
          {"", "{", "[]", "17", "{}", R"({"verb":7})", R"({"verb":"A","opts":[]})",
           R"({"verb":"A","opts":{"x":{}}})", R"({"verb":"A","rc":"x"})", R"({"verb":"A","rc":-1})",
           R"({"verb":"A","rc":1e99})", R"({"verb":"A","blob":3})", "{\"verb\":\"A\",\"tag\":\"\xff\"}"})
-        EXPECT_FALSE(node::messageOf(bad)) << bad;
+        EXPECT_FALSE(node::parseMessage(bad)) << bad;
     EXPECT_TRUE(node::wellFormedTag("9b1f03aa5c7e2d41"));
     for (const char* bad : {"", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d4g", "9b1f03aa5c7e2d411"})
         EXPECT_FALSE(node::wellFormedTag(bad)) << bad;
@@ -63,7 +63,7 @@
             const std::size_t n = std::min<std::size_t>(1 + chance() % 40, bytes.size() - from);
             ASSERT_TRUE(reader.feed(
                 std::string_view(bytes).substr(from, n),
-                [&](const node::ChangeEvent& e, bool) { got.emplace_back(e.number, e.boxes.size()); }));
+                [&](const node::ChangeEvent& e, bool) { got.emplace_back(e.number, e.entries.size()); }));
             from += n;
         }
         EXPECT_EQ(put, got);
@@ -86,7 +86,7 @@
 
 TEST(Node, PassesATestAndServes) {
     VirtualDay day;
-    day.viewers->say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
+    day.viewers->send({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
     for (int n = 1; n <= 20; ++n) day.ask(n, n % 2 ? "talk" : "paid", "t" + std::to_string(n));
     day.run(kSecond);
     EXPECT_EQ(day.said(99), "1");
@@ -107,7 +107,7 @@
     EXPECT_EQ(day.said(1), "+ 16");
     EXPECT_EQ(day.said(2), "+ 41");
     EXPECT_EQ(day.said(3), "+");  // it left by itself: nothing is owed
-    EXPECT_EQ(third->standing.count(idOf(3)), 0u);
+    EXPECT_EQ(third->playing.count(idOf(3)), 0u);
     EXPECT_EQ(third->cuts, 1);  // one end for one subscription
 }
 
@@ -115,31 +115,32 @@
 // run is set up twice if it is paid; whatever stands nowhere in the end was cut.
 TEST(Node, ABadAnswerCostsNoMoreThanItsOwnSetup) {
     struct Case {
-        SetupReaction does;
+        SetupReaction reaction;
         const char *free, *paid;
         bool paidAgain;
     };
     for (const Case& c :
-         {Case{SetupReaction::Full, "+", "+", true}, Case{SetupReaction::Errs, "+", "41", false},
-          Case{SetupReaction::Resets, "+", "41", false}, Case{SetupReaction::Noise, "+", "41", false},
-          Case{SetupReaction::Unfinished, "+", "41", false}, Case{SetupReaction::NoWords, "+", "41", false},
-          Case{SetupReaction::PlaysTwice, "+", "+", false},
-          Case{SetupReaction::UnknownFirst, "+", "+", false}}) {
+         {Case{SetupReaction::RefuseFull, "+", "+", true}, Case{SetupReaction::RefuseError, "+", "41", false},
+          Case{SetupReaction::Reset, "+", "41", false}, Case{SetupReaction::Garbage, "+", "41", false},
+          Case{SetupReaction::PartialLine, "+", "41", false},
+          Case{SetupReaction::NoDescription, "+", "41", false},
+          Case{SetupReaction::PlayTwice, "+", "+", false},
+          Case{SetupReaction::UnknownTagFirst, "+", "+", false}}) {
         VirtualDay day;
         int bad = 0;
         for (const auto& s : day.servers)
-            s->does = [&](const std::string&) { return bad++ == 0 ? c.does : SetupReaction::Plays; };
+            s->reaction = [&](const std::string&) { return bad++ == 0 ? c.reaction : SetupReaction::Play; };
         day.ask(1, "talk", "a");
         day.run(2 * kSecond);
-        EXPECT_EQ(day.said(1), c.free) << static_cast<int>(c.does);
+        EXPECT_EQ(day.said(1), c.free) << static_cast<int>(c.reaction);
         bad = 0;
         day.ask(2, "paid", "b");
         day.run(2 * kSecond);
-        EXPECT_EQ(day.said(2), c.paid) << static_cast<int>(c.does);
-        EXPECT_EQ(day.setupsOf(2), c.paidAgain ? 2 : 1) << static_cast<int>(c.does);
+        EXPECT_EQ(day.said(2), c.paid) << static_cast<int>(c.reaction);
+        EXPECT_EQ(day.setupsOf(2), c.paidAgain ? 2 : 1) << static_cast<int>(c.reaction);
         std::size_t standing = 0;
-        for (const auto& s : day.servers) standing += s->standing.size();
-        EXPECT_EQ(standing, std::string(c.paid) == "+" ? 2u : 1u) << static_cast<int>(c.does);
+        for (const auto& s : day.servers) standing += s->playing.size();
+        EXPECT_EQ(standing, std::string(c.paid) == "+" ? 2u : 1u) << static_cast<int>(c.reaction);
     }
 }
 
@@ -148,7 +149,7 @@
     VirtualDay day(1);
     day.ask(1);
     day.run(kSecond);
-    day.servers[0]->resetAll();
+    day.servers[0]->resetConnections();
     day.run(kSecond);
     EXPECT_EQ(day.said(1), "+");
     day.servers[0]->end(idOf(1), 16);  // on the connection that was opened since
@@ -196,7 +197,7 @@
     day.ask(1);
     day.run(40 * kSecond);
     EXPECT_EQ(day.said(1), "+");
-    EXPECT_EQ(day.servers[0]->standing.size(), 1u);
+    EXPECT_EQ(day.servers[0]->playing.size(), 1u);
 }
 
 // What ends a subscription is said where its viewers are, not to whoever has connected last.
@@ -205,13 +206,13 @@
     day.ask(1);
     day.ask(2);
     const auto other = day.line();
-    other->say(VirtualDay::start(3));
+    other->send(VirtualDay::start(3));
     day.run(kSecond);
     day.viewers->close(true);
     int strange = 0;
     fakes::PlatformConnection stranger(day.machine(13), day.front->endpoint(),
                                        [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
-    stranger.say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
+    stranger.send({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     day.run(100'000);
     day.servers[0]->end(idOf(1), 16);
     day.run(900'000);
@@ -237,7 +238,7 @@
     for (int i = 0; i < 400; ++i) {
         crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
                                                                     [](auto&, const Json&) {}));
-        crowd.back()->say({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
+        crowd.back()->send({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     }
     day.run(100'000);
     EXPECT_FALSE(day.viewers->ended());
@@ -249,7 +250,7 @@
 // A viewer that stops waiting is owed nothing, and leaves nothing behind.
 TEST(Node, WhatIsGivenUpIsCalledOff) {
     VirtualDay day(1);
-    day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
+    day.servers[0]->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
     day.ask(1);
     day.run(200'000);
     day.end(1);
@@ -339,7 +340,7 @@
     VirtualDay day;
     day.ask(1);
     const auto other = day.line();
-    other->say(VirtualDay::start(1, "talk", "another"));
+    other->send(VirtualDay::start(1, "talk", "another"));
     day.run(kSecond);
     EXPECT_TRUE(other->ended());
     EXPECT_EQ(day.said(1), "+");
@@ -351,12 +352,12 @@
     Json m = VirtualDay::start(1);
     m["opts"]["left"] = "4294967";
     m["opts"]["extras"] = "home:0;copies:3;top:2;at:s-00000001";
-    day.viewers->say(m);
-    day.viewers->say(m);  // told again: held already
+    day.viewers->send(m);
+    day.viewers->send(m);  // told again: held already
     Json gone = m;
     gone["tag"] = idOf(2);
     gone["opts"]["extras"] = "home:0;copies:3;top:2;at:s-0000000f";
-    day.viewers->say(gone);
+    day.viewers->send(gone);
     day.run(500'000);
     EXPECT_EQ(day.said(1), "");
     EXPECT_EQ(day.said(2), "41");  // nobody there could ever say that it is over
@@ -371,7 +372,7 @@
     day.run(2 * kSecond);
     EXPECT_EQ((day.said(1) == "+") + (day.said(2) == "+") + (day.said(3) == "+"), 2);
     std::size_t most = 0;
-    for (const auto& s : day.servers) most += s->standing.size();
+    for (const auto& s : day.servers) most += s->playing.size();
     EXPECT_EQ(most, 2u);
 }
 
@@ -434,12 +435,12 @@
 
 TEST(NodeList, IsAskedForWhereTheNewConfigurationSays) {
     VirtualDay day;
-    fakes::PlatformChangeLog other(day.machine(14), Virtual::place(14));
+    fakes::PlatformChangeLog other(day.machine(14), VirtualMachines::place(14));
     other.last = 1;
-    day.front->reread("{ not JSON");  // passed over
+    day.front->reloadConfiguration("{ not JSON");  // passed over
     Json all = Json::parse(day.configuration());
     all["changelog"] = net::toString(other.endpoint());
-    day.front->reread(all.dump());
+    day.front->reloadConfiguration(all.dump());
     day.run(500'000);
     ASSERT_EQ(other.asked, std::vector<std::uint64_t>{1});
     other.add({{0, day.servers[0]->endpoint(), 1, 0}});
@@ -455,8 +456,8 @@
 TEST(Node, APlannedEndAnswersAllThatWasTaken) {
     VirtualDay day;
     for (const auto& s : day.servers)
-        s->does = [](const std::string& tag) {
-            return tag == idOf(2) ? SetupReaction::Nothing : SetupReaction::Plays;
+        s->reaction = [](const std::string& tag) {
+            return tag == idOf(2) ? SetupReaction::NoAnswer : SetupReaction::Play;
         };
     bool over = false;
     day.front->stop([&] { over = true; });
@@ -504,12 +505,12 @@
     Day<Sockets> day;
     std::mt19937 chance(3);
     for (const auto& s : day.servers)
-        s->does = [&](const std::string&) {
+        s->reaction = [&](const std::string&) {
             const auto drawn = chance() % 20;
-            return drawn == 0   ? SetupReaction::Resets
-                   : drawn == 1 ? SetupReaction::Noise
-                   : drawn == 2 ? SetupReaction::Full
-                                : SetupReaction::Plays;
+            return drawn == 0   ? SetupReaction::Reset
+                   : drawn == 1 ? SetupReaction::Garbage
+                   : drawn == 2 ? SetupReaction::RefuseFull
+                                : SetupReaction::Play;
         };
     for (int n = 1; n <= 60; ++n) {
         day.ask(n, n % 3 ? "talk" : "paid", "t" + std::to_string(n));
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -100,11 +100,12 @@
 // Where all are needed, one that comes is heard and refused: it is not just closed.
 TEST(NodeViewers, OneTooManyIsRefusedAndNotCutOff) {
     VirtualDay day;
-    for (const auto& s : day.servers) s->does = [](const std::string&) { return SetupReaction::Nothing; };
+    for (const auto& s : day.servers)
+        s->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
     std::vector<std::unique_ptr<fakes::PlatformConnection>> all;
     for (int n = 1; n <= 130; ++n) {
         all.push_back(day.line());
-        all.back()->say(VirtualDay::start(n, "talk", "t" + std::to_string(n)));
+        all.back()->send(VirtualDay::start(n, "talk", "t" + std::to_string(n)));
         day.run(1'000);
     }
     for (int n = 121; n <= 130; ++n) EXPECT_EQ(day.said(n), "42") << n;
@@ -122,7 +123,7 @@
         day.run(1'000);
     }
     const auto next = day.line();  // waits to be accepted, and the set-up to be read behind that
-    day.viewers->say(VirtualDay::start(1));
+    day.viewers->send(VirtualDay::start(1));
     EXPECT_TRUE(day.loop.until([&] { return day.said(1) == "+"; }, 2 * kSecond));
 }
 
@@ -160,7 +161,7 @@
     half->bytes(whole.substr(0, 100));
     day.run(1'500'000);
     day.nodes[11]->pause();
-    silent->say(VirtualDay::start(1));
+    silent->send(VirtualDay::start(1));
     half->bytes(whole.substr(100));
     day.run(kSecond);
     day.nodes[11]->resume();
@@ -194,7 +195,7 @@
 TEST(NodeViewers, WhateverEndsAConnectionGivesUpItsSetups) {
     for (int how = 0; how < 6; ++how) {
         VirtualDay day(1);
-        day.servers[0]->does = [](const std::string&) { return SetupReaction::Nothing; };
+        day.servers[0]->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
         day.ask(1);
         day.ask(2, "talk", "u");
         day.run(200'000);
@@ -205,7 +206,7 @@
         if (how == 3) day.viewers->bytes(std::string(20'000, 'x'));
         if (how == 4) day.ask(1);  // one id twice
         if (how == 5)
-            for (int i = 0; i < 4; ++i) day.viewers->say(VirtualDay::start(77, "unheard"));
+            for (int i = 0; i < 4; ++i) day.viewers->send(VirtualDay::start(77, "unheard"));
         day.run(20'000);
         EXPECT_EQ(day.servers[0]->cuts, 2) << how;
         EXPECT_EQ(day.front->remembered(), 0u) << how;
@@ -224,7 +225,7 @@
     VirtualDay day(1);
     day.ask(1);
     const auto other = day.line();
-    other->say(VirtualDay::start(2, "talk", "u"));
+    other->send(VirtualDay::start(2, "talk", "u"));
     day.run(kSecond);
     day.servers[0]->end(idOf(1), 16);
     day.run(250);  // the front says it while the reset is on its way
@@ -240,7 +241,7 @@
     for (int n = 1; n <= many; ++n) {
         Json m = VirtualDay::start(n);
         m["opts"]["extras"] = "home:0;copies:3;top:2;at:s-00000000";
-        day.viewers->say(m);
+        day.viewers->send(m);
         if (n % 200 == 0) day.run(20'000);
     }
     day.run(100'000);
@@ -266,13 +267,13 @@
     VirtualDay day;
     std::mt19937 chance(11);
     for (const auto& s : day.servers)
-        s->does = [&](const std::string&) {
+        s->reaction = [&](const std::string&) {
             const auto drawn = chance() % 12;
-            return drawn == 0   ? SetupReaction::Full
-                   : drawn == 1 ? SetupReaction::Nothing
-                   : drawn == 2 ? SetupReaction::Resets
-                   : drawn == 3 ? SetupReaction::Noise
-                                : SetupReaction::Plays;
+            return drawn == 0   ? SetupReaction::RefuseFull
+                   : drawn == 1 ? SetupReaction::NoAnswer
+                   : drawn == 2 ? SetupReaction::Reset
+                   : drawn == 3 ? SetupReaction::Garbage
+                                : SetupReaction::Play;
         };
     std::vector<std::unique_ptr<fakes::PlatformConnection>> lines(6);
     for (int n = 1; n <= 4000; ++n) {
@@ -280,15 +281,15 @@
         if (!line || line->ended()) line = day.line();
         Json m = VirtualDay::start(n, n % 5 ? "talk" : "paid", "t" + std::to_string(n % 50));
         if (n % 7 == 0) m["opts"]["extras"] = "home:0;copies:3;top:2;at:s-0000000" + std::to_string(n % 3);
-        line->say(m);
+        line->send(m);
         day.run(2'000);
         if (n > 100 && chance() % 3) {
             const int old = n - static_cast<int>(chance() % 100);
-            line->say({{"verb", "FINISH"}, {"tag", idOf(old)}, {"opts", Json::object()}, {"rc", 16}});
+            line->send({{"verb", "FINISH"}, {"tag", idOf(old)}, {"opts", Json::object()}, {"rc", 16}});
         }
         if (chance() % 20 == 0) line->close(chance() % 2);
         if (chance() % 60 == 0 && !line->ended()) line->bytes("noise\n");
-        if (chance() % 90 == 0) day.servers[chance() % 3]->resetAll();
+        if (chance() % 90 == 0) day.servers[chance() % 3]->resetConnections();
     }
     day.run(4 * kSecond);
     day.viewers = day.line();
@@ -300,7 +301,7 @@
     day.run(12 * kSecond);
     EXPECT_EQ(day.front->remembered(), 0u);
     EXPECT_EQ(day.front->connections(), 0u);
-    for (const auto& s : day.servers) EXPECT_TRUE(s->standing.empty());
+    for (const auto& s : day.servers) EXPECT_TRUE(s->playing.empty());
 }
 
 // Guards against connects that fail together and are tried again at once: each held two descriptors then.
@@ -310,11 +311,12 @@
         void gone(node::DisconnectReason) override {}
     } nobody;
     net::VirtualWorld world{5};
-    net::VirtualNode& here = world.node("here", Virtual::place(0).ip);
+    net::VirtualNode& here = world.node("here", VirtualMachines::place(0).ip);
     std::vector<std::unique_ptr<node::LineConnection>> wires;
     for (int i = 0; i < 10; ++i) {
-        wires.push_back(std::make_unique<node::LineConnection>(
-            here, Virtual::place(1), kSecond, node::LineConnection::Limits{100, 100, kSecond}, nobody));
+        wires.push_back(
+            std::make_unique<node::LineConnection>(here, VirtualMachines::place(1), kSecond,
+                                                   node::LineConnection::Limits{100, 100, kSecond}, nobody));
         wires.back()->close();
     }
     EXPECT_EQ(here.mostStreams(), 1u);
@@ -340,7 +342,7 @@
 // The same front with other settings, instead of the day's own.
 void restart(VirtualDay& day, const std::function<void(Json&)>& change) {
     Json all = Json::parse(day.configuration());
-    all["listen"] = net::toString(Virtual::place(15));
+    all["listen"] = net::toString(VirtualMachines::place(15));
     change(all);
     day.front = std::make_unique<node::Node>(day.machine(15), "config.json", all.dump(), day.record);
     day.viewers = day.line();
@@ -382,8 +384,8 @@
             for (Json& room : all["settings"]["request_classes"]) room["deadline"] = deadline;
         });
         for (const auto& s : day.servers)
-            s->does = [](const std::string& tag) {
-                return tag == idOf(2) ? SetupReaction::Nothing : SetupReaction::Plays;
+            s->reaction = [](const std::string& tag) {
+                return tag == idOf(2) ? SetupReaction::NoAnswer : SetupReaction::Play;
             };
         day.ask(1);
         day.run(500'000);
@@ -392,7 +394,7 @@
         end.until(600'000);
         Json last = VirtualDay::start(2, "talk", "u");
         last["opts"]["left"] = std::to_string(static_cast<int>(deadline * 1000));
-        day.viewers->say(last);
+        day.viewers->send(last);
         end.until(kill - 500'000);
         EXPECT_EQ(day.said(1), "+") << deadline;  // no sooner than has to be
         end.until(kill - 300'000);
@@ -402,7 +404,7 @@
         EXPECT_TRUE(end.over) << deadline;
         EXPECT_EQ(day.said(2), "41") << deadline;
         EXPECT_EQ(day.said(3), "42") << deadline;
-        for (const auto& s : day.servers) EXPECT_TRUE(s->standing.empty()) << deadline;
+        for (const auto& s : day.servers) EXPECT_TRUE(s->playing.empty()) << deadline;
     }
 }
 
@@ -435,7 +437,7 @@
     day.viewers->bytes(test.dump() + "\n" + m.dump() + "\n");
     day.run(100'000);
     EXPECT_EQ(day.said(99), "1");
-    day.servers[1]->standing.insert(idOf(1));
+    day.servers[1]->playing.insert(idOf(1));
     day.servers[1]->end(idOf(1), 16);
     day.run(500'000);
     EXPECT_EQ(day.said(1), "16");
