--- a/fuzz/node.cpp
+++ b/fuzz/node.cpp
@@ -12,7 +12,7 @@
         const std::string line = formatMessage(*message);
         const auto again = parseMessage(std::string_view(line).substr(0, line.size() - 1));
         if (!again || again->tag != message->tag || again->description != message->description ||
-            again->cause != message->cause || again->opts != message->opts)
+            again->cause != message->cause || again->options != message->options)
             std::abort();
     }
     std::size_t whole = 0, cut = 0;
--- a/src/node/changelog.hpp
+++ b/src/node/changelog.hpp
@@ -1,5 +1,6 @@
-// The platform's change log: numbered events of the list of media servers, as frames over TCP. FrameReader
-// turns bytes into events and knows no clock; ChangeLog keeps a connection to it.
+// Client of the platform's change log, which numbers each change to the list of media servers and sends the
+// changes as binary frames over TCP. FrameReader parses frames and has no clock; ChangeLogClient keeps the
+// connection up and hands events on in order.
 #pragma once
 
 #include <functional>
@@ -14,77 +15,89 @@
 namespace valekeel::node {
 
 struct ChangeEvent {
-    std::uint64_t number = 0;
-    bool whole = false;                               // the whole list, else changes
+    std::uint64_t sequenceNumber = 0;
+    bool isFullList = false;                          // replaces the whole list; else changes to it
     std::vector<discovery::ServerListEntry> entries;  // `launched` in Unix microseconds
 };
 
-// What `known` of the configuration holds. Throws setup::Bad.
-std::vector<ChangeEvent> knownEvents(const setup::Json& known, const discovery::ListNames&);
+// Parses the events in `known`, the configuration's snapshot of the list. The first event counts as a full
+// list. Throws setup::InvalidValue.
+std::vector<ChangeEvent> parseKnownEvents(const setup::Json& known, const discovery::ListNames&);
 
+// Splits a byte stream into frames.
 class FrameReader {
   public:
-    FrameReader(std::size_t kinds, std::size_t zones, std::size_t mostRecords)
-        : kinds_(kinds), zones_(zones), most_(mostRecords) {}
-    // Calls back for each whole frame; an empty one has no boxes and says the last number. False where the
-    // bytes are no frames: nothing more can be read of them.
-    bool feed(std::string_view bytes, const std::function<void(const ChangeEvent&, bool empty)>&);
-    void reset() { held_.clear(); }
+    // A frame with more than `maxEntries` entries, or an index beyond these counts, is malformed.
+    FrameReader(std::size_t kindCount, std::size_t zoneCount, std::size_t maxEntries)
+        : kindCount_(kindCount), zoneCount_(zoneCount), maxEntries_(maxEntries) {}
+    // Appends bytes and calls `onFrame` for each complete frame. A heartbeat (`isHeartbeat`) has no entries
+    // and carries the last sequence number. Returns false if the bytes are malformed: nothing more can be
+    // parsed.
+    bool feed(std::string_view bytes,
+              const std::function<void(const ChangeEvent&, bool isHeartbeat)>& onFrame);
+    void reset() { buffer_.clear(); }
 
   private:
-    std::size_t kinds_, zones_, most_;
-    std::string held_;
+    std::size_t kindCount_, zoneCount_, maxEntries_;
+    std::string buffer_;
 };
 
-struct ChangeLogTimes {
-    Micros connectWithin = 1'200'000;  // some come up late, by up to a second
-    Micros beat = kSecond;             // an empty frame is due so often
-    Micros silent = 1'500'000;         // without a whole frame; doubled where one asked said none, up to
-    Micros silentAtMost = 6 * kSecond;
-    Micros again = 100'000;  // after a break, give or take a half of it, and doubled up to
-    Micros againAtMost = 400'000;
+struct ChangeLogTimings {
+    Micros connectTimeout = 1'200'000;   // some connections come up late, by up to a second
+    Micros heartbeatInterval = kSecond;  // the platform sends a heartbeat this often
+    Micros silenceTimeout = 1'500'000;   // without a complete frame; doubled if a connection brought none,
+    Micros maxSilenceTimeout = 6 * kSecond;  // up to this
+    Micros reconnectDelay = 100'000;     // after a loss, plus or minus half; doubled for each further loss,
+    Micros maxReconnectDelay = 400'000;  // up to this
 };
 
 class ChangeLogHandler {
   public:
     virtual ~ChangeLogHandler() = default;
-    virtual void changed(const ChangeEvent&) = 0;
-    virtual void current() = 0;                            // all that there was has been told
-    virtual void unreachable(const std::string& why) = 0;  // at the first failure: of a start, or since well
+    // Called for each new event, in order of sequence numbers. May call ChangeLogClient::switchTo().
+    virtual void onChange(const ChangeEvent&) = 0;
+    virtual void onCurrent() = 0;  // at each heartbeat without a gap: all events so far have been passed on
+    // Called at the first failure after the start, after a switch to another endpoint, or after the last
+    // event or heartbeat; not at the failures that follow it.
+    virtual void onUnreachable(const std::string& why) = 0;
 };
 
-class ChangeLog final : private net::StreamHandler {
+// Keeps a connection to the change log: reconnects with backoff and jitter, requests what follows the last
+// event, drops duplicates, and requests once more from a gap before it accepts it.
+class ChangeLogClient final : private net::StreamHandler {
   public:
-    ChangeLog(net::Net&, const net::Endpoint&, std::uint64_t last, FrameReader, const ChangeLogTimes&,
-              ChangeLogHandler&);
-    ~ChangeLog() override;
-    void start() { open(); }
-    // From here on it is asked there; also from within a call to the user.
-    void moveTo(const net::Endpoint&);
-    std::uint64_t last() const { return last_; }
+    // `lastSequenceNumber` is the last event already applied. Net and handler must outlive the client.
+    ChangeLogClient(net::Net&, const net::Endpoint&, std::uint64_t lastSequenceNumber, FrameReader,
+                    const ChangeLogTimings&, ChangeLogHandler&);
+    ~ChangeLogClient() override;
+    void start() { connect(); }
+    // Connects to another endpoint from now on. May be called from within a handler call.
+    void switchTo(const net::Endpoint&);
+    std::uint64_t lastSequenceNumber() const { return lastSequenceNumber_; }
 
   private:
-    void open();
-    void lost(const std::string& why);
-    void silence();
-    void frame(const ChangeEvent&, bool empty);
+    void connect();
+    void onConnectionLost(const std::string& why);
+    void onSilence();
+    void onFrame(const ChangeEvent&, bool isHeartbeat);
     void onConnected() override;
-    void onConnectFailed(net::ConnectError) override { lost("no connection"); }
+    void onConnectFailed(net::ConnectError) override { onConnectionLost("no connection"); }
     void onReadable() override;
     void onWritable() override {}
 
     net::Net& net_;
-    net::Endpoint at_;
-    std::uint64_t last_;
+    net::Endpoint endpoint_;
+    std::uint64_t lastSequenceNumber_;
     FrameReader reader_;
-    ChangeLogTimes times_;
-    ChangeLogHandler& user_;
+    ChangeLogTimings timings_;
+    ChangeLogHandler& handler_;
     std::unique_ptr<net::Stream> stream_;
-    net::Timer silent_, again_, more_;
-    Micros wait_, patience_, askedAt_ = 0;
-    bool well_ = true, gap_ = false;
-    bool sent_ = false, heard_ = false;  // on this connection: the question, a whole frame
-    std::uint64_t gapFrom_ = 0;
+    net::Timer silenceTimer_, reconnectTimer_, readTimer_;
+    Micros reconnectDelay_, silenceTimeout_, requestedAt_ = 0;  // the current, backed-off values
+    bool isHealthy_ = true;                                     // no failure has been reported
+    bool hasGap_ = false;                                       // found while reading: an event is missing
+    bool isRequestSent_ = false, hasReceivedFrame_ = false;     // on this connection
+    std::uint64_t retriedSequenceNumber_ = 0;                   // a missing event, requested once more
 };
 
 }  // namespace valekeel::node
--- a/src/node/line_connection.cpp
+++ b/src/node/line_connection.cpp
@@ -6,207 +6,210 @@
 namespace valekeel::node {
 namespace {
 
-constexpr std::size_t kPortion = 32 * 1024;  // read of one connection in one turn
-constexpr Micros kLookAgain = 10'000;
+constexpr std::size_t kMaxReadBytesPerTurn = 32 * 1024;  // per connection and turn of the event loop
+constexpr Micros kLineTimeoutRecheck = 10'000;
 
 }  // namespace
 
-const char* nameOf(DisconnectReason gone) {
+const char* nameOf(DisconnectReason reason) {
     static constexpr const char* kNames[] = {"refused", "no connection", "no descriptor", "closed",
                                              "broken",  "garbled",       "slow"};
-    return kNames[static_cast<int>(gone)];
+    return kNames[static_cast<int>(reason)];
 }
 
-LineConnection::LineConnection(net::Net& net, State state, const Limits& limits, LineConnectionHandler& user)
+LineConnection::LineConnection(net::Net& net, State state, const Limits& limits,
+                               LineConnectionHandler& handler)
     : net_(net),
       limits_(limits),
-      user_(user),
+      handler_(handler),
       state_(state),
-      heardAt_(net.now()),
-      usedAt_(net.now()),
-      late_(net, [this] { lose(DisconnectReason::NoConnect); }),
-      more_(net, [this] { onReadable(); }),
-      unfinished_(net, [this] { stillUnfinished(); }) {}
+      lastReceivedAt_(net.now()),
+      lastSentAt_(net.now()),
+      connectTimer_(net, [this] { disconnect(DisconnectReason::Unreachable); }),
+      readTimer_(net, [this] { onReadable(); }),
+      lineTimer_(net, [this] { onLineTimeout(); }) {}
 
-// ================= lingering close =================
+// ================= LingeringCloser =================
 
-class LingeringCloser::One final : public net::StreamHandler {
+class LingeringCloser::Draining final : public net::StreamHandler {
   public:
-    One(LingeringCloser& all, std::unique_ptr<net::Stream> stream, std::string unsent)
-        : all_(all),
+    Draining(LingeringCloser& closer, std::unique_ptr<net::Stream> stream, std::string unsent)
+        : closer_(closer),
           stream_(std::move(stream)),
-          out_(std::move(unsent)),
-          late_(all.net_, [this] { all_.end(*this); }),
-          more_(all.net_, [this] { onReadable(); }) {
+          output_(std::move(unsent)),
+          timeoutTimer_(closer.net_, [this] { closer_.finish(*this); }),
+          readTimer_(closer.net_, [this] { onReadable(); }) {
         stream_->setHandler(*this);
-        late_.after(all_.limits_.time);
-        more_.soon();  // what lies there unread makes no further edge
+        timeoutTimer_.after(closer_.limits_.timeout);
+        readTimer_.soon();  // bytes that are already unread trigger no new edge of epoll
         onWritable();
     }
     void onReadable() override {
         std::array<char, 8192> buffer;
-        for (std::size_t left = kPortion; left > 0 && stream_;) {
-            const net::IoResult got = stream_->read(buffer);
-            if (got.status == net::IoResult::Status::WouldBlock) return;
-            // After the end of its writing it may still read: what is unsent here goes on.
-            if (got.status == net::IoResult::Status::EndOfStream && !out_.empty()) return;
-            discarded_ += got.bytes;
-            if (got.status != net::IoResult::Status::Ready || discarded_ > all_.limits_.discarded)
-                return all_.end(*this);
-            left -= std::min(left, got.bytes);
+        for (std::size_t budget = kMaxReadBytesPerTurn; budget > 0 && stream_;) {
+            const net::IoResult result = stream_->read(buffer);
+            if (result.status == net::IoResult::Status::WouldBlock) return;
+            // A peer that has closed its writing half may still read: keep sending.
+            if (result.status == net::IoResult::Status::EndOfStream && !output_.empty()) return;
+            discardedBytes_ += result.bytes;
+            if (result.status != net::IoResult::Status::Ready ||
+                discardedBytes_ > closer_.limits_.maxDiscardedBytes)
+                return closer_.finish(*this);
+            budget -= std::min(budget, result.bytes);
         }
-        if (stream_) more_.soon();
+        if (stream_) readTimer_.soon();
     }
     void onWritable() override {
-        if (!stream_ || finished_) return;
-        const net::IoResult put = stream_->write(out_);
-        out_.erase(0, put.bytes);
-        if (put.status == net::IoResult::Status::Broken)
-            return more_.soon();  // reading finds it, and ends this
-        if (!out_.empty()) return;
-        finished_ = true;
+        if (!stream_ || isWriteShut_) return;
+        const net::IoResult result = stream_->write(output_);
+        output_.erase(0, result.bytes);
+        if (result.status == net::IoResult::Status::Broken)
+            return readTimer_.soon();  // the next read fails and finishes this entry
+        if (!output_.empty()) return;
+        isWriteShut_ = true;
         stream_->shutdownWrite();
-        more_.soon();
+        readTimer_.soon();
     }
-    void free() {
-        late_.cancel();
-        more_.cancel();
+    void release() {
+        timeoutTimer_.cancel();
+        readTimer_.cancel();
         stream_.reset();
     }
 
   private:
-    LingeringCloser& all_;
+    LingeringCloser& closer_;
     std::unique_ptr<net::Stream> stream_;
-    std::string out_;
-    std::size_t discarded_ = 0;
-    bool finished_ = false;
-    net::Timer late_, more_;
+    std::string output_;
+    std::size_t discardedBytes_ = 0;
+    bool isWriteShut_ = false;
+    net::Timer timeoutTimer_, readTimer_;
 };
 
 LingeringCloser::LingeringCloser(net::Net& net, const Limits& limits)
-    : net_(net), limits_(limits), bury_(net, [this] { dead_.clear(); }) {}
+    : net_(net), limits_(limits), deletionTimer_(net, [this] { finished_.clear(); }) {}
 LingeringCloser::~LingeringCloser() = default;
 
-void LingeringCloser::take(std::unique_ptr<net::Stream> stream, std::string unsent) {
-    if (all_.size() >= limits_.most) freeOldest();
-    all_.push_back(std::make_unique<One>(*this, std::move(stream), std::move(unsent)));
+void LingeringCloser::add(std::unique_ptr<net::Stream> stream, std::string unsent) {
+    if (entries_.size() >= limits_.maxConnections) closeOldest();
+    entries_.push_back(std::make_unique<Draining>(*this, std::move(stream), std::move(unsent)));
 }
 
-void LingeringCloser::freeOldest() {
-    if (!all_.empty()) end(*all_.front());
+void LingeringCloser::closeOldest() {
+    if (!entries_.empty()) finish(*entries_.front());
 }
 
-// The descriptor is free at once; the rest a turn later, as this may be called from within.
-void LingeringCloser::end(One& one) {
-    one.free();
-    const auto it =
-        std::find_if(all_.begin(), all_.end(), [&](const auto& held) { return held.get() == &one; });
-    dead_.splice(dead_.end(), all_, it);
-    bury_.soon();
+// Frees the descriptor at once; the entry is destroyed in the next turn, as its own methods may be running.
+void LingeringCloser::finish(Draining& entry) {
+    entry.release();
+    const auto it = std::find_if(entries_.begin(), entries_.end(),
+                                 [&](const auto& other) { return other.get() == &entry; });
+    finished_.splice(finished_.end(), entries_, it);
+    deletionTimer_.soon();
 }
 
-// ================= wires =================
+// ================= LineConnection =================
 
 LineConnection::LineConnection(net::Net& net, std::unique_ptr<net::Stream> stream, const Limits& limits,
-                               LineConnectionHandler& user, LingeringCloser& lingering)
-    : LineConnection(net, State::Open, limits, user) {
+                               LineConnectionHandler& handler, LingeringCloser& lingering)
+    : LineConnection(net, State::Open, limits, handler) {
     lingering_ = &lingering;
     stream_ = std::move(stream);
     stream_->setHandler(*this);
 }
 
-LineConnection::LineConnection(net::Net& net, const net::Endpoint& to, Micros connectWithin,
-                               const Limits& limits, LineConnectionHandler& user)
-    : LineConnection(net, State::Connecting, limits, user) {
-    stream_ = net.connect(to, *this);
-    late_.after(connectWithin);
+LineConnection::LineConnection(net::Net& net, const net::Endpoint& endpoint, Micros connectTimeout,
+                               const Limits& limits, LineConnectionHandler& handler)
+    : LineConnection(net, State::Connecting, limits, handler) {
+    stream_ = net.connect(endpoint, *this);
+    connectTimer_.after(connectTimeout);
 }
 
 LineConnection::~LineConnection() = default;
 
-std::uint64_t LineConnection::say(std::string_view line) {
-    const std::uint64_t at = said_;
-    if (state_ == State::Closed) return at;
-    said_ += line.size();
-    usedAt_ = net_.now();
-    out_ += line;
+std::uint64_t LineConnection::send(std::string_view line) {
+    const std::uint64_t offset = queuedBytes_;
+    if (state_ == State::Closed) return offset;
+    queuedBytes_ += line.size();
+    lastSentAt_ = net_.now();
+    output_ += line;
     if (state_ == State::Open) flush();
-    return at;
+    return offset;
 }
 
-// A write that finds the connection broken is told of by the next turn's edge, or by a slow reader's limit:
-// never from within say(), whose caller is in the middle of something.
+// A failed write, or too many unsent bytes, is reported by the read in the next turn, never from within
+// send(), whose caller may be in the middle of an operation.
 void LineConnection::flush() {
-    if (out_.empty() || state_ != State::Open) return;
-    const net::IoResult put = stream_->write(out_);
-    taken_ += put.bytes;
-    out_.erase(0, put.bytes);
-    if (out_.empty() && out_.capacity() > 4096) std::string().swap(out_);
-    if (put.status == net::IoResult::Status::Broken || out_.size() > limits_.unsent) more_.soon();
+    if (output_.empty() || state_ != State::Open) return;
+    const net::IoResult result = stream_->write(output_);
+    writtenBytes_ += result.bytes;
+    output_.erase(0, result.bytes);
+    if (output_.empty() && output_.capacity() > 4096) std::string().swap(output_);
+    if (result.status == net::IoResult::Status::Broken || output_.size() > limits_.maxUnsentBytes)
+        readTimer_.soon();
 }
 
 void LineConnection::onConnected() {
     state_ = State::Open;
-    late_.cancel();
-    heardAt_ = net_.now();
+    connectTimer_.cancel();
+    lastReceivedAt_ = net_.now();
     flush();
-    user_.opened();
+    handler_.onOpen();
 }
 
-void LineConnection::onConnectFailed(net::ConnectError why) {
-    lose(why == net::ConnectError::Refused            ? DisconnectReason::Refused
-         : why == net::ConnectError::OutOfDescriptors ? DisconnectReason::NoSocket
-                                                      : DisconnectReason::NoConnect);
+void LineConnection::onConnectFailed(net::ConnectError error) {
+    disconnect(error == net::ConnectError::Refused            ? DisconnectReason::Refused
+               : error == net::ConnectError::OutOfDescriptors ? DisconnectReason::OutOfDescriptors
+                                                              : DisconnectReason::Unreachable);
 }
 
 void LineConnection::onWritable() {
-    const bool waited = !out_.empty();
+    const bool hadUnsent = !output_.empty();
     flush();
-    if (waited && canSend()) user_.onDrained();
+    if (hadUnsent && canSend()) handler_.onDrained();
 }
 
 void LineConnection::onReadable() {
     if (state_ != State::Open) return;
-    // Guards against a peer that asks on and on and never reads what it is told.
-    if (out_.size() > limits_.unsent) return lose(DisconnectReason::Slow);
+    // Guards against a peer that keeps sending requests and never reads the responses.
+    if (output_.size() > limits_.maxUnsentBytes) return disconnect(DisconnectReason::SlowReader);
     std::array<char, 8192> buffer;
-    for (std::size_t left = kPortion; left > 0;) {
-        const net::IoResult got = stream_->read(buffer);
-        if (got.status == net::IoResult::Status::WouldBlock) return;
-        if (got.status == net::IoResult::Status::EndOfStream)
-            return lose(in_.empty() ? DisconnectReason::Closed : DisconnectReason::Garbled);
-        if (got.status == net::IoResult::Status::Broken) return lose(DisconnectReason::Broken);
-        heardAt_ = net_.now();
-        if (!takeLines(std::string_view(buffer.data(), got.bytes))) return;
-        left -= std::min(left, got.bytes);
+    for (std::size_t budget = kMaxReadBytesPerTurn; budget > 0;) {
+        const net::IoResult result = stream_->read(buffer);
+        if (result.status == net::IoResult::Status::WouldBlock) return;
+        if (result.status == net::IoResult::Status::EndOfStream)
+            return disconnect(input_.empty() ? DisconnectReason::Closed : DisconnectReason::Malformed);
+        if (result.status == net::IoResult::Status::Broken) return disconnect(DisconnectReason::Reset);
+        lastReceivedAt_ = net_.now();
+        if (!processInput(std::string_view(buffer.data(), result.bytes))) return;
+        budget -= std::min(budget, result.bytes);
     }
-    more_.soon();
+    readTimer_.soon();
 }
 
-// False once the wire is closed.
-bool LineConnection::takeLines(std::string_view bytes) {
+// Splits input into lines. Returns false once the connection is closed.
+bool LineConnection::processInput(std::string_view bytes) {
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
-        if (in_.size() + std::min(end, bytes.size()) > limits_.line) {
-            lose(DisconnectReason::Garbled);
+        if (input_.size() + std::min(end, bytes.size()) > limits_.maxLineBytes) {
+            disconnect(DisconnectReason::Malformed);
             return false;
         }
         if (end == std::string_view::npos) {
-            if (in_.empty()) {
-                unfinishedLooks_ = 0;
-                unfinished_.after(limits_.unfinished);
+            if (input_.empty()) {
+                lineTimeouts_ = 0;
+                lineTimer_.after(limits_.lineTimeout);
             }
-            in_ += bytes;
+            input_ += bytes;
             return true;
         }
-        if (in_.empty()) {
-            user_.line(bytes.substr(0, end));
+        if (input_.empty()) {
+            handler_.onLine(bytes.substr(0, end));
         } else {
-            unfinished_.cancel();
-            std::string whole;
-            whole.swap(in_);
-            whole += bytes.substr(0, end);
-            user_.line(whole);
+            lineTimer_.cancel();
+            std::string complete;
+            complete.swap(input_);
+            complete += bytes.substr(0, end);
+            handler_.onLine(complete);
         }
         if (state_ != State::Open) return false;
         bytes.remove_prefix(end + 1);
@@ -214,47 +217,48 @@
     return true;
 }
 
-// Its rest may lie unread: a process that had no turn for a while comes to its timers before it reads. So it
-// is read, a turn of the loop passes, and only then is it too late.
-void LineConnection::stillUnfinished() {
-    if (++unfinishedLooks_ > 1) return lose(DisconnectReason::Garbled);
-    unfinished_.after(kLookAgain);
+// The rest of the line may be unread: a process that was not scheduled for a while runs its timers before it
+// reads. So the first timeout only reads, and the connection ends at the second, kLineTimeoutRecheck later.
+void LineConnection::onLineTimeout() {
+    if (++lineTimeouts_ > 1) return disconnect(DisconnectReason::Malformed);
+    lineTimer_.after(kLineTimeoutRecheck);
     onReadable();
 }
 
-void LineConnection::lose(DisconnectReason how) {
+void LineConnection::disconnect(DisconnectReason reason) {
     if (state_ == State::Closed) return;
-    // One that has gone, or does not read, is owed nothing more; one that has only finished writing may still
-    // read what is unsent here.
-    const bool reads = how == DisconnectReason::Garbled || (how == DisconnectReason::Closed && !out_.empty());
-    shut(reads ? How::Lingering : How::AtOnce);
-    user_.gone(how);
+    // Unsent bytes matter only to a peer that may still read: one that sent a malformed line or has only
+    // closed its writing half.
+    const bool mayStillRead =
+        reason == DisconnectReason::Malformed || (reason == DisconnectReason::Closed && !output_.empty());
+    shutDown(mayStillRead ? CloseMode::Lingering : CloseMode::Immediate);
+    handler_.onDisconnect(reason);
 }
 
 void LineConnection::close(bool hard) {
-    shut(hard ? How::Reset : How::Lingering);
+    shutDown(hard ? CloseMode::Reset : CloseMode::Lingering);
 }
 
-void LineConnection::shut(How how) {
+void LineConnection::shutDown(CloseMode mode) {
     if (state_ == State::Closed) return;
-    // A connect that failed is told from within the stream: that one dies with this wire. Its descriptor is
-    // free at once, as the next connect may come before that.
+    // A failed connect is reported from within the stream, so the stream object lives as long as this
+    // connection. Its descriptor is freed at once, as the next connect may come earlier.
     if (state_ == State::Connecting) {
-        failed_ = std::move(stream_);
-        failed_->reset();
-    } else if (how == How::Reset) {
+        abandonedStream_ = std::move(stream_);
+        abandonedStream_->reset();
+    } else if (mode == CloseMode::Reset) {
         stream_->reset();
-    } else if (how == How::Lingering && lingering_ &&
-               (!out_.empty() || (said_ > 0 && net_.now() - usedAt_ < lingering_->time()))) {
-        lingering_->take(std::move(stream_), std::move(out_));
+    } else if (mode == CloseMode::Lingering && lingering_ &&
+               (!output_.empty() || (queuedBytes_ > 0 && net_.now() - lastSentAt_ < lingering_->timeout()))) {
+        lingering_->add(std::move(stream_), std::move(output_));
     }
     state_ = State::Closed;
-    late_.cancel();
-    more_.cancel();
-    unfinished_.cancel();
+    connectTimer_.cancel();
+    readTimer_.cancel();
+    lineTimer_.cancel();
     stream_.reset();
-    std::string().swap(in_);
-    std::string().swap(out_);
+    std::string().swap(input_);
+    std::string().swap(output_);
 }
 
 }  // namespace valekeel::node
--- a/src/node/line_connection.hpp
+++ b/src/node/line_connection.hpp
@@ -1,5 +1,6 @@
-// One TCP connection that carries lines. Reads in portions, so that one that never stops talking keeps nobody
-// else waiting; holds at most one unfinished line and `most` unsent bytes.
+// One TCP connection that carries newline-terminated lines, accepted or opened. Reads a bounded amount per
+// turn of the event loop, so that a busy peer does not starve the others; buffers at most one incomplete line
+// and a limited number of unsent bytes.
 #pragma once
 
 #include <list>
@@ -12,78 +13,82 @@
 namespace valekeel::node {
 
 enum class DisconnectReason {
-    Refused,    // nobody listens
-    NoConnect,  // no connection in time, or no route
-    NoSocket,   // this front had no descriptor left
-    Closed,     // by the other side, in order
-    Broken,     // reset
-    Garbled,    // a line that is too long, or was never finished
-    Slow,       // it doesn't read what it is sent
+    Refused,           // nobody listens
+    Unreachable,       // no connection in time, or no route
+    OutOfDescriptors,  // this process has no file descriptor left
+    Closed,            // by the peer, at the end of a line
+    Reset,             // by the peer, or a broken connection
+    Malformed,         // a line that is too long, or was never completed
+    SlowReader,        // too many unsent bytes: the peer doesn't read them
 };
+// The name in the log.
 const char* nameOf(DisconnectReason);
 
 class LineConnectionHandler {
   public:
     virtual ~LineConnectionHandler() = default;
-    virtual void opened() {}
+    virtual void onOpen() {}     // the connect succeeded
     virtual void onDrained() {}  // the kernel has taken all that was unsent
-    // May close the wire, but not delete it before it has returned.
-    virtual void line(std::string_view) = 0;
-    virtual void gone(DisconnectReason) = 0;  // once, and not after close()
+    // Called for each line, without its newline. Here and in onDisconnect() the handler may close the
+    // connection but must not destroy it before the call returns.
+    virtual void onLine(std::string_view) = 0;
+    virtual void onDisconnect(DisconnectReason) = 0;  // at most once, and not after close()
 };
 
-// Lingering close: guards against an end that destroys what was said just before it. A close throws away what
-// is unsent here, and one with unread bytes resets the connection, with all that is still on its way. So what
-// is unsent goes out, the writing half is closed, and what still comes is read and discarded until the other
-// side has closed as well, for so long and so many bytes at most.
+// Closes connections without losing what was sent just before. A plain close discards unsent bytes, and one
+// with unread input resets the connection, which also destroys bytes in flight. So this sends the rest,
+// closes the writing half, and discards input until the peer has closed too, within limits on time and bytes.
 class LingeringCloser {
   public:
     struct Limits {
-        std::size_t most;  // connections
-        Micros time;
-        std::size_t discarded;
+        std::size_t maxConnections;  // a further one closes the oldest
+        Micros timeout;
+        std::size_t maxDiscardedBytes;  // per connection
     };
     LingeringCloser(net::Net&, const Limits&);
     ~LingeringCloser();
-    Micros time() const { return limits_.time; }
-    void take(std::unique_ptr<net::Stream>, std::string unsent);
-    void freeOldest();  // its descriptor is needed
-    std::size_t size() const { return all_.size(); }
+    Micros timeout() const { return limits_.timeout; }
+    // Takes the stream over and sends `unsent` first.
+    void add(std::unique_ptr<net::Stream>, std::string unsent);
+    void closeOldest();  // frees its descriptor at once
+    std::size_t size() const { return entries_.size(); }
 
   private:
-    class One;
-    void end(One&);
+    class Draining;
+    void finish(Draining&);
     net::Net& net_;
     Limits limits_;
-    std::list<std::unique_ptr<One>> all_, dead_;
-    net::Timer bury_;
+    std::list<std::unique_ptr<Draining>> entries_, finished_;
+    net::Timer deletionTimer_;
 };
 
 class LineConnection final : private net::StreamHandler {
   public:
     struct Limits {
-        std::size_t line, unsent;
-        Micros unfinished;  // how long a line may stay unfinished
+        std::size_t maxLineBytes, maxUnsentBytes;
+        Micros lineTimeout;  // how long a line may stay incomplete
     };
-    // Accepted. What was said on it lately outlives its close in `lingering`.
+    // An accepted connection. If something was sent on it lately, `lingering` completes its close.
     LineConnection(net::Net&, std::unique_ptr<net::Stream>, const Limits&, LineConnectionHandler&,
                    LingeringCloser& lingering);
-    LineConnection(net::Net&, const net::Endpoint&, Micros connectWithin, const Limits&,
-                   LineConnectionHandler&);  // connects
+    // Opens a connection.
+    LineConnection(net::Net&, const net::Endpoint&, Micros connectTimeout, const Limits&,
+                   LineConnectionHandler&);
     ~LineConnection() override;
 
-    // Gives the place in the stream at which it begins; what is said after close() is lost.
-    std::uint64_t say(std::string_view line);
-    void readNow() { onReadable(); }  // what lies there already, without waiting for the next turn
-    std::uint64_t taken() const { return taken_; }                          // bytes that the kernel has taken
-    bool canSend() const { return state_ == State::Open && out_.empty(); }  // the kernel took all so far
+    // Queues a line, which includes its newline, and writes what the kernel takes. Returns the line's offset
+    // in the output stream, in bytes. Does nothing after close(). Never calls the handler.
+    std::uint64_t send(std::string_view line);
+    void readAvailable() { onReadable(); }  // reads now instead of in the next turn; may call the handler
+    std::uint64_t writtenBytes() const { return writtenBytes_; }  // bytes that the kernel has taken
+    bool canSend() const { return state_ == State::Open && output_.empty(); }  // nothing is unsent
     bool isOpen() const { return state_ == State::Open; }
     bool isClosed() const { return state_ == State::Closed; }
-    std::size_t unsent() const { return out_.size(); }
-    // `hard`: the other side sees a reset.
+    std::size_t unsentBytes() const { return output_.size(); }
+    // With `hard` the peer sees a reset.
     void close(bool hard = false);
-    Micros heardAt() const { return heardAt_; }
-    Micros usedAt() const { return usedAt_; }
+    Micros lastReceivedAt() const { return lastReceivedAt_; }  // at first: when it was opened
+    Micros lastSentAt() const { return lastSentAt_; }
 
   private:
     enum class State { Connecting, Open, Closed };
@@ -93,22 +98,22 @@
     void onReadable() override;
     void onWritable() override;
     void flush();
-    void lose(DisconnectReason);
-    void stillUnfinished();
-    enum class How { Reset, AtOnce, Lingering };
-    void shut(How);
-    bool takeLines(std::string_view bytes);
+    void disconnect(DisconnectReason);
+    void onLineTimeout();
+    enum class CloseMode { Reset, Immediate, Lingering };
+    void shutDown(CloseMode);
+    bool processInput(std::string_view bytes);
 
     net::Net& net_;
     Limits limits_;
-    LineConnectionHandler& user_;
+    LineConnectionHandler& handler_;
     State state_;
-    std::string in_, out_;
-    std::uint64_t said_ = 0, taken_ = 0;
-    Micros heardAt_, usedAt_;
-    net::Timer late_, more_, unfinished_;
-    int unfinishedLooks_ = 0;
-    std::unique_ptr<net::Stream> stream_, failed_;
+    std::string input_, output_;
+    std::uint64_t queuedBytes_ = 0, writtenBytes_ = 0;  // in total
+    Micros lastReceivedAt_, lastSentAt_;
+    net::Timer connectTimer_, readTimer_, lineTimer_;
+    int lineTimeouts_ = 0;
+    std::unique_ptr<net::Stream> stream_, abandonedStream_;
     LingeringCloser* lingering_ = nullptr;
 };
 
--- a/src/node/message.hpp
+++ b/src/node/message.hpp
@@ -1,4 +1,4 @@
-// The platform's messages: one JSON object a line. Bytes to values and back, nothing else.
+// The platform protocol's messages, one JSON object per line: parsing and formatting only.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,25 +8,27 @@
 
 namespace valekeel::node {
 
-constexpr std::size_t kLongestLine = 16 * 1024;  // the protocol's limit of a message
+constexpr std::size_t kMaxLineBytes = 16 * 1024;  // the protocol's limit for one message
 
 struct Message {
     std::string verb, tag;
-    nlohmann::json opts = nlohmann::json::object();  // texts and numbers by name
-    std::optional<int> cause;
-    std::optional<std::string> description;
-
-    const std::string* text(const char* name) const;  // nothing where it is absent or no text
-    // A number, or a text that is one whole finite number; nothing where it is neither.
-    std::optional<double> number(const char* name) const;
+    nlohmann::json options = nlohmann::json::object();  // strings and numbers by name; "opts" in the protocol
+    std::optional<int> cause;                           // "rc"
+    std::optional<std::string> description;             // "blob"
+
+    // Returns null if the option is absent or not a string.
+    const std::string* textOption(const char* name) const;
+    // Returns a number, or the value of a string that is one finite number; nothing if it is neither.
+    std::optional<double> numberOption(const char* name) const;
 };
 
-// What a line holds; nothing where it is no message. A field of the wrong kind makes it none.
+// Parses a line without its newline. Returns nothing if it is no message or a known field has the wrong type;
+// unknown fields are ignored.
 std::optional<Message> parseMessage(std::string_view line);
-// With the line's end. Texts are written as they were read.
+// Returns the message as one line with its newline; bytes that are not UTF-8 are replaced.
 std::string formatMessage(const Message&);
 
-bool wellFormedTag(std::string_view);                   // 16 hex digits
-std::optional<double> numberOf(std::string_view text);  // whole text, finite
+bool isValidTag(std::string_view);                         // 16 hex digits
+std::optional<double> parseNumber(std::string_view text);  // the whole text, finite
 
 }  // namespace valekeel::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,58 +16,60 @@
 
 using setup::Json;
 
-constexpr Micros kStatusEvery = 5 * kSecond;
-constexpr Micros kAnswerMargin = 30'000;  // before a client timeout
+constexpr Micros kStatusInterval = 5 * kSecond;
+constexpr Micros kAnswerMargin = 30'000;  // the core acts on a client timeout this much before it
 
-// A planned restart, by the platform's page: after SIGTERM connections go on coming for up to 0.4 s and
-// requests for 0.2 s more; SIGKILL comes no sooner than the longest client timeout, counted as 3 s where it
-// is longer, and 0.7 s after SIGTERM. From that, counted from when SIGTERM was heard here:
-//   0 to 0.7 s     all is taken as before. What has come by then is not lost if SIGKILL finds it open.
-//   from 0.7 s     the end comes once nothing is open, plays or waits to be told, and some turns of the loop
-//                  brought nothing: what lay unread has been read by then.
-//   kill - 0.4 s   what plays is released, here and at its media server, which has 0.25 s to confirm; what
-//                  begins to play later is released at once; what still asks is refused.
-//   kill - 0.15 s  what is still open is answered as failed: those that came last and wait longest have had
-//                  all but 0.05 s of their time. Then all connections are closed, by half-closes.
-//   kill - 0.05 s  the end, also where somebody has not closed his side.
-// The margins are for a slice of a core, where some milliseconds of work are ten times as many of the clock.
-constexpr Micros kStopComing = 700'000;
-constexpr Micros kMostCounted = 3 * kSecond;
-constexpr Micros kReleaseBefore = 400'000, kAnswerBefore = 150'000, kEndBefore = 50'000;
-constexpr Micros kStopLook = 20'000;
-constexpr int kQuietLooks = 3;  // on end, at which nothing had come since the one before
+// Planned restart. By the platform's rules connections arrive for up to 0.4 s after SIGTERM and requests for
+// 0.2 s more; SIGKILL ("kill") comes no sooner than 0.7 s plus the longest client timeout, of which at most
+// 3 s count. From when SIGTERM was received:
+//   0 to 0.7 s     everything is accepted as before, so that nothing is lost if SIGKILL finds it open.
+//   from 0.7 s     the stop completes once nothing is open, plays or waits to be sent, and kIdleChecks checks
+//                  in a row saw no input: anything unread has been read by then.
+//   kill - 0.4 s   playing subscriptions are released, to their viewers and at their media servers, which
+//                  have 0.25 s to confirm; later ones are released as soon as they play; new set-ups are
+//                  refused.
+//   kill - 0.15 s  open set-ups are answered as failed: those that came last and have the longest client
+//                  timeout had all of it but 0.05 s. Then all connections are half-closed.
+//   kill - 0.05 s  the stop completes even if a peer has not closed its side.
+// The margins allow for a fraction of a CPU core, on which a few milliseconds of work take ten times as long.
+constexpr Micros kAcceptAfterStop = 700'000;
+constexpr Micros kMaxCountedTimeout = 3 * kSecond;
+constexpr Micros kReleaseMargin = 400'000, kAnswerMarginAtStop = 150'000, kEndMargin = 50'000;  // before kill
+constexpr Micros kStopCheckInterval = 20'000;
+constexpr int kIdleChecks = 3;
 
 net::Endpoint endpointAt(const Json& object, const char* key, const std::string& where) {
-    const std::string told = setup::text(object, key, where);
-    if (const auto at = net::parseEndpoint(told)) return *at;
+    const std::string text = setup::text(object, key, where);
+    if (const auto endpoint = net::parseEndpoint(text)) return *endpoint;
     setup::throwInvalid(where,
-                        std::string("'") + key + "' is '" + told + "', and should be an address and a port");
+                        std::string("'") + key + "' is '" + text + "'; expected an address and a port");
 }
 
-// Where it is to connect to; nobody can be at port 0.
-net::Endpoint changeLogOf(const Json& all, const std::string& file) {
-    const net::Endpoint at = endpointAt(all, "changelog", file);
-    if (at.port == 0)
+// Refuses port 0, to which nobody can connect.
+net::Endpoint changeLogEndpoint(const Json& configuration, const std::string& file) {
+    const net::Endpoint endpoint = endpointAt(configuration, "changelog", file);
+    if (endpoint.port == 0)
         setup::throwInvalid(
-            file, "'changelog' is '" + net::toString(at) + "', and should be an address and a port");
-    return at;
+            file, "'changelog' is '" + net::toString(endpoint) + "'; expected an address and a port");
+    return endpoint;
 }
 
-// A part of the configuration; where it is missing, the nearest name that is there.
-const Json& partOf(const Json& all, const char* key, const std::string& file) {
-    if (all.contains(key)) return setup::objectAt(all, key, file);
+// Returns a part of the configuration; the error for a missing one suggests the most similar key.
+const Json& section(const Json& configuration, const char* key, const std::string& file) {
+    if (configuration.contains(key)) return setup::objectAt(configuration, key, file);
     std::set<std::string, std::less<>> names;
-    for (const auto& [name, value] : all.items()) names.insert(name);
+    for (const auto& [name, value] : configuration.items()) names.insert(name);
     const std::string near = settings::nearest(key, names);
     setup::throwInvalid(
         file, std::string("'") + key + "' is missing" + (near.empty() ? "" : "; there is a '" + near + "'"));
 }
 
-std::size_t descriptors(const Json& all, const std::string& file) {
-    const auto told = setup::integer(partOf(all, "limits", file), "sockets", file + ": limits");
-    if (told < 64)
-        setup::throwInvalid(file + ": limits", "'sockets' is " + std::to_string(told) + ", and 64 at least");
-    return static_cast<std::size_t>(std::min<std::int64_t>(told, 100'000));
+std::size_t maxDescriptors(const Json& configuration, const std::string& file) {
+    const auto count = setup::integer(section(configuration, "limits", file), "sockets", file + ": limits");
+    if (count < 64)
+        setup::throwInvalid(file + ": limits",
+                            "'sockets' is " + std::to_string(count) + "; at least 64 is required");
+    return static_cast<std::size_t>(std::min<std::int64_t>(count, 100'000));
 }
 
 Micros longestTimeout(const Json& settings, const std::string& where) {
@@ -77,274 +79,289 @@
     return longest;
 }
 
-ServerLimits serverLimits(const Json& settings, std::size_t descriptors, const std::string& where) {
+ServerLimits serverLimits(const Json& settings, std::size_t maxDescriptors, const std::string& where) {
     const Json& allowed = setup::objectAt(settings, "allowed", where);
-    ServerLimits out;
-    out.links = descriptors / 3;
-    out.joinsOnLink = static_cast<std::size_t>(
+    ServerLimits limits;
+    limits.maxConnections = maxDescriptors / 3;
+    limits.maxJoinsPerConnection = static_cast<std::size_t>(
         std::clamp<double>(setup::numberOr(allowed, "max_streams", 32, where), 1, 1024));
-    if (const Micros told = setup::durationOrZero(allowed, "connect_timeout", where); told > 0)
-        out.connectWithin = told;
-    if (const Micros told = setup::durationOrZero(allowed, "conn_idle", where); told > 0) {
-        out.idle = told / 2;
-        out.sureFor = told / 4;
+    if (const Micros timeout = setup::durationOrZero(allowed, "connect_timeout", where); timeout > 0)
+        limits.connectTimeout = timeout;
+    if (const Micros timeout = setup::durationOrZero(allowed, "conn_idle", where); timeout > 0) {
+        limits.idleTimeout = timeout / 2;
+        limits.maxIdleForPaidJoin = timeout / 4;
     }
-    // Where notes come by themselves, a silence of several of them is a sign.
-    if (const Micros every = setup::parseReportTiming(settings, where).every; every > 0)
-        out.silent = std::clamp<Micros>(3 * every / 2, 1'500'000, 4'000'000);
-    return out;
+    // Servers that send notices at an interval are silent if several are missing.
+    if (const Micros interval = setup::parseReportTiming(settings, where).every; interval > 0)
+        limits.silenceTimeout = std::clamp<Micros>(3 * interval / 2, 1'500'000, 4'000'000);
+    return limits;
 }
 
-ViewerLimits viewerLimits(const Json& settings, std::size_t descriptors, const std::string& where) {
-    ViewerLimits out;
-    out.connections = descriptors / 2;
-    out.longestWait = 10 * longestTimeout(settings, where);
-    return out;
+ViewerLimits viewerLimits(const Json& settings, std::size_t maxDescriptors, const std::string& where) {
+    ViewerLimits limits;
+    limits.maxConnections = maxDescriptors / 2;
+    limits.maxClientTimeout = 10 * longestTimeout(settings, where);
+    return limits;
 }
 
-Asked askedOf(const Json& settings, const std::string& where) {
-    Asked out;
+SetupConstraints setupConstraints(const Json& settings, const std::string& where) {
+    SetupConstraints constraints;
     const Ladder ladder = setup::parseLadder(settings, where);
     for (const RoomType& room : setup::parseRoomTypes(settings, ladder, where))
-        out.rooms.push_back(room.name);
-    out.rungs = static_cast<int>(ladder.kb.size());
-    out.cells = setup::parseFleet(settings, setup::parseNames(settings, where), where).cells;
-    return out;
+        constraints.roomNames.push_back(room.name);
+    constraints.rungCount = static_cast<int>(ladder.kb.size());
+    constraints.cellCount = setup::parseFleet(settings, setup::parseNames(settings, where), where).cells;
+    return constraints;
 }
 
 }  // namespace
 
 Json parseConfiguration(const std::string& file, const std::string& text) {
     try {
-        Json all = Json::parse(text);
-        if (!all.is_object()) setup::throwInvalid(file, "an object is expected");
-        return all;
-    } catch (const Json::parse_error& e) {
-        const std::size_t at = std::min(e.byte > 0 ? e.byte - 1 : 0, text.size());
-        const auto line = std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(at), '\n') + 1;
-        const auto before = at == 0 ? std::string::npos : text.rfind('\n', at - 1);
-        const std::size_t column = at - (before == std::string::npos ? 0 : before + 1) + 1;
-        setup::throwInvalid(file + ":" + std::to_string(line) + ":" + std::to_string(column),
-                            "no valid JSON here");
+        Json configuration = Json::parse(text);
+        if (!configuration.is_object()) setup::throwInvalid(file, "an object is expected");
+        return configuration;
+    } catch (const Json::parse_error& error) {
+        const std::size_t offset = std::min(error.byte > 0 ? error.byte - 1 : 0, text.size());
+        const auto line =
+            std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(offset), '\n') + 1;
+        const auto lineBreak = offset == 0 ? std::string::npos : text.rfind('\n', offset - 1);
+        const std::size_t column = offset - (lineBreak == std::string::npos ? 0 : lineBreak + 1) + 1;
+        setup::throwInvalid(file + ":" + std::to_string(line) + ":" + std::to_string(column), "invalid JSON");
     }
 }
 
-std::uint64_t parseSeed(const Json& all) {
-    const std::string told = setup::text(all, "seed", "configuration");
+std::uint64_t parseSeed(const Json& configuration) {
+    const std::string text = setup::text(configuration, "seed", "configuration");
     std::uint64_t seed = 0;
-    const auto [end, wrong] = std::from_chars(told.data(), told.data() + told.size(), seed, 16);
-    if (wrong != std::errc{} || end != told.data() + told.size())
-        setup::throwInvalid("configuration", "'seed' is no hex number");
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+    if (error != std::errc{} || end != text.data() + text.size())
+        setup::throwInvalid("configuration", "'seed' is not a hexadecimal number");
     return seed;
 }
 
-struct Node::Parts final : core::CoreObserver, ChangeLogHandler {
-    Parts(net::Net& net, const std::string& file, const Json& all, logging::Log& log)
+// Owns the parts, applies changes of the list to them, and observes the core for the log.
+struct Node::Impl final : core::CoreObserver, ChangeLogHandler {
+    Impl(net::Net& net, const std::string& file, const Json& configuration, logging::Log& log)
         : net(net),
           file(file),
           log(log),
-          settings(partOf(all, "settings", file)),
+          settings(section(configuration, "settings", file)),
           where(file + ": settings"),
           names(setup::parseNames(settings, where)),
           listNames(names.kinds, names.zones),
-          killed(std::min(kMostCounted, longestTimeout(settings, where)) + kStopComing),
-          changelogAt(changeLogOf(all, file)),
-          known(knownEvents(partOf(all, "known", file), listNames)),
-          viewers(net, endpointAt(all, "listen", file), viewerLimits(settings, descriptors(all, file), where),
-                  askedOf(settings, where)),
-          servers(net, serverLimits(settings, descriptors(all, file), where), viewers),
+          killAfter(std::min(kMaxCountedTimeout, longestTimeout(settings, where)) + kAcceptAfterStop),
+          changeLogAddress(changeLogEndpoint(configuration, file)),
+          known(parseKnownEvents(section(configuration, "known", file), listNames)),
+          viewers(net, endpointAt(configuration, "listen", file),
+                  viewerLimits(settings, maxDescriptors(configuration, file), where),
+                  setupConstraints(settings, where)),
+          servers(net, serverLimits(settings, maxDescriptors(configuration, file), where), viewers),
           core(net, setup::parseRoomTypes(settings, setup::parseLadder(settings, where), where),
                core::CoreLimits{20'000, kAnswerMargin, 0}, kSecond, servers, *this,
                [&](Host& host, Micros now) {
-                   return setup::makeDecider<core::LogicModule>(host, now, parseSeed(all), settings, where);
+                   return setup::makeDecider<core::LogicModule>(host, now, parseSeed(configuration), settings,
+                                                                where);
                }),
-          log_(net, changelogAt, known.empty() ? 0 : known.back().number,
-               FrameReader(names.kinds.size(), names.zones.size(), 4096), ChangeLogTimes{}, *this),
-          status(net, [this] { tellStatus(); }),
-          stopping(net, [this] { mayStop(); }) {
-        const auto odd = [this](const char* what, std::string_view detail) {
-            say(logging::Level::Warning, what, {{"seen", detail.substr(0, 400)}});
+          changeLog(net, changeLogAddress, known.empty() ? 0 : known.back().sequenceNumber,
+                    FrameReader(names.kinds.size(), names.zones.size(), 4096), ChangeLogTimings{}, *this),
+          statusTimer(net, [this] { logStatus(); }),
+          stopTimer(net, [this] { continueStop(); }) {
+        const auto reportAnomaly = [this](const char* what, std::string_view detail) {
+            writeLog(logging::Level::Warning, what, {{"seen", detail.substr(0, 400)}});
         };
-        viewers.onOdd(odd);
-        servers.onOdd(odd);
-        viewers.connect(core, servers);
-        servers.connect(core);
-        for (const ChangeEvent& event : known) take(event, true);
+        viewers.setAnomalyHandler(reportAnomaly);
+        servers.setAnomalyHandler(reportAnomaly);
+        viewers.attach(core, servers);
+        servers.setCore(core);
+        for (const ChangeEvent& event : known) applyEvent(event, true);
         known.clear();
         viewers.listen();
-        log_.start();
-        status.after(kStatusEvery);
+        changeLog.start();
+        statusTimer.after(kStatusInterval);
     }
 
-    // ---- the list ----
-    Micros onOurClock(Micros unix) const {
-        return unix <= 0 ? 0 : std::max<Micros>(1, net.now() - (net.wallNow() - unix));
+    // ---- the list of media servers ----
+    // Converts a Unix time to the loop's clock; 0, the unknown time, stays 0.
+    Micros toMonotonic(Micros unixTime) const {
+        return unixTime <= 0 ? 0 : std::max<Micros>(1, net.now() - (net.wallNow() - unixTime));
     }
-    void take(const ChangeEvent& event, bool stale) {
+    void applyEvent(const ChangeEvent& event, bool isStale) {
         std::vector<SfuEntry> entries;
-        std::vector<std::pair<SfuId, Micros>> anew;
-        std::set<SfuId> named;
-        for (const discovery::ServerListEntry& line : event.entries) {
-            SfuEntry entry = line.sfu;
-            const Micros started = line.sfu.launched;
+        std::vector<std::pair<SfuId, Micros>> restarted;
+        std::set<SfuId> present;
+        for (const discovery::ServerListEntry& listEntry : event.entries) {
+            SfuEntry entry = listEntry.sfu;
+            const Micros started = listEntry.sfu.launched;
             const auto it = listed.find(entry.id);
-            const bool held = it != listed.end();
-            // A start that is told again is the same moment. Guards against taking it for a new start by what
-            // the two clocks have drifted apart, or the wall clock was set, in between.
+            const bool isListed = it != listed.end();
+            // A repeated start time keeps its converted value. Guards against taking it for a restart because
+            // the two clocks drifted apart or the wall clock was set in between.
             entry.launched =
-                held && started == it->second.started ? it->second.entry.launched : onOurClock(started);
+                isListed && started == it->second.started ? it->second.entry.launched : toMonotonic(started);
             entries.push_back(entry);
-            named.insert(entry.id);
-            if (entry.standing != ServerState::Off && !servers.knows(entry.id))
-                servers.setAddress(entry.id, line.at);
-            if (held && started > it->second.started) anew.emplace_back(entry.id, entry.launched);
+            present.insert(entry.id);
+            if (entry.standing != ServerState::Off && !servers.isKnown(entry.id))
+                servers.setAddress(entry.id, listEntry.at);
+            if (isListed && started > it->second.started) restarted.emplace_back(entry.id, entry.launched);
             if (entry.standing == ServerState::Off)
                 listed.erase(entry.id);
             else
                 listed[entry.id] = {entry, started};
         }
-        std::vector<SfuId> off;
-        if (event.whole) {
-            for (const auto& [id, one] : listed)
-                if (!named.count(id)) off.push_back(id);
-            for (const SfuId id : off) listed.erase(id);
-            core.onServerList(entries, stale);
+        std::vector<SfuId> removed;
+        if (event.isFullList) {
+            for (const auto& [id, server] : listed)
+                if (!present.count(id)) removed.push_back(id);
+            for (const SfuId id : removed) listed.erase(id);
+            core.onServerList(entries, isStale);
         } else {
             core.onServerListChange(entries);
         }
-        // Only now: what the servers' side takes back is placed again at once, by what the module has just
-        // heard.
-        for (const discovery::ServerListEntry& line : event.entries)
-            if (line.sfu.standing != ServerState::Off) servers.setAddress(line.sfu.id, line.at);
-        for (const auto& [id, launched] : anew) servers.onRestarted(id, launched);
+        // After the core: joins that are withdrawn here are placed again at once, by the new list.
+        for (const discovery::ServerListEntry& listEntry : event.entries)
+            if (listEntry.sfu.standing != ServerState::Off)
+                servers.setAddress(listEntry.sfu.id, listEntry.at);
+        for (const auto& [id, launched] : restarted) servers.onRestarted(id, launched);
         for (const SfuEntry& entry : entries) {
-            if (entry.standing == ServerState::Off) off.push_back(entry.id);
+            if (entry.standing == ServerState::Off) removed.push_back(entry.id);
             if (entry.standing == ServerState::Draining) servers.onDraining(entry.id);
         }
-        for (const SfuId id : off) servers.remove(id);
+        for (const SfuId id : removed) servers.remove(id);
     }
-    void changed(const ChangeEvent& event) override {
-        nlohmann::ordered_json told{{"number", event.number}, {"whole", event.whole}};
-        for (const discovery::ServerListEntry& line : event.entries)
-            told["boxes"].push_back({line.sfu.id.v, static_cast<int>(line.sfu.standing)});
-        say(logging::Level::Info, "list", std::move(told));
-        take(event, false);
+    void onChange(const ChangeEvent& event) override {
+        nlohmann::ordered_json fields{{"number", event.sequenceNumber}, {"whole", event.isFullList}};
+        for (const discovery::ServerListEntry& listEntry : event.entries)
+            fields["boxes"].push_back({listEntry.sfu.id.v, static_cast<int>(listEntry.sfu.standing)});
+        writeLog(logging::Level::Info, "list", std::move(fields));
+        applyEvent(event, false);
     }
-    // What was known at the start is as new as the change log, once that has nothing more to tell.
-    void current() override {
+    // The list from the configuration is up to date once the change log has no further events.
+    void onCurrent() override {
         if (isCurrent) return;
         isCurrent = true;
-        std::vector<SfuEntry> all;
-        for (const auto& [id, one] : listed) all.push_back(one.entry);
-        core.onServerList(all, false);
-        say(logging::Level::Info, "list current", {{"boxes", all.size()}});
+        std::vector<SfuEntry> entries;
+        for (const auto& [id, server] : listed) entries.push_back(server.entry);
+        core.onServerList(entries, false);
+        writeLog(logging::Level::Info, "list current", {{"boxes", entries.size()}});
     }
-    void unreachable(const std::string& why) override {
-        say(logging::Level::Warning, "change log lost", {{"why", why}, {"last", log_.last()}});
+    void onUnreachable(const std::string& why) override {
+        writeLog(logging::Level::Warning, "change log lost",
+                 {{"why", why}, {"last", changeLog.lastSequenceNumber()}});
         core.onServerListFailure();
     }
 
-    // ---- core::Watcher ----
+    // ---- core::CoreObserver ----
     void onClosed(SubId id, std::string_view) override {
         servers.forget(id);
         viewers.forget(id);
     }
     void onGuardTriggered(SubId id) override {
-        say(logging::Level::Error, "answered by the guard", {{"sub", id.v}});
+        writeLog(logging::Level::Error, "answered by the guard", {{"sub", id.v}});
     }
-    void onPlacement(SubId, SfuId, const double* score, int among, std::uint64_t) override {
-        fits += score != nullptr;
-        chosen += 1;
-        holders += among;
+    void onPlacement(SubId, SfuId, const double* score, int candidates, std::uint64_t) override {
+        withScore += score != nullptr;
+        placements += 1;
+        candidateTotal += candidates;
     }
-    void onJoinSent(SubId id, int no, SfuId at, int rung, Micros timeOut) override {
+    void onJoinSent(SubId id, int joinNo, SfuId server, int rung, Micros timeOut) override {
         if (log.isEnabled(logging::Level::Debug))
-            say(logging::Level::Debug, "join",
-                {{"sub", id.v}, {"no", no}, {"at", at.v}, {"rung", rung}, {"time_out", timeOut}});
+            writeLog(
+                logging::Level::Debug, "join",
+                {{"sub", id.v}, {"no", joinNo}, {"at", server.v}, {"rung", rung}, {"time_out", timeOut}});
     }
-    void onJoinEnded(SubId id, int no, SfuId at, const core::JoinOutcome& how) override {
-        ++ends[static_cast<std::size_t>(how.end)];
-        if (how.end != JoinResult::Played && log.isEnabled(logging::Level::Debug))
-            say(logging::Level::Debug, "join ended",
-                {{"sub", id.v}, {"no", no}, {"at", at.v}, {"why", how.why}, {"took", how.took}});
+    void onJoinEnded(SubId id, int joinNo, SfuId server, const core::JoinOutcome& outcome) override {
+        ++joinResults[static_cast<std::size_t>(outcome.end)];
+        if (outcome.end != JoinResult::Played && log.isEnabled(logging::Level::Debug))
+            writeLog(logging::Level::Debug, "join ended",
+                     {{"sub", id.v},
+                      {"no", joinNo},
+                      {"at", server.v},
+                      {"why", outcome.why},
+                      {"took", outcome.took}});
     }
 
-    void say(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
+    void writeLog(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
         log.write(level, net.now(), net.wallNow(), what, std::move(fields));
     }
-    void tellStatus() {
-        status.after(kStatusEvery);
+    void logStatus() {
+        statusTimer.after(kStatusInterval);
         const auto& c = core.counts();
         const auto& v = viewers.counts();
         const auto& s = servers.counts();
-        say(logging::Level::Info, "status",
-            {{"held", core.subscriptionCount()},
-             {"unanswered", core.unansweredCount()},
-             {"conns", viewers.connections()},
-             {"links", servers.links()},
-             {"out", servers.out()},
-             {"standing", servers.standing()},
-             {"boxes", listed.size()},
-             {"asked", c.asked},
-             {"played", c.played},
-             {"throttled", c.throttled},
-             {"terminated", c.terminated},
-             {"left", c.left},
-             {"broke", c.broke},
-             {"joins", c.joins},
-             {"guarded", c.guarded},
-             {"chosen", chosen},
-             {"fits", fits},
-             {"among", chosen ? holders / static_cast<double>(chosen) : 0},
-             {"ends", ends},
-             {"viewers",
-              {{"accepted", v.accepted},
-               {"evicted", v.evicted},
-               {"silent", v.silent},
-               {"unreadable", v.unreadable},
-               {"unusable", v.unusable},
-               {"twice", v.twice},
-               {"handed_over", v.handedOver},
-               {"given_up", v.givenUp},
-               {"left_standing", v.leftStanding},
-               {"released", v.released},
-               {"untold", v.untold}}},
-             {"servers",
-              {{"connects", s.connects},
-               {"refused", s.refused},
-               {"no_connect", s.noConnect},
-               {"broken", s.broken},
-               {"garbled", s.garbled},
-               {"unknown", s.unknown},
-               {"early", s.early},
-               {"figures", s.figures},
-               {"withdrawn", s.withdrawn},
-               {"owed", servers.owed()},
-               {"ends_paid_late", s.endsPaidLate},
-               {"ends_dropped", s.endsDropped},
-               {"notes", s.notes},
-               {"looked_for", s.lookedFor},
-               {"found_gone", s.foundGone}}}});
+        writeLog(logging::Level::Info, "status",
+                 {{"held", core.subscriptionCount()},
+                  {"unanswered", core.unansweredCount()},
+                  {"conns", viewers.connectionCount()},
+                  {"links", servers.connectionCount()},
+                  {"out", servers.pendingJoinCount()},
+                  {"standing", servers.playingCount()},
+                  {"boxes", listed.size()},
+                  {"asked", c.asked},
+                  {"played", c.played},
+                  {"throttled", c.throttled},
+                  {"terminated", c.terminated},
+                  {"left", c.left},
+                  {"broke", c.broke},
+                  {"joins", c.joins},
+                  {"guarded", c.guarded},
+                  {"chosen", placements},
+                  {"fits", withScore},
+                  {"among", placements ? candidateTotal / static_cast<double>(placements) : 0},
+                  {"ends", joinResults},
+                  {"viewers",
+                   {{"accepted", v.accepted},
+                    {"evicted", v.evicted},
+                    {"silent", v.silent},
+                    {"unreadable", v.unreadable},
+                    {"unusable", v.unusable},
+                    {"twice", v.duplicateTags},
+                    {"handed_over", v.handedOver},
+                    {"given_up", v.givenUp},
+                    {"left_standing", v.leftPlaying},
+                    {"released", v.released},
+                    {"untold", v.undelivered}}},
+                  {"servers",
+                   {{"connects", s.connects},
+                    {"refused", s.refused},
+                    {"no_connect", s.noConnect},
+                    {"broken", s.broken},
+                    {"garbled", s.garbled},
+                    {"unknown", s.unknown},
+                    {"early", s.earlyNotices},
+                    {"figures", s.loadReports},
+                    {"withdrawn", s.withdrawn},
+                    {"owed", servers.queuedEndCount()},
+                    {"ends_paid_late", s.endsSentLate},
+                    {"ends_dropped", s.endsDropped},
+                    {"notes", s.notices},
+                    {"looked_for", s.probes},
+                    {"found_gone", s.foundLost}}}});
     }
 
-    // ---- the end ----
-    void mayStop() {
-        stopping.after(kStopLook);
-        const Micros since = net.now() - stopAt;
-        const auto past = [&](Micros before) { return since >= std::max(kStopComing, killed - before); };
-        // Only looks after that time count: a process that had no turn for a while looks before it reads.
-        quietLooks = since >= kStopComing && arrivals == viewers.arrivals() ? quietLooks + 1 : 0;
-        arrivals = viewers.arrivals();
-        const bool nothing =
-            core.unansweredCount() == 0 && core.subscriptionCount() == 0 && viewers.untold() == 0;
-        if (past(kReleaseBefore)) viewers.releaseAll();
-        if (past(kAnswerBefore)) viewers.answerAll();
-        closing |= past(kAnswerBefore) || (since >= kStopComing && nothing && quietLooks >= kQuietLooks);
-        if (!closing) return;
+    // ---- the planned stop ----
+    void continueStop() {
+        stopTimer.after(kStopCheckInterval);
+        const Micros elapsed = net.now() - stopRequestedAt;
+        const auto isPast = [&](Micros margin) {
+            return elapsed >= std::max(kAcceptAfterStop, killAfter - margin);
+        };
+        // Only checks after that time count: a process that was not scheduled for a while runs its timers
+        // before it reads.
+        idleChecks =
+            elapsed >= kAcceptAfterStop && lastArrivalCount == viewers.arrivalCount() ? idleChecks + 1 : 0;
+        lastArrivalCount = viewers.arrivalCount();
+        const bool isIdle = core.unansweredCount() == 0 && core.subscriptionCount() == 0 &&
+                            viewers.undeliveredReleaseCount() == 0;
+        if (isPast(kReleaseMargin)) viewers.releaseAll();
+        if (isPast(kAnswerMarginAtStop)) viewers.failOpenSetups();
+        isClosing |= isPast(kAnswerMarginAtStop) ||
+                     (elapsed >= kAcceptAfterStop && isIdle && idleChecks >= kIdleChecks);
+        if (!isClosing) return;
         viewers.closeAll();
-        if (viewers.connections() + viewers.lingering() > 0 && !past(kEndBefore)) return;
-        stopping.cancel();
-        say(logging::Level::Info, "stopped", {{"after", since}});
+        if (viewers.connectionCount() + viewers.lingeringCount() > 0 && !isPast(kEndMargin)) return;
+        stopTimer.cancel();
+        writeLog(logging::Level::Info, "stopped", {{"after", elapsed}});
         if (done) std::exchange(done, {})();
     }
 
@@ -355,63 +372,65 @@
     std::string where;
     setup::Names names;
     discovery::ListNames listNames;
-    Micros killed;  // no sooner, after SIGTERM
-    net::Endpoint changelogAt;
+    Micros killAfter;  // from SIGTERM to the earliest SIGKILL
+    net::Endpoint changeLogAddress;
     std::vector<ChangeEvent> known;
     struct Listed {
-        SfuEntry entry;      // its start on our clock
-        Micros started = 0;  // ... and as told, since 1970
+        SfuEntry entry;      // `launched` on the loop's clock
+        Micros started = 0;  // as received, in Unix microseconds
     };
     std::map<SfuId, Listed> listed;
     bool isCurrent = false;
-    std::uint64_t chosen = 0, fits = 0;
-    double holders = 0;
-    std::array<std::uint64_t, 8> ends{};  // of joins, by JoinResult
+    std::uint64_t placements = 0, withScore = 0;
+    double candidateTotal = 0;
+    std::array<std::uint64_t, 8> joinResults{};  // of joins, by JoinResult
     Viewers viewers;
     Servers servers;
     core::Core core;
-    ChangeLog log_;
-    net::Timer status, stopping;
-    Micros stopAt = 0;
-    std::uint64_t arrivals = 0;
-    int quietLooks = 0;
-    bool closing = false;
+    ChangeLogClient changeLog;
+    net::Timer statusTimer, stopTimer;
+    Micros stopRequestedAt = 0;
+    std::uint64_t lastArrivalCount = 0;
+    int idleChecks = 0;
+    bool isClosing = false;
     std::function<void()> done;
 };
 
 Node::Node(net::Net& net, const std::string& file, const std::string& text, logging::Log& log)
-    : parts_(std::make_unique<Parts>(net, file, parseConfiguration(file, text), log)) {}
+    : impl_(std::make_unique<Impl>(net, file, parseConfiguration(file, text), log)) {}
 Node::~Node() = default;
 
 net::Endpoint Node::endpoint() const {
-    return parts_->viewers.endpoint();
+    return impl_->viewers.endpoint();
 }
 
-std::size_t Node::remembered() const {
-    const Parts& p = *parts_;
-    return p.core.subscriptionCount() + p.viewers.remembered() + p.servers.out() + p.servers.standing();
+std::size_t Node::tableEntryCount() const {
+    const Impl& impl = *impl_;
+    return impl.core.subscriptionCount() + impl.viewers.tableEntryCount() + impl.servers.pendingJoinCount() +
+           impl.servers.playingCount();
 }
-std::size_t Node::connections() const {
-    return parts_->viewers.connections() + parts_->viewers.lingering();
+std::size_t Node::connectionCount() const {
+    return impl_->viewers.connectionCount() + impl_->viewers.lingeringCount();
 }
 
 void Node::reloadConfiguration(const std::string& text) {
     try {
-        const Json all = parseConfiguration(parts_->file, text);
-        const net::Endpoint to = changeLogOf(all, parts_->file);
-        parts_->say(logging::Level::Info, "configuration replaced", {{"changelog", net::toString(to)}});
-        parts_->log_.moveTo(to);
-    } catch (const setup::InvalidValue& wrong) {
-        parts_->say(logging::Level::Error, "configuration passed over", {{"why", wrong.what()}});
+        const Json configuration = parseConfiguration(impl_->file, text);
+        const net::Endpoint endpoint = changeLogEndpoint(configuration, impl_->file);
+        impl_->writeLog(logging::Level::Info, "configuration replaced",
+                        {{"changelog", net::toString(endpoint)}});
+        impl_->changeLog.switchTo(endpoint);
+    } catch (const setup::InvalidValue& error) {
+        impl_->writeLog(logging::Level::Error, "configuration passed over", {{"why", error.what()}});
     }
 }
 
 void Node::stop(std::function<void()> done) {
-    if (parts_->done) return;
-    parts_->done = std::move(done);
-    parts_->stopAt = parts_->net.now();
-    parts_->say(logging::Level::Info, "stopping", {});
-    parts_->mayStop();
+    if (impl_->done) return;
+    impl_->done = std::move(done);
+    impl_->stopRequestedAt = impl_->net.now();
+    impl_->writeLog(logging::Level::Info, "stopping", {});
+    impl_->continueStop();
 }
 
 }  // namespace valekeel::node
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,5 +1,5 @@
-// A front node on the users' platform: its configuration, viewers, media servers and change log, around the
-// core and the module. Nothing of it decides.
+// A front node on the users' platform: connects its configuration, viewers, media servers and change log to
+// the core and the decision module. Makes no decision of its own.
 #pragma once
 
 #include <memory>
@@ -11,31 +11,37 @@
 
 namespace valekeel::node {
 
-// The configuration's text, read whole. Throws setup::Bad: file, line and column where it is no JSON, else
-// what is missing or wrong and where.
+// Parses the configuration's text; `file` names it in errors. Throws setup::InvalidValue, with file, line and
+// column if the text is not JSON.
 setup::Json parseConfiguration(const std::string& file, const std::string& text);
 
+// Runs on the event loop of its Net. The Net and the log must outlive it.
 class Node {
   public:
-    // Throws setup::Bad before anything is started, std::runtime_error if the address can't be had.
+    // Reads the configuration and starts to listen. Throws setup::InvalidValue if the configuration is
+    // invalid, before anything is started, and std::runtime_error if the address can't be bound.
     Node(net::Net&, const std::string& file, const std::string& text, logging::Log&);
     ~Node();
-    net::Endpoint endpoint() const;
-    // The configuration was replaced. One that can't be read is passed over: the one held applies.
+    net::Endpoint endpoint() const;  // where viewers connect
+    // Switches to the change log that a new configuration names; other changes are ignored. An invalid one is
+    // logged and has no effect.
     void reloadConfiguration(const std::string& text);
-    // Entries in all tables that grow with what viewers do, and connections: for tests of what is left over.
-    std::size_t remembered() const;
-    std::size_t connections() const;
-    // Goes on as before while requests may still come, answers all that was taken, and lets what plays go on
-    // for as long as a planned restart leaves. Then it releases what is left and calls back.
+    // Entries in all tables that grow with what viewers do. With connectionCount() for tests that nothing
+    // leaks.
+    std::size_t tableEntryCount() const;
+    std::size_t connectionCount() const;  // of viewers, including lingering ones
+    // Starts a planned stop: accepts set-ups while they may still arrive, answers all of them, and lets
+    // subscriptions play as long as the platform's restart rules allow. Then releases the rest and calls
+    // `done` once. Further calls have no effect.
     void stop(std::function<void()> done);
 
   private:
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    struct Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
-// The seed that the configuration hands out, for the loop that is made before the node. Throws setup::Bad.
+// Returns the configuration's seed, which the event loop needs before the node exists. Throws
+// setup::InvalidValue.
 std::uint64_t parseSeed(const setup::Json& configuration);
 
 }  // namespace valekeel::node
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -5,29 +5,30 @@
 namespace valekeel::node {
 namespace {
 
-// What a release before the answer proves. One table: whether a paid set-up may be sent again rests on it.
-struct Meaning {
+// What a FINISH in place of an answer proves about a join. Whether a paid set-up may be retried depends on
+// this one table.
+struct FinishMeaning {
     JoinResult end;
     bool neverRan;
     const char* why;
 };
-Meaning meaningOf(int cause) {
+FinishMeaning meaningOfCause(int cause) {
     switch (cause) {
         case 34:
-            return {JoinResult::Full, true, "full: the protocol vouches that it never ran"};
+            return {JoinResult::Full, true, "full: the protocol guarantees that it never ran"};
         case 47:
-            return {JoinResult::Error, false, "error: it was looked at"};
+            return {JoinResult::Error, false, "error: the media server processed it"};
         case 102:
-            return {JoinResult::NeverSent, true, "moot: it never left"};
+            return {JoinResult::NeverSent, true, "moot: it was never sent"};
         default:
-            return {JoinResult::Reset, false, "reset: it broke on its way and may have run"};
+            return {JoinResult::Reset, false, "reset: it may have run"};
     }
 }
-JoinResult endOfStanding(int cause) {
+JoinResult resultOfPlayback(int cause) {
     return cause == 16 ? JoinResult::Played : cause == 31 ? JoinResult::Cancelled : JoinResult::Reset;
 }
 
-std::string endOf(const std::string& tag) {
+std::string finishLine(const std::string& tag) {
     Message end;
     end.verb = "FINISH";
     end.tag = tag;
@@ -35,129 +36,134 @@
     return formatMessage(end);
 }
 
-constexpr std::size_t kMostEarly = 4;
-constexpr Micros kTidyEvery = 100'000;
-constexpr Micros kSettled = 2 * kSecond;  // an end said so long ago, on a connection that stands, has arrived
-constexpr Micros kPayAgainAtMost = 2 * kSecond;
-constexpr int kCut = 41;  // the cause of what was cut
+constexpr std::size_t kMaxEarlyNotices = 4;
+constexpr Micros kCleanupInterval = 100'000;
+// A FINISH sent this long ago counts as delivered if its connection is still open.
+constexpr Micros kEndDeliveredAfter = 2 * kSecond;
+constexpr Micros kMaxConnectBackoff = 2 * kSecond;
+constexpr int kCauseCut = 41;  // the protocol's cause for a subscription that was cut off
 
 }  // namespace
 
 LoadReport parseLoadReport(const Message& message) {
     LoadReport load;
-    const std::string* told = message.text("load");
-    if (!told) return load;
-    std::string_view rest = *told;
+    const std::string* text = message.textOption("load");
+    if (!text) return load;
+    std::string_view rest = *text;
     while (!rest.empty()) {
         const auto end = rest.find(';');
-        const std::string_view one = rest.substr(0, end);
+        const std::string_view field = rest.substr(0, end);
         rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
-        const auto colon = one.find(':');
+        const auto colon = field.find(':');
         if (colon == std::string_view::npos) continue;
-        const auto value = numberOf(one.substr(colon + 1));
+        const auto value = parseNumber(field.substr(colon + 1));
         if (!value || *value < 0 || *value > 1e6) continue;
-        const std::string_view name = one.substr(0, colon);
+        const std::string_view name = field.substr(0, colon);
         if (name == "x0" || (name == "utilization" && !load.linkUse)) load.linkUse = *value;
         if (name == "x1") load.uplinkUse = *value;
     }
     return load;
 }
 
-class Servers::Link final : public LineConnectionHandler {
+class Servers::Connection final : public LineConnectionHandler {
   public:
-    Link(Servers& all, Server& server, const net::Endpoint& to, const LineConnection::Limits& limits)
-        : all(all),
+    Connection(Servers& owner, Server& server, const net::Endpoint& endpoint,
+               const LineConnection::Limits& limits)
+        : owner(owner),
           server(&server),
-          begunAt(all.net_.now()),
-          wire(all.net_, to, std::max(all.limits_.connectWithin, all.limits_.lookWithin), limits, *this) {}
-    void opened() override;
-    void onDrained() override { all.sendWaiting(*this); }
-    void line(std::string_view bytes) override {
+          connectStartedAt(owner.net_.now()),
+          transport(owner.net_, endpoint,
+                    std::max(owner.limits_.connectTimeout, owner.limits_.probeConnectTimeout), limits,
+                    *this) {}
+    void onOpen() override;
+    void onDrained() override { owner.sendUnsentJoins(*this); }
+    void onLine(std::string_view bytes) override {
         const auto message = parseMessage(bytes);
-        // After what can't be read nothing on this connection can be trusted to begin where it should.
+        // After an unreadable line the boundaries of later ones cannot be trusted.
         if (!message) {
-            all.odd_("a media server's line can't be read", bytes.substr(0, 200));
-            wire.close(true);
-            return gone(DisconnectReason::Garbled);
+            owner.reportAnomaly_("a media server's line can't be read", bytes.substr(0, 200));
+            transport.close(true);
+            return onDisconnect(DisconnectReason::Malformed);
         }
-        all.heard(*this, *message);
+        owner.onMessage(*this, *message);
     }
-    void gone(DisconnectReason how) override {
-        if (server) all.linkGone(*this, how);
+    void onDisconnect(DisconnectReason reason) override {
+        if (server) owner.onConnectionClosed(*this, reason);
     }
 
-    Servers& all;
-    Server* server;  // nothing once it is buried
-    std::set<SubId> out;
-    std::deque<SubId> waiting;  // of those, what the kernel has not been handed yet
-    bool doubted = false;       // silent while it should speak: takes no more joins
-    Micros begunAt, openedAt = 0;
-    bool isConnecting() const { return !wire.isOpen() && !wire.isClosed(); }
-    LineConnection wire;
+    Servers& owner;
+    Server* server;                 // null once closed
+    std::set<SubId> pendingJoins;   // without an answer yet
+    std::deque<SubId> unsentJoins;  // those of them that wait in this process
+    bool isSuspect = false;         // silent for too long: takes no more joins
+    Micros connectStartedAt, openedAt = 0;
+    bool isConnecting() const { return !transport.isOpen() && !transport.isClosed(); }
+    LineConnection transport;
 };
 
 struct Servers::Server {
     SfuId id;
-    net::Endpoint at;
-    std::vector<std::unique_ptr<Link>> links;
-    std::set<SubId> standing;
-    Micros heardAt = 0, lookAt = 0;
-    Micros lookedSince = 0;  // the first look since it was last heard; 0: none
-    int refusals = 0;
-    void livesAt(Micros now) {
-        heardAt = now;
-        lookedSince = 0;
+    net::Endpoint endpoint;
+    std::vector<std::unique_ptr<Connection>> connections;
+    std::set<SubId> playing;  // this front's subscriptions there
+    Micros lastReceivedAt = 0, nextProbeAt = 0;
+    Micros probingSince = 0;  // first probe since the last sign of life; 0: none
+    int refusals = 0;         // of connects, in a row
+    void markAlive(Micros now) {
+        lastReceivedAt = now;
+        probingSince = 0;
         refusals = 0;
     }
-    // What is to be ended there: given up on, or left. Not said yet, or said and not heard of yet.
-    struct Owed {
+    // A FINISH for an abandoned join or an ended playback: not sent yet, or sent and not confirmed yet.
+    struct QueuedEnd {
         std::string tag;
-        Micros since;
-        Link* saidOn;
-        Micros saidAt;
+        Micros queuedAt;
+        Connection* sentOn;  // null: to be sent (again)
+        Micros sentAt;
     };
-    std::deque<Owed> owed;
-    Micros payAt = 0, payPause = 0;  // when a connection is opened for it, and the pause after that
+    std::deque<QueuedEnd> queuedEnds;
+    Micros nextConnectAt = 0, connectBackoff = 0;  // of connections opened for queued ends
 };
 
-// A set-up that is out, or a subscription that stands.
-struct Servers::Held {
-    SfuId at;
+// A pending join, or a subscription that plays.
+struct Servers::Session {
+    SfuId serverId;
     std::string tag;
     int joinNo = 0;
-    bool stands = false, cut = false;
-    Micros since = 0;        // it stands; long ago for what was handed over
-    Link* link = nullptr;    // while it is out
-    bool sent = false;       // handed to the kernel; until then it waits on its link
-    std::uint64_t from = 0;  // where it begins on it
+    bool isPlaying = false, isEnding = false;
+    Micros playingSince = 0;           // 0 for an adopted one
+    Connection* connection = nullptr;  // of a pending join
+    bool isSent = false;               // handed to the kernel; until then it waits in unsentJoins
+    std::uint64_t streamOffset = 0;    // of its START on the connection, in bytes
     int rung = 0;
-    Micros askedAt = 0, until = 0;
-    std::unique_ptr<net::Timer> late;
-    std::vector<Message> early;  // notes that came before the answer
+    Micros requestedAt = 0, deadline = 0;
+    std::unique_ptr<net::Timer> timer;  // until the join's deadline
+    std::vector<Message> earlyNotices;  // notices that arrived before the answer
 };
 
-void Servers::Link::opened() {
-    ++all.counts_.connects;
-    openedAt = all.net_.now();
-    server->livesAt(openedAt);
-    server->payPause = 0;
-    all.sendQueuedEnds(*server);  // before anything new: an end may be of the same id
-    all.sendWaiting(*this);
+void Servers::Connection::onOpen() {
+    ++owner.counts_.connects;
+    openedAt = owner.net_.now();
+    server->markAlive(openedAt);
+    server->connectBackoff = 0;
+    owner.sendQueuedEnds(*server);  // before new joins, which may reuse a tag
+    owner.sendUnsentJoins(*this);
 }
 
-Servers::Servers(net::Net& net, const ServerLimits& limits, ServersHandler& user)
+Servers::Servers(net::Net& net, const ServerLimits& limits, ServersHandler& handler)
     : net_(net),
       limits_(limits),
-      user_(user),
-      laterTimer_(net,
-                  [this] {
-                      std::deque<Later> now;
-                      now.swap(later_);
-                      for (Later& one : now) core_->onJoinOutcome(one.id, one.joinNo, one.outcome);
-                  }),
-      buryTimer_(net, [this] { dead_.clear(); }),
-      tidyTimer_(net, [this] { tidy(); }) {
-    tidyTimer_.after(kTidyEvery);
+      handler_(handler),
+      deferredTimer_(net,
+                     [this] {
+                         std::deque<DeferredOutcome> outcomes;
+                         outcomes.swap(deferredOutcomes_);
+                         for (DeferredOutcome& deferred : outcomes)
+                             core_->onJoinOutcome(deferred.id, deferred.joinNo, deferred.outcome);
+                     }),
+      deletionTimer_(net, [this] { closedConnections_.clear(); }),
+      cleanupTimer_(net, [this] { cleanUp(); }) {
+    cleanupTimer_.after(kCleanupInterval);
 }
 Servers::~Servers() = default;
 
@@ -165,537 +171,563 @@
     const auto it = servers_.find(id);
     return it == servers_.end() ? nullptr : it->second.get();
 }
-std::size_t Servers::standing() const {
+std::size_t Servers::playingCount() const {
     std::size_t count = 0;
-    for (const auto& [id, server] : servers_) count += server->standing.size();
+    for (const auto& [id, server] : servers_) count += server->playing.size();
     return count;
 }
-std::size_t Servers::out() const {
-    return static_cast<std::size_t>(
-        std::count_if(held_.begin(), held_.end(), [](const auto& one) { return !one.second.stands; }));
+std::size_t Servers::pendingJoinCount() const {
+    return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(),
+                                                  [](const auto& entry) { return !entry.second.isPlaying; }));
 }
-std::size_t Servers::owed() const {
+std::size_t Servers::queuedEndCount() const {
     std::size_t count = 0;
-    for (const auto& [id, server] : servers_) count += server->owed.size();
+    for (const auto& [id, server] : servers_) count += server->queuedEnds.size();
     return count;
 }
 
-// ================= from the list =================
+// ================= the list of media servers =================
 
-void Servers::setAddress(SfuId id, const net::Endpoint& to) {
+void Servers::setAddress(SfuId id, const net::Endpoint& endpoint) {
     auto& server = servers_[id];
     if (!server) {
         server = std::make_unique<Server>();
         server->id = id;
     }
-    if (server->at == to) return;
-    server->at = to;
-    // What is connected to the old place may be anybody's by now.
-    closeLinks(*server, std::nullopt);
+    if (server->endpoint == endpoint) return;
+    server->endpoint = endpoint;
+    // Another process may have the old address by now.
+    closeConnections(*server, std::nullopt);
 }
 
 void Servers::remove(SfuId id) {
     const auto it = servers_.find(id);
     if (it == servers_.end()) return;
-    const std::unique_ptr<Server> server = std::move(it->second);  // from here on nothing is sent there
+    const std::unique_ptr<Server> server = std::move(it->second);  // from here on nothing is sent to it
     servers_.erase(it);
-    server->owed.clear();
+    server->queuedEnds.clear();
     withdrawAllUnsent(*server, "its media server is off");
-    closeLinks(*server, std::nullopt);
-    endAllStanding(*server, net_.now() + 1);
+    closeConnections(*server, std::nullopt);
+    endAllPlayback(*server, net_.now() + 1);
 }
 
 void Servers::onDraining(SfuId id) {
-    if (Server* server = find(id)) withdrawAllUnsent(*server, "its media server drains");
+    if (Server* server = find(id)) withdrawAllUnsent(*server, "its media server is draining");
 }
 
 void Servers::onRestarted(SfuId id, Micros launched) {
     Server* server = find(id);
     if (!server) return;
-    // The new process knows nothing of what was owed to the old one, nor does it listen on its connections: a
-    // machine that vanished closed none. What waits was allowed while the server counted as warm.
-    std::erase_if(server->owed, [&](const Server::Owed& one) { return one.since < launched; });
-    withdrawAllUnsent(*server, "its media server has started anew");
-    closeLinks(*server, launched);
-    endAllStanding(*server, launched);
-}
-
-// Those that have been up since before that time; where none is given, all, also those still connecting.
-void Servers::closeLinks(Server& server, std::optional<Micros> before) {
-    std::vector<Link*> old;
-    for (const auto& link : server.links)
-        if (!before || (link->wire.isOpen() && link->openedAt < *before)) old.push_back(link.get());
-    for (Link* link : old) closeLink(*link);
-}
-
-// ================= links =================
-
-Servers::Link* Servers::open(Server& server) {
-    if (openLinks_ >= limits_.links) return nullptr;
-    ++openLinks_;
-    server.links.push_back(std::make_unique<Link>(
-        *this, server, server.at, LineConnection::Limits{kLongestLine, limits_.unsent, limits_.unfinished}));
-    return server.links.back().get();
-}
-
-Servers::Link* Servers::linkFor(Server& server, bool sure, bool forJoin) {
-    Link* best = nullptr;
-    for (const auto& link : server.links) {
-        if (link->wire.isClosed() || link->doubted) continue;
-        if (forJoin && link->out.size() >= limits_.joinsOnLink) continue;
-        // It may yet come up, late; but what is asked for now has better chances with a new one.
-        if (link->isConnecting() && net_.now() - link->begunAt >= limits_.connectWithin / 2) continue;
-        // A connection that its peer closes for idleness just as a paid set-up goes out leaves that in doubt.
-        const Micros lately = std::max(link->wire.heardAt(), link->wire.usedAt());
-        if (sure && link->wire.isOpen() && net_.now() - lately > limits_.sureFor) continue;
-        if (!best || (link->wire.isOpen() && !best->wire.isOpen())) best = link.get();
+    // The new process knows none of the old one's subscriptions and does not serve its connections, which
+    // stay open if the machine vanished. Unsent joins were admitted while the server counted as warm.
+    std::erase_if(server->queuedEnds, [&](const Server::QueuedEnd& end) { return end.queuedAt < launched; });
+    withdrawAllUnsent(*server, "its media server has restarted");
+    closeConnections(*server, launched);
+    endAllPlayback(*server, launched);
+}
+
+// Closes the connections that opened before `openedBefore`, or all if none is given, including those that are
+// still connecting.
+void Servers::closeConnections(Server& server, std::optional<Micros> openedBefore) {
+    std::vector<Connection*> old;
+    for (const auto& connection : server.connections)
+        if (!openedBefore || (connection->transport.isOpen() && connection->openedAt < *openedBefore))
+            old.push_back(connection.get());
+    for (Connection* connection : old) closeConnection(*connection);
+}
+
+// ================= connections =================
+
+Servers::Connection* Servers::openConnection(Server& server) {
+    if (openConnections_ >= limits_.maxConnections) return nullptr;
+    ++openConnections_;
+    server.connections.push_back(std::make_unique<Connection>(
+        *this, server, server.endpoint,
+        LineConnection::Limits{kMaxLineBytes, limits_.maxUnsentBytes, limits_.lineTimeout}));
+    return server.connections.back().get();
+}
+
+Servers::Connection* Servers::connectionFor(Server& server, bool forPaidJoin, bool forJoin) {
+    Connection* best = nullptr;
+    for (const auto& connection : server.connections) {
+        if (connection->transport.isClosed() || connection->isSuspect) continue;
+        if (forJoin && connection->pendingJoins.size() >= limits_.maxJoinsPerConnection) continue;
+        // It may still open, late; but a new connection has better chances for a request made now.
+        if (connection->isConnecting() &&
+            net_.now() - connection->connectStartedAt >= limits_.connectTimeout / 2)
+            continue;
+        // If the peer closes an idle connection just as a paid set-up is sent, nobody knows whether that ran.
+        const Micros lastUsedAt =
+            std::max(connection->transport.lastReceivedAt(), connection->transport.lastSentAt());
+        if (forPaidJoin && connection->transport.isOpen() &&
+            net_.now() - lastUsedAt > limits_.maxIdleForPaidJoin)
+            continue;
+        if (!best || (connection->transport.isOpen() && !best->transport.isOpen())) best = connection.get();
     }
-    return best ? best : open(server);
+    return best ? best : openConnection(server);
 }
 
 void Servers::sendLine(Server& server, const std::string& line) {
-    if (Link* link = linkFor(server, false, false)) link->wire.say(line);
-}
-
-void Servers::closeLink(Link& link) {
-    link.wire.close();
-    linkGone(link, DisconnectReason::Closed);
-}
-
-void Servers::linkGone(Link& link, DisconnectReason how) {
-    Server& server = *link.server;
-    if (how == DisconnectReason::Refused) ++counts_.refused;
-    if (how == DisconnectReason::NoConnect) ++counts_.noConnect;
-    if (how == DisconnectReason::Broken) ++counts_.broken;
-    if (how == DisconnectReason::Garbled) ++counts_.garbled;
-    const auto it = std::find_if(server.links.begin(), server.links.end(),
-                                 [&](const auto& one) { return one.get() == &link; });
-    std::unique_ptr<Link> gone = std::move(*it);
-    server.links.erase(it);
-    gone->server = nullptr;
-    --openLinks_;
-    const std::set<SubId> out = std::move(gone->out);
-    const std::uint64_t taken = gone->wire.taken();
-    bool again = false;
-    for (Server::Owed& one : server.owed)
-        if (one.saidOn == gone.get()) {  // it may not have arrived: it is said once more
-            one.saidOn = nullptr;
-            again = true;
+    if (Connection* connection = connectionFor(server, false, false)) connection->transport.send(line);
+}
+
+void Servers::closeConnection(Connection& connection) {
+    connection.transport.close();
+    onConnectionClosed(connection, DisconnectReason::Closed);
+}
+
+void Servers::onConnectionClosed(Connection& connection, DisconnectReason reason) {
+    Server& server = *connection.server;
+    if (reason == DisconnectReason::Refused) ++counts_.refused;
+    if (reason == DisconnectReason::Unreachable) ++counts_.noConnect;
+    if (reason == DisconnectReason::Reset) ++counts_.broken;
+    if (reason == DisconnectReason::Malformed) ++counts_.garbled;
+    const auto it = std::find_if(server.connections.begin(), server.connections.end(),
+                                 [&](const auto& other) { return other.get() == &connection; });
+    std::unique_ptr<Connection> closed = std::move(*it);
+    server.connections.erase(it);
+    closed->server = nullptr;
+    --openConnections_;
+    const std::set<SubId> pendingJoins = std::move(closed->pendingJoins);
+    const std::uint64_t writtenBytes = closed->transport.writtenBytes();
+    bool mustResend = false;
+    for (Server::QueuedEnd& end : server.queuedEnds)
+        if (end.sentOn == closed.get()) {  // it may not have arrived
+            end.sentOn = nullptr;
+            mustResend = true;
         }
-    deleteLater(std::move(gone));
-    if (again) sendQueuedEnds(server);
-    if (how == DisconnectReason::Refused || how == DisconnectReason::NoConnect) {
+    deleteLater(std::move(closed));
+    if (mustResend) sendQueuedEnds(server);
+    if (reason == DisconnectReason::Refused || reason == DisconnectReason::Unreachable) {
         const Micros now = net_.now();
-        server.refusals = how == DisconnectReason::Refused ? server.refusals + 1 : 0;
-        if (how == DisconnectReason::Refused) server.lookAt = now + limits_.lookAgain;
-        // Refused twice: nobody listens, and a dying process cuts what it plays.
-        const bool lost =
-            server.refusals >= 2 || (server.lookedSince > 0 && now - server.lookedSince >= limits_.goneAfter);
-        if (lost && !server.standing.empty()) {
-            ++counts_.foundGone;
-            // It may be no more than cut off, and go on playing to nobody.
-            for (const SubId id : std::set<SubId>(server.standing))
-                if (const auto held = held_.find(id); held != held_.end())
-                    queueEnd(server, held->second.tag, nullptr);
-            endAllStanding(server, net_.now() + 1);
+        server.refusals = reason == DisconnectReason::Refused ? server.refusals + 1 : 0;
+        if (reason == DisconnectReason::Refused) server.nextProbeAt = now + limits_.probeDelayAfterRefusal;
+        // Refused twice in a row: nobody listens, so the process has died, and its subscriptions with it.
+        const bool isLost = server.refusals >= 2 ||
+                            (server.probingSince > 0 && now - server.probingSince >= limits_.lostAfter);
+        if (isLost && !server.playing.empty()) {
+            ++counts_.foundLost;
+            // If only the network is cut, the server still plays: end that when it can be reached again.
+            for (const SubId id : std::set<SubId>(server.playing))
+                if (const auto session = sessions_.find(id); session != sessions_.end())
+                    queueEnd(server, session->second.tag, nullptr);
+            endAllPlayback(server, net_.now() + 1);
         }
-    } else if (how != DisconnectReason::NoSocket) {
-        server.lookAt = net_.now();  // its end may mean more than its own
+    } else if (reason != DisconnectReason::OutOfDescriptors) {
+        server.nextProbeAt = net_.now();  // the whole server may be down: probe at once
     }
-    for (const SubId id : out) {
-        const auto held = held_.find(id);
-        if (held == held_.end() || held->second.stands) continue;
+    for (const SubId id : pendingJoins) {
+        const auto session = sessions_.find(id);
+        if (session == sessions_.end() || session->second.isPlaying) continue;
         core::JoinOutcome outcome;
-        outcome.why = nameOf(how);
-        // What the kernel here never took can't have been read there.
-        outcome.neverRan = !held->second.sent || taken <= held->second.from;
-        outcome.end = how == DisconnectReason::NoSocket ? JoinResult::NeverSent
-                      : outcome.neverRan                ? JoinResult::NoConnection
-                                                        : JoinResult::Reset;
-        ended(id, outcome);
+        outcome.why = nameOf(reason);
+        // What the local kernel never took was not read by the server.
+        outcome.neverRan = !session->second.isSent || writtenBytes <= session->second.streamOffset;
+        outcome.end = reason == DisconnectReason::OutOfDescriptors ? JoinResult::NeverSent
+                      : outcome.neverRan                           ? JoinResult::NoConnection
+                                                                   : JoinResult::Reset;
+        finishJoin(id, outcome);
     }
 }
 
-void Servers::deleteLater(std::unique_ptr<Link> link) {
-    dead_.push_back(std::move(link));
-    buryTimer_.soon();
-}
-
-// ================= out =================
-
-void Servers::endLater(SubId id, int joinNo, core::JoinOutcome outcome) {
-    later_.push_back({id, joinNo, outcome});
-    laterTimer_.soon();
-}
-
-void Servers::join(SubId id, int joinNo, SfuId at, int rung, Micros timeOut, bool paid) {
-    const SetupRequest* words = user_.wordsOf(id);
-    Server* server = find(at);
-    Link* link = words && server ? linkFor(*server, paid, true) : nullptr;
-    if (!link || timeOut <= 0)
-        return endLater(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "no way to send it"});
-    Held& held = held_[id];
-    held.at = at;
-    held.tag = words->tag;
-    held.joinNo = joinNo;
-    held.stands = held.cut = held.sent = false;
-    held.early.clear();
-    held.link = link;
-    held.rung = rung;
-    held.askedAt = net_.now();
-    held.until = net_.now() + timeOut;
-    held.late = std::make_unique<net::Timer>(net_, [this, id] {
-        const auto it = held_.find(id);
-        if (it == held_.end() || it->second.stands) return;
-        const Held& late = it->second;
-        if (!late.sent && late.link->isConnecting())
+void Servers::deleteLater(std::unique_ptr<Connection> connection) {
+    closedConnections_.push_back(std::move(connection));
+    deletionTimer_.soon();
+}
+
+// ================= joins =================
+
+void Servers::deferOutcome(SubId id, int joinNo, core::JoinOutcome outcome) {
+    deferredOutcomes_.push_back({id, joinNo, outcome});
+    deferredTimer_.soon();
+}
+
+void Servers::join(SubId id, int joinNo, SfuId serverId, int rung, Micros timeOut, bool paid) {
+    const SetupRequest* request = handler_.findSetupRequest(id);
+    Server* server = find(serverId);
+    Connection* connection = request && server ? connectionFor(*server, paid, true) : nullptr;
+    if (!connection || timeOut <= 0)
+        return deferOutcome(
+            id, joinNo,
+            {JoinResult::NeverSent, true, 0, {}, "not sent: no usable connection, or no time left"});
+    Session& session = sessions_[id];
+    session.serverId = serverId;
+    session.tag = request->tag;
+    session.joinNo = joinNo;
+    session.isPlaying = session.isEnding = session.isSent = false;
+    session.earlyNotices.clear();
+    session.connection = connection;
+    session.rung = rung;
+    session.requestedAt = net_.now();
+    session.deadline = net_.now() + timeOut;
+    session.timer = std::make_unique<net::Timer>(net_, [this, id] {
+        const auto it = sessions_.find(id);
+        if (it == sessions_.end() || it->second.isPlaying) return;
+        const Session& pending = it->second;
+        if (!pending.isSent && pending.connection->isConnecting())
             return withdrawUnsent(id, JoinResult::NoConnection, "no connection in time");
-        // Nothing at all since it was asked for: the connection may be a dead one.
-        if (late.link->wire.heardAt() <= late.askedAt) late.link->doubted = true;
-        giveUp(id, JoinResult::TimedOut, "timed out");
+        // Nothing was received since the request: the connection may be dead.
+        if (pending.connection->transport.lastReceivedAt() <= pending.requestedAt)
+            pending.connection->isSuspect = true;
+        abandonJoin(id, JoinResult::TimedOut, "timed out");
     });
-    // Without a connection it waits for one no longer than the settings give that.
-    held.late->after(link->isConnecting() ? std::min(timeOut, limits_.connectWithin) : timeOut);
-    byTag_[held.tag] = id;
-    link->out.insert(id);
-    link->waiting.push_back(id);
-    sendWaiting(*link);
-}
-
-// The one place at which a set-up leaves: handed to the kernel only while the connection stands and has taken
-// all before it. Until then it lies here, and is taken back when what allowed it ends: its viewer leaves, its
-// time runs out, its server drains, starts anew or goes. Guards against a set-up that a connection which
-// comes up late, or a peer that doesn't read, would let out long after the decision.
-void Servers::sendWaiting(Link& link) {
-    while (!link.waiting.empty() && link.wire.canSend()) {
-        const SubId id = link.waiting.front();
-        link.waiting.pop_front();
-        const auto it = held_.find(id);
-        const SetupRequest* words = user_.wordsOf(id);
-        if (it == held_.end() || !words || net_.now() >= it->second.until) continue;  // its timer ends it
-        Held& held = it->second;
-        // An end that is owed to an earlier try of the same id must not end this one.
-        auto& owed = link.server->owed;
-        const auto earlier = std::find_if(owed.begin(), owed.end(),
-                                          [&](const Server::Owed& one) { return one.tag == held.tag; });
-        if (earlier != owed.end()) {
-            if (earlier->saidOn != &link) link.wire.say(endOf(held.tag));
-            owed.erase(earlier);
+    // While connecting it waits no longer than the settings' connect timeout.
+    session.timer->after(connection->isConnecting() ? std::min(timeOut, limits_.connectTimeout) : timeOut);
+    byTag_[session.tag] = id;
+    connection->pendingJoins.insert(id);
+    connection->unsentJoins.push_back(id);
+    sendUnsentJoins(*connection);
+}
+
+// The only place that sends set-ups. One is handed to the kernel only when the connection is open and nothing
+// before it is unsent. Until then it can be withdrawn: its viewer leaves, its time runs out, or its server
+// drains, restarts or disappears. Guards against a set-up that reaches the server long after the decision,
+// because the connection opens late or the peer does not read.
+void Servers::sendUnsentJoins(Connection& connection) {
+    while (!connection.unsentJoins.empty() && connection.transport.canSend()) {
+        const SubId id = connection.unsentJoins.front();
+        connection.unsentJoins.pop_front();
+        const auto it = sessions_.find(id);
+        const SetupRequest* request = handler_.findSetupRequest(id);
+        if (it == sessions_.end() || !request || net_.now() >= it->second.deadline)
+            continue;  // its timer handles it
+        Session& session = it->second;
+        // A queued end of an earlier attempt with the same tag must not end this one.
+        auto& queuedEnds = connection.server->queuedEnds;
+        const auto earlier =
+            std::find_if(queuedEnds.begin(), queuedEnds.end(),
+                         [&](const Server::QueuedEnd& end) { return end.tag == session.tag; });
+        if (earlier != queuedEnds.end()) {
+            if (earlier->sentOn != &connection) connection.transport.send(finishLine(session.tag));
+            queuedEnds.erase(earlier);
         }
         Message setup;
         setup.verb = "START";
-        setup.tag = words->tag;
-        setup.opts["class"] = words->room;
-        setup.opts["key"] = words->title;
-        setup.opts["left"] = std::to_string((std::max<Micros>(1, held.until - net_.now()) + 999) / 1000);
-        setup.opts["rung"] = std::to_string(held.rung);
-        setup.description = words->description;
-        held.sent = true;
-        held.late->at(held.until);
-        held.from = link.wire.say(formatMessage(setup));
+        setup.tag = request->tag;
+        setup.options["class"] = request->room;
+        setup.options["key"] = request->title;
+        setup.options["left"] =
+            std::to_string((std::max<Micros>(1, session.deadline - net_.now()) + 999) / 1000);
+        setup.options["rung"] = std::to_string(session.rung);
+        setup.description = request->description;
+        session.isSent = true;
+        session.timer->at(session.deadline);
+        session.streamOffset = connection.transport.send(formatMessage(setup));
     }
 }
 
-// Of what waits on its link: it never left.
+// Ends a join that was never sent.
 void Servers::withdrawUnsent(SubId id, JoinResult end, const char* why) {
-    const Held& held = held_.at(id);
-    std::erase(held.link->waiting, id);
+    const Session& session = sessions_.at(id);
+    std::erase(session.connection->unsentJoins, id);
     ++counts_.withdrawn;
-    ended(id, {end, true, net_.now() - held.askedAt, {}, why});
+    finishJoin(id, {end, true, net_.now() - session.requestedAt, {}, why});
 }
 
 void Servers::withdrawAllUnsent(Server& server, const char* why) {
-    std::vector<SubId> all;
-    for (const auto& link : server.links) all.insert(all.end(), link->waiting.begin(), link->waiting.end());
-    for (const SubId id : all) {
-        const auto it = held_.find(id);  // the end of one may have set off another's
-        if (it != held_.end() && !it->second.stands && !it->second.sent && it->second.at == server.id)
+    std::vector<SubId> unsent;
+    for (const auto& connection : server.connections)
+        unsent.insert(unsent.end(), connection->unsentJoins.begin(), connection->unsentJoins.end());
+    for (const SubId id : unsent) {
+        const auto it = sessions_.find(id);  // ending one join may have ended another
+        if (it != sessions_.end() && !it->second.isPlaying && !it->second.isSent &&
+            it->second.serverId == server.id)
             withdrawUnsent(id, JoinResult::NoConnection, why);
     }
 }
 
 void Servers::withdraw(SubId id, int joinNo) {
-    const auto it = held_.find(id);
-    if (it != held_.end() && !it->second.stands && !it->second.sent && it->second.joinNo == joinNo)
-        withdrawUnsent(id, JoinResult::Cancelled, "its viewer has gone");
+    const auto it = sessions_.find(id);
+    if (it != sessions_.end() && !it->second.isPlaying && !it->second.isSent && it->second.joinNo == joinNo)
+        withdrawUnsent(id, JoinResult::Cancelled, "its viewer has left");
 }
 
 void Servers::cancel(SubId id, int joinNo) {
-    const auto it = held_.find(id);
-    if (it != held_.end() && !it->second.stands && it->second.joinNo == joinNo)
-        giveUp(id, JoinResult::Cancelled, "called off");
+    const auto it = sessions_.find(id);
+    if (it != sessions_.end() && !it->second.isPlaying && it->second.joinNo == joinNo)
+        abandonJoin(id, JoinResult::Cancelled, "cancelled");
 }
 
-// What has left may run, and its end follows it on the same connection. What has not is taken back: where it
-// is too late for that the connection has not come up in time, or its peer does not read.
-void Servers::giveUp(SubId id, JoinResult end, const char* why) {
-    const Held& held = held_.at(id);
-    if (!held.sent)
+// A join that was sent may run, so its FINISH follows on the same connection. One that was not sent is
+// withdrawn; a timeout then means that the connection did not open in time or that its peer does not read.
+void Servers::abandonJoin(SubId id, JoinResult end, const char* why) {
+    const Session& session = sessions_.at(id);
+    if (!session.isSent)
         return withdrawUnsent(id, end == JoinResult::TimedOut ? JoinResult::NoConnection : end, why);
-    Link& link = *held.link;
-    if (!link.server) return;  // its connection has just gone, and that ends it
-    link.wire.say(endOf(held.tag));
-    queueEnd(*link.server, held.tag, &link);
-    endSaid_ = id;
-    ended(id, {end, false, net_.now() - held.askedAt, {}, why});
-    endSaid_ = {};
-}
-
-// The one end of a join. It is out of the tables before the core hears of it, which may send the next.
-void Servers::ended(SubId id, core::JoinOutcome outcome) {
-    const auto it = held_.find(id);
-    if (it == held_.end()) return;
+    Connection& connection = *session.connection;
+    if (!connection.server) return;  // the connection has just closed, which ends this join
+    connection.transport.send(finishLine(session.tag));
+    queueEnd(*connection.server, session.tag, &connection);
+    justEnded_ = id;
+    finishJoin(id, {end, false, net_.now() - session.requestedAt, {}, why});
+    justEnded_ = {};
+}
+
+// The only end of an unanswered join. Removes it first, because the core may send the next one at once.
+void Servers::finishJoin(SubId id, core::JoinOutcome outcome) {
+    const auto it = sessions_.find(id);
+    if (it == sessions_.end()) return;
     const int joinNo = it->second.joinNo;
-    if (it->second.link) it->second.link->out.erase(id);
+    if (it->second.connection) it->second.connection->pendingJoins.erase(id);
     byTag_.erase(it->second.tag);
-    held_.erase(it);
+    sessions_.erase(it);
     core_->onJoinOutcome(id, joinNo, outcome);
 }
 
-// A set-up given up on, or the end of what stands.
-void Servers::release(SubId id, SfuId at) {
-    const SetupRequest* words = user_.wordsOf(id);
-    Server* server = find(at);
-    const auto it = held_.find(id);
-    const bool saidAlready = it != held_.end() ? it->second.cut : endSaid_ == id;
-    if (server && words && !saidAlready) queueEnd(*server, words->tag, nullptr);
-    if (it != held_.end() && it->second.stands) forget(id);
+// Ends an abandoned set-up or a playing subscription, unless its FINISH is queued already.
+void Servers::release(SubId id, SfuId serverId) {
+    const SetupRequest* request = handler_.findSetupRequest(id);
+    Server* server = find(serverId);
+    const auto it = sessions_.find(id);
+    const bool alreadySent = it != sessions_.end() ? it->second.isEnding : justEnded_ == id;
+    if (server && request && !alreadySent) queueEnd(*server, request->tag, nullptr);
+    if (it != sessions_.end() && it->second.isPlaying) forget(id);
 }
 
-void Servers::cut(SubId id) {
-    const auto it = held_.find(id);
-    if (it == held_.end() || !it->second.stands || it->second.cut) return;
-    it->second.cut = true;
-    if (Server* server = find(it->second.at)) queueEnd(*server, it->second.tag, nullptr);
+void Servers::endPlayback(SubId id) {
+    const auto it = sessions_.find(id);
+    if (it == sessions_.end() || !it->second.isPlaying || it->second.isEnding) return;
+    it->second.isEnding = true;
+    if (Server* server = find(it->second.serverId)) queueEnd(*server, it->second.tag, nullptr);
 }
 
-// ================= ends that are owed =================
+// ================= queued ends =================
 
-// Whatever may stand there for nobody is to be ended there, also where no connection stands now or the one on
-// which that was said breaks: what is lost would hold its seat and its part of the link for good.
-void Servers::queueEnd(Server& server, const std::string& tag, Link* saidOn) {
-    if (server.owed.size() >= limits_.owed) {
+// Queues a FINISH for a subscription that may play for nobody, also if no connection is open now or the one
+// that carried the FINISH breaks: a lost FINISH would keep its seat and its share of the link occupied for
+// usable.
+void Servers::queueEnd(Server& server, const std::string& tag, Connection* sentOn) {
+    if (server.queuedEnds.size() >= limits_.maxQueuedEnds) {
         ++counts_.endsDropped;
-        server.owed.pop_front();
+        server.queuedEnds.pop_front();
     }
-    server.owed.push_back({tag, net_.now(), saidOn, net_.now()});
-    if (!saidOn) sendQueuedEnds(server);
+    server.queuedEnds.push_back({tag, net_.now(), sentOn, net_.now()});
+    if (!sentOn) sendQueuedEnds(server);
 }
 
 void Servers::sendQueuedEnds(Server& server) {
-    const auto unsaid = [](const Server::Owed& one) { return !one.saidOn; };
-    if (std::none_of(server.owed.begin(), server.owed.end(), unsaid)) return;
-    Link* pick = nullptr;
-    for (const auto& link : server.links)
-        if (link->wire.isOpen() && !link->doubted && (!pick || link->wire.heardAt() > pick->wire.heardAt()))
-            pick = link.get();
-    if (!pick) return connectForQueuedEnds(server);
-    for (Server::Owed& one : server.owed) {
-        if (one.saidOn) continue;
-        pick->wire.say(endOf(one.tag));
-        counts_.endsPaidLate += one.since < net_.now();
-        one.saidOn = pick;
-        one.saidAt = net_.now();
+    const auto isUnsent = [](const Server::QueuedEnd& end) { return !end.sentOn; };
+    if (std::none_of(server.queuedEnds.begin(), server.queuedEnds.end(), isUnsent)) return;
+    Connection* target = nullptr;
+    for (const auto& connection : server.connections)
+        if (connection->transport.isOpen() && !connection->isSuspect &&
+            (!target || connection->transport.lastReceivedAt() > target->transport.lastReceivedAt()))
+            target = connection.get();
+    if (!target) return connectForQueuedEnds(server);
+    for (Server::QueuedEnd& end : server.queuedEnds) {
+        if (end.sentOn) continue;
+        target->transport.send(finishLine(end.tag));
+        counts_.endsSentLate += end.queuedAt < net_.now();
+        end.sentOn = target;
+        end.sentAt = net_.now();
     }
 }
 
-// Opens a connection for what is owed, and again after a pause that doubles while none comes up.
+// Opens a connection for queued ends, with a backoff that doubles while none opens.
 void Servers::connectForQueuedEnds(Server& server) {
     const Micros now = net_.now();
-    const bool connecting = std::any_of(server.links.begin(), server.links.end(),
-                                        [](const auto& link) { return link->isConnecting(); });
-    if (connecting || now < server.payAt) return;
-    server.payPause = std::clamp(2 * server.payPause, limits_.lookAgain, kPayAgainAtMost);
-    server.payAt = now + server.payPause;
-    open(server);
+    const bool isConnecting = std::any_of(server.connections.begin(), server.connections.end(),
+                                          [](const auto& connection) { return connection->isConnecting(); });
+    if (isConnecting || now < server.nextConnectAt) return;
+    server.connectBackoff =
+        std::clamp(2 * server.connectBackoff, limits_.probeDelayAfterRefusal, kMaxConnectBackoff);
+    server.nextConnectAt = now + server.connectBackoff;
+    openConnection(server);
 }
 
 void Servers::setRung(SubId id, int rung) {
-    const auto it = held_.find(id);
-    if (it == held_.end() || !it->second.stands) return;
-    Server* server = find(it->second.at);
+    const auto it = sessions_.find(id);
+    if (it == sessions_.end() || !it->second.isPlaying) return;
+    Server* server = find(it->second.serverId);
     if (!server) return;
     Message rate;
     rate.verb = "RATE";
     rate.tag = it->second.tag;
-    rate.opts["rung"] = std::to_string(rung);
+    rate.options["rung"] = std::to_string(rung);
     sendLine(*server, formatMessage(rate));
 }
 
-void Servers::adopt(SubId id, SfuId at) {
-    Server* server = find(at);
-    const SetupRequest* words = user_.wordsOf(id);
-    if (!server || !words) return;
-    Held& held = held_[id];
-    held.at = at;
-    held.tag = words->tag;
-    held.stands = true;
-    byTag_[held.tag] = id;
-    if (server->standing.empty()) server->heardAt = net_.now();
-    server->standing.insert(id);
+void Servers::adopt(SubId id, SfuId serverId) {
+    Server* server = find(serverId);
+    const SetupRequest* request = handler_.findSetupRequest(id);
+    if (!server || !request) return;
+    Session& session = sessions_[id];
+    session.serverId = serverId;
+    session.tag = request->tag;
+    session.isPlaying = true;
+    byTag_[session.tag] = id;
+    if (server->playing.empty()) server->lastReceivedAt = net_.now();
+    server->playing.insert(id);
 }
 
 void Servers::forget(SubId id) {
-    const auto it = held_.find(id);
-    if (it == held_.end()) return;
-    if (Server* server = find(it->second.at)) server->standing.erase(id);
-    if (it->second.link) it->second.link->out.erase(id);
+    const auto it = sessions_.find(id);
+    if (it == sessions_.end()) return;
+    if (Server* server = find(it->second.serverId)) server->playing.erase(id);
+    if (it->second.connection) it->second.connection->pendingJoins.erase(id);
     byTag_.erase(it->second.tag);
-    held_.erase(it);
+    sessions_.erase(it);
 }
 
-// ================= in =================
+// ================= received messages =================
 
-void Servers::heard(Link& link, const Message& message) {
-    Server& server = *link.server;
-    server.livesAt(net_.now());
+void Servers::onMessage(Connection& connection, const Message& message) {
+    Server& server = *connection.server;
+    server.markAlive(net_.now());
     const auto tagged = byTag_.find(message.tag);
-    const auto it = tagged == byTag_.end() ? held_.end() : held_.find(tagged->second);
+    const auto it = tagged == byTag_.end() ? sessions_.end() : sessions_.find(tagged->second);
     if (message.verb == "FINISH") {
-        Message told;
-        told.verb = "FINISHED";
-        told.tag = message.tag;
-        link.wire.say(formatMessage(told));
-        // It is over there, whoever ended it.
-        std::erase_if(server.owed,
-                      [&](const Server::Owed& one) { return one.saidOn && one.tag == message.tag; });
+        Message reply;
+        reply.verb = "FINISHED";
+        reply.tag = message.tag;
+        connection.transport.send(formatMessage(reply));
+        // It has ended at the server, whoever ended it.
+        std::erase_if(server.queuedEnds,
+                      [&](const Server::QueuedEnd& end) { return end.sentOn && end.tag == message.tag; });
     }
-    // What nobody here waits for at this server: of a set-up given up on, told twice, or never asked for.
-    if (it == held_.end() || it->second.at != server.id || (!it->second.stands && !it->second.sent)) {
+    // Nothing here matches: an abandoned set-up, a duplicate, or a tag never sent to this server.
+    if (it == sessions_.end() || it->second.serverId != server.id ||
+        (!it->second.isPlaying && !it->second.isSent)) {
         ++counts_.unknown;
-        return odd_("about no subscription held there", formatMessage(message));
+        return reportAnomaly_("about no subscription held there", formatMessage(message));
     }
     const SubId id = it->first;
-    Held& held = it->second;
-    if (held.stands) return standingHeard(id, held, message);
-    const Micros took = net_.now() - held.askedAt;
-    // What is said at set-up may come before the answer does: it is the freshest figure there is of this
-    // server.
+    Session& session = it->second;
+    if (session.isPlaying) return onSessionMessage(id, session, message);
+    const Micros took = net_.now() - session.requestedAt;
+    // Notices may overtake the answer; they are kept, as they hold the latest load of this server.
     if (message.verb == "NOTICE") {
-        ++counts_.early;
-        if (held.early.size() < kMostEarly) held.early.push_back(message);
+        ++counts_.earlyNotices;
+        if (session.earlyNotices.size() < kMaxEarlyNotices) session.earlyNotices.push_back(message);
         return;
     }
     if (message.verb == "STARTED") {
-        if (!message.description) {  // spoilt: it has run, and nobody can be told what it came to
-            ended(id, {JoinResult::Reset, false, took, {}, "answer without a description"});
+        if (!message.description) {  // it has run, but there is nothing to pass on to the viewer
+            finishJoin(id, {JoinResult::Reset, false, took, {}, "response without a description"});
             return;
         }
-        const int joinNo = held.joinNo;
-        held.stands = true;
-        held.since = net_.now();
-        held.late.reset();
-        if (held.link) held.link->out.erase(id);
-        held.link = nullptr;
-        server.standing.insert(id);
-        const std::vector<Message> early = std::exchange(held.early, {});
-        user_.answered(id, *message.description);
+        const int joinNo = session.joinNo;
+        session.isPlaying = true;
+        session.playingSince = net_.now();
+        session.timer.reset();
+        if (session.connection) session.connection->pendingJoins.erase(id);
+        session.connection = nullptr;
+        server.playing.insert(id);
+        const std::vector<Message> notices = std::exchange(session.earlyNotices, {});
+        handler_.onAnswer(id, *message.description);
         core_->onJoinOutcome(id, joinNo, {JoinResult::Played, false, took, {}, "played"});
-        for (const Message& note : early) {
-            const auto standing = held_.find(id);
-            if (standing != held_.end()) standingHeard(id, standing->second, note);
+        for (const Message& notice : notices) {
+            const auto current = sessions_.find(id);
+            if (current != sessions_.end()) onSessionMessage(id, current->second, notice);
         }
     } else if (message.verb == "FINISH") {
-        const Meaning meaning = meaningOf(message.cause.value_or(0));
+        const FinishMeaning meaning = meaningOfCause(message.cause.value_or(0));
         if (meaning.end == JoinResult::Error)
-            if (const SetupRequest* words = user_.wordsOf(id))
-                odd_("a media server could not use a set-up",
-                     words->tag + " " + words->room + " " + words->title + " " + words->description);
-        ended(id, {meaning.end, meaning.neverRan, took, parseLoadReport(message), meaning.why});
+            if (const SetupRequest* request = handler_.findSetupRequest(id))
+                reportAnomaly_(
+                    "a media server could not use a set-up",
+                    request->tag + " " + request->room + " " + request->title + " " + request->description);
+        finishJoin(id, {meaning.end, meaning.neverRan, took, parseLoadReport(message), meaning.why});
     }
 }
 
-void Servers::standingHeard(SubId id, Held& held, const Message& message) {
-    const SfuId at = held.at;
+void Servers::onSessionMessage(SubId id, Session& session, const Message& message) {
+    const SfuId serverId = session.serverId;
     if (message.verb == "FINISH") {
         const int cause = message.cause.value_or(0);
-        if (message.text("load")) ++counts_.figures;
-        user_.over(id, endOfStanding(cause), cause, parseLoadReport(message));
+        if (message.textOption("load")) ++counts_.loadReports;
+        handler_.onPlaybackEnded(id, resultOfPlayback(cause), cause, parseLoadReport(message));
         return forget(id);
     }
     if (message.verb != "NOTICE") return;
-    const std::string* note = message.text("note");
-    const auto value = message.number("value");
+    const std::string* note = message.textOption("note");
+    const auto value = message.numberOption("value");
     if (!note || !value) return;
     if (*note == "served") {
-        ++counts_.notes[0];
-        core_->onShareDelivered(id, at, *value);
+        ++counts_.notices[0];
+        core_->onShareDelivered(id, serverId, *value);
     } else if (*note == "at_rung") {
-        ++counts_.notes[1];
+        ++counts_.notices[1];
         core_->onRungInForce(id, static_cast<int>(*value));
     } else if (*note == "link_use") {
-        ++counts_.notes[2];
-        core_->onLoadReport(id, at, *value, std::nullopt);
+        ++counts_.notices[2];
+        core_->onLoadReport(id, serverId, *value, std::nullopt);
     } else if (*note == "rack_use") {
-        ++counts_.notes[3];
-        core_->onLoadReport(id, at, std::nullopt, *value);
+        ++counts_.notices[3];
+        core_->onLoadReport(id, serverId, std::nullopt, *value);
     }
 }
 
-// What stood there before this time; all that is set up later belongs to a newer process.
-void Servers::endAllStanding(Server& server, Micros before) {
-    const std::set<SubId> standing = server.standing;
-    for (const SubId id : standing) {
-        const auto it = held_.find(id);
-        if (it == held_.end() || it->second.since >= before) continue;
-        user_.over(id, JoinResult::Reset, kCut, LoadReport{});
+// Ends all that began to play before `startedBefore`; what began later belongs to a newer process.
+void Servers::endAllPlayback(Server& server, Micros startedBefore) {
+    const std::set<SubId> playing = server.playing;
+    for (const SubId id : playing) {
+        const auto it = sessions_.find(id);
+        if (it == sessions_.end() || it->second.playingSince >= startedBefore) continue;
+        handler_.onPlaybackEnded(id, JoinResult::Reset, kCauseCut, LoadReport{});
         forget(id);
     }
 }
 
-// ================= who is still there =================
+// ================= probes and cleanup =================
 
-// A machine that vanished says nothing, and its open connections stay open. What stood there is over, and
-// viewers must hear of it. So a server that plays for this front and is silent, or to which no connection
-// stands, gets fresh ones, one after another; if none comes up for so long, it is gone. How long a set-up
-// waits for its connection says nothing of that: connections may come up late, and one in many never does.
-void Servers::look(Server& server) {
+// A machine that vanished sends nothing, and its connections stay open; viewers must learn that what it
+// played is over. So a server that plays for this front and is silent, or has no open connection, is probed
+// with new connections, one after another; if none opens within limits_.lostAfter, the server counts as lost.
+// The connect timeout of set-ups is no measure of that: some connections open late, and a few never do.
+void Servers::probe(Server& server) {
     const Micros now = net_.now();
-    if (server.standing.empty() || now < server.lookAt) return;
-    const auto connecting = std::count_if(server.links.begin(), server.links.end(),
-                                          [](const auto& link) { return link->isConnecting(); });
-    if (connecting > limits_.lookWithin / limits_.lookEvery) return;
-    const bool silent = now - server.heardAt > limits_.silent;
-    const bool none = std::none_of(server.links.begin(), server.links.end(),
-                                   [](const auto& link) { return link->wire.isOpen() && !link->doubted; });
-    if (!silent && !none) return;
-    if (silent)
-        for (const auto& link : server.links) link->doubted = true;
-    ++counts_.lookedFor;
-    if (server.lookedSince == 0) server.lookedSince = now;
-    server.lookAt = now + limits_.lookEvery;
-    open(server);
-}
-
-void Servers::tidy() {
-    tidyTimer_.after(kTidyEvery);
+    if (server.playing.empty() || now < server.nextProbeAt) return;
+    const auto connecting = std::count_if(server.connections.begin(), server.connections.end(),
+                                          [](const auto& connection) { return connection->isConnecting(); });
+    if (connecting > limits_.probeConnectTimeout / limits_.probeInterval) return;
+    const bool isSilent = now - server.lastReceivedAt > limits_.silenceTimeout;
+    const bool hasNoConnection = std::none_of(
+        server.connections.begin(), server.connections.end(),
+        [](const auto& connection) { return connection->transport.isOpen() && !connection->isSuspect; });
+    if (!isSilent && !hasNoConnection) return;
+    if (isSilent)
+        for (const auto& connection : server.connections) connection->isSuspect = true;
+    ++counts_.probes;
+    if (server.probingSince == 0) server.probingSince = now;
+    server.nextProbeAt = now + limits_.probeInterval;
+    openConnection(server);
+}
+
+void Servers::cleanUp() {
+    cleanupTimer_.after(kCleanupInterval);
     const Micros now = net_.now();
     std::vector<SfuId> ids;
     for (const auto& [id, server] : servers_) ids.push_back(id);
     for (const SfuId id : ids) {
         Server* server = find(id);
         if (!server) continue;
-        look(*server);
-        std::erase_if(server->owed, [&](const Server::Owed& one) {
-            const bool arrived = one.saidOn && !one.saidOn->doubted && now - one.saidAt > kSettled;
-            const bool late = now - one.since > limits_.owedFor;
-            counts_.endsDropped += late && !arrived;
-            return arrived || late;
+        probe(*server);
+        std::erase_if(server->queuedEnds, [&](const Server::QueuedEnd& end) {
+            const bool isDelivered =
+                end.sentOn && !end.sentOn->isSuspect && now - end.sentAt > kEndDeliveredAfter;
+            const bool isExpired = now - end.queuedAt > limits_.queuedEndTimeout;
+            counts_.endsDropped += isExpired && !isDelivered;
+            return isDelivered || isExpired;
         });
         sendQueuedEnds(*server);
-        std::vector<Link*> idle;
-        std::size_t good = 0;
-        for (const auto& link : server->links) good += link->wire.isOpen() && !link->doubted;
-        for (const auto& link : server->links) {
-            if (!link->out.empty() || !link->wire.isOpen()) continue;
-            const bool unused = now - std::max(link->wire.heardAt(), link->wire.usedAt()) > limits_.idle;
-            // One is kept to a server that plays: it tells of its end, and of what it plays.
-            if ((link->doubted && good > 0) || (unused && (server->standing.empty() || good > 1))) {
-                idle.push_back(link.get());
-                good -= !link->doubted;
+        std::vector<Connection*> idle;
+        std::size_t usable = 0;
+        for (const auto& connection : server->connections)
+            usable += connection->transport.isOpen() && !connection->isSuspect;
+        for (const auto& connection : server->connections) {
+            if (!connection->pendingJoins.empty() || !connection->transport.isOpen()) continue;
+            const bool isUnused =
+                now - std::max(connection->transport.lastReceivedAt(), connection->transport.lastSentAt()) >
+                limits_.idleTimeout;
+            // One is kept open to a server that plays: it carries notices and the end of the playback.
+            if ((connection->isSuspect && usable > 0) ||
+                (isUnused && (server->playing.empty() || usable > 1))) {
+                idle.push_back(connection.get());
+                usable -= !connection->isSuspect;
             }
         }
-        for (Link* link : idle) closeLink(*link);
+        for (Connection* connection : idle) closeConnection(*connection);
     }
 }
 
--- a/src/node/viewers.cpp
+++ b/src/node/viewers.cpp
@@ -8,534 +8,567 @@
 namespace valekeel::node {
 namespace {
 
-constexpr int kNormal = 16, kCut = 41, kBusy = 42, kFailed = 41, kUnusable = 95, kTimedOut = 110;
-constexpr Micros kTidyEvery = 100'000;
-constexpr double kMostHint = 1e10;  // ms
-constexpr int kMostUseless = 4;     // set-ups that can't be used, on one connection
-
-// "home:4;copies:3;top:4": nothing where it can't be read.
-std::optional<std::map<std::string, std::string, std::less<>>> extrasOf(std::string_view all) {
-    std::map<std::string, std::string, std::less<>> out;
-    while (!all.empty()) {
-        const auto end = all.find(';');
-        const std::string_view one = all.substr(0, end);
-        all = end == std::string_view::npos ? std::string_view{} : all.substr(end + 1);
-        const auto colon = one.find(':');
+// Causes of a FINISH, from the protocol.
+constexpr int kCauseNormal = 16, kCauseCut = 41, kCauseBusy = 42, kCauseFailed = 41, kCauseUnusable = 95,
+              kCauseTimedOut = 110;
+constexpr Micros kCleanupInterval = 100'000;
+constexpr double kMaxHintMs = 1e10;
+constexpr int kMaxUnusableSetups = 4;  // per connection; then it is closed
+
+// Parses a list such as "home:4;copies:3;top:4". Returns nothing if a field has no colon.
+std::optional<std::map<std::string, std::string, std::less<>>> parseExtras(std::string_view text) {
+    std::map<std::string, std::string, std::less<>> extras;
+    while (!text.empty()) {
+        const auto end = text.find(';');
+        const std::string_view field = text.substr(0, end);
+        text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
+        const auto colon = field.find(':');
         if (colon == std::string_view::npos) return std::nullopt;
-        out[std::string(one.substr(0, colon))] = one.substr(colon + 1);
+        extras[std::string(field.substr(0, colon))] = field.substr(colon + 1);
     }
-    return out;
+    return extras;
 }
 
-std::optional<int> wholeOf(std::string_view text, int least, int most) {
+std::optional<int> parseInt(std::string_view text, int min, int max) {
     int value = 0;
-    const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (wrong != std::errc{} || end != text.data() + text.size() || value < least || value > most)
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc{} || end != text.data() + text.size() || value < min || value > max)
         return std::nullopt;
     return value;
 }
 
-std::optional<SfuId> serverOf(std::string_view text) {
+std::optional<SfuId> parseServerId(std::string_view text) {
     if (text.size() != 10 || text.substr(0, 2) != "s-") return std::nullopt;
     std::uint32_t id = 0;
-    const auto [end, wrong] = std::from_chars(text.data() + 2, text.data() + 10, id, 16);
-    if (wrong != std::errc{} || end != text.data() + 10) return std::nullopt;
+    const auto [end, error] = std::from_chars(text.data() + 2, text.data() + 10, id, 16);
+    if (error != std::errc{} || end != text.data() + 10) return std::nullopt;
     return SfuId{id};
 }
 
-Message finish(const std::string& tag, int cause) {
-    Message out;
-    out.verb = "FINISH";
-    out.tag = tag;
-    out.cause = cause;
-    return out;
+Message finishMessage(const std::string& tag, int cause) {
+    Message message;
+    message.verb = "FINISH";
+    message.tag = tag;
+    message.cause = cause;
+    return message;
 }
 
-// What a set-up asks for; nothing, and why, where that can't be used.
-struct Request {
-    SubscriptionRequest wish;
-    Micros left = 0;
-    std::optional<SfuId> playsAt;
+struct ParsedSetup {
+    SubscriptionRequest subscription;
+    Micros timeLeft = 0;             // until the client timeout
+    std::optional<SfuId> playingOn;  // handed over: it plays there already
 };
-std::optional<Request> requestOf(const Message& m, const Asked& asked, Micros longest, const char*& why) {
-    Request out;
-    const auto no = [&](const char* what) {
-        why = what;
+// Returns nothing if the set-up is unusable, and then sets `why`. `maxTimeLeft` limits the client timeout.
+std::optional<ParsedSetup> parseSetup(const Message& message, const SetupConstraints& constraints,
+                                      Micros maxTimeLeft, const char*& why) {
+    ParsedSetup setup;
+    const auto reject = [&](const char* reason) {
+        why = reason;
         return std::nullopt;
     };
-    const std::string *room = m.text("class"), *title = m.text("key"), *extras = m.text("extras");
-    if (!room) return no("no class");
-    const auto found = std::find(asked.rooms.begin(), asked.rooms.end(), *room);
-    if (found == asked.rooms.end()) return no("unknown class");
-    out.wish.room = RoomTypeId{static_cast<std::uint32_t>(found - asked.rooms.begin())};
-    if (!title || title->empty()) return no("no title");
-    out.wish.title = TitleId{*title};
-    if (!m.description) return no("no description");
-    if (m.opts.contains("hint")) {
-        const auto hint = m.number("hint");
-        if (!hint || *hint < 0 || *hint > kMostHint) return no("no usable 'hint'");
-        out.wish.watchSeconds = *hint / 1000;
+    const std::string *room = message.textOption("class"), *title = message.textOption("key"),
+                      *extras = message.textOption("extras");
+    if (!room) return reject("no class");
+    const auto found = std::find(constraints.roomNames.begin(), constraints.roomNames.end(), *room);
+    if (found == constraints.roomNames.end()) return reject("unknown class");
+    setup.subscription.room = RoomTypeId{static_cast<std::uint32_t>(found - constraints.roomNames.begin())};
+    if (!title || title->empty()) return reject("no title");
+    setup.subscription.title = TitleId{*title};
+    if (!message.description) return reject("no description");
+    if (message.options.contains("hint")) {
+        const auto hint = message.numberOption("hint");
+        if (!hint || *hint < 0 || *hint > kMaxHintMs) return reject("no usable 'hint'");
+        setup.subscription.watchSeconds = *hint / 1000;
     }
-    if (!extras) return no("no extras");
-    const auto parts = extrasOf(*extras);
-    if (!parts) return no("extras can't be read");
-    const auto figure = [&](const char* name, int least, int most) -> std::optional<int> {
-        const auto it = parts->find(name);
-        return it == parts->end() ? std::nullopt : wholeOf(it->second, least, most);
+    if (!extras) return reject("no extras");
+    const auto fields = parseExtras(*extras);
+    if (!fields) return reject("extras can't be read");
+    const auto integerField = [&](const char* name, int min, int max) -> std::optional<int> {
+        const auto it = fields->find(name);
+        return it == fields->end() ? std::nullopt : parseInt(it->second, min, max);
     };
-    const auto home = figure("home", 0, asked.cells - 1), copies = figure("copies", 1, asked.cells),
-               top = figure("top", 0, 1000);
-    if (!home || !copies || !top) return no("no usable 'home', 'copies' or 'top'");
-    out.wish.firstCell = Cell{static_cast<std::uint32_t>(*home)};
-    out.wish.holders = *copies;
-    out.wish.maxRung = std::min(*top, asked.rungs - 1);
-    if (const auto at = parts->find("at"); at != parts->end()) {
-        out.playsAt = serverOf(at->second);
-        if (!out.playsAt) return no("no usable 'at'");
-        return out;  // nobody waits for it: its 'left' says nothing
+    const auto home = integerField("home", 0, constraints.cellCount - 1),
+               copies = integerField("copies", 1, constraints.cellCount), top = integerField("top", 0, 1000);
+    if (!home || !copies || !top) return reject("no usable 'home', 'copies' or 'top'");
+    setup.subscription.firstCell = Cell{static_cast<std::uint32_t>(*home)};
+    setup.subscription.holders = *copies;
+    setup.subscription.maxRung = std::min(*top, constraints.rungCount - 1);
+    if (const auto server = fields->find("at"); server != fields->end()) {
+        setup.playingOn = parseServerId(server->second);
+        if (!setup.playingOn) return reject("no usable 'at'");
+        return setup;  // nobody waits for an answer, so 'left' means nothing
     }
-    const auto left = m.number("left");
-    if (!left || *left <= 0 || *left * 1000 > static_cast<double>(longest)) return no("no usable 'left'");
-    out.left = static_cast<Micros>(*left * 1000);
-    return out;
+    const auto left = message.numberOption("left");
+    if (!left || *left <= 0 || *left * 1000 > static_cast<double>(maxTimeLeft))
+        return reject("no usable 'left'");
+    setup.timeLeft = static_cast<Micros>(*left * 1000);
+    return setup;
 }
 
 }  // namespace
 
-class Viewers::Conn final : public LineConnectionHandler {
+class Viewers::Connection final : public LineConnectionHandler {
   public:
-    Conn(Viewers& all, std::uint64_t key, std::unique_ptr<net::Stream> stream)
-        : all(all),
+    Connection(Viewers& owner, std::uint64_t key, std::unique_ptr<net::Stream> stream)
+        : owner(owner),
           key(key),
-          since(all.net_.now()),
-          wire(all.net_, std::move(stream),
-               LineConnection::Limits{kLongestLine, all.limits_.unsent, all.limits_.unfinished}, *this,
-               all.lingering_) {}
-    // By which it may be closed for room, the least first.
-    auto brought() const { return std::tuple(played, asked, proven, wire.heardAt()); }
-    bool needed() const { return !open.empty() || standing > 0; }
-    void line(std::string_view bytes) override { all.heard(*this, bytes); }
-    void gone(DisconnectReason how) override {
-        if (how == DisconnectReason::Garbled) ++all.counts_.unreadable;
-        all.connGone(*this);
+          acceptedAt(owner.net_.now()),
+          transport(
+              owner.net_, std::move(stream),
+              LineConnection::Limits{kMaxLineBytes, owner.limits_.maxUnsentBytes, owner.limits_.lineTimeout},
+              *this, owner.lingering_) {}
+    // The least useful connection is closed first when room is needed, of equal ones the longest silent.
+    auto usefulness() const { return std::tuple(hasPlayed, hasSetup, isProven, transport.lastReceivedAt()); }
+    bool isNeeded() const { return !openSetups.empty() || playingCount > 0; }
+    void onLine(std::string_view bytes) override { owner.onLine(*this, bytes); }
+    void onDisconnect(DisconnectReason reason) override {
+        if (reason == DisconnectReason::Malformed) ++owner.counts_.unreadable;
+        owner.onConnectionClosed(*this);
     }
-    Viewers& all;
+    Viewers& owner;
     std::uint64_t key;
-    Micros since;
-    // It has brought something of use; a set-up; one that played.
-    bool proven = false, asked = false, played = false;
-    bool silent = false;   // at the last look
-    bool tooMany = false;  // accepted where there was no room: its set-ups are refused
-    std::set<SubId> open;  // set-ups without an answer
-    int useless = 0;
-    std::size_t standing = 0;  // subscriptions that were set up on it
-    LineConnection wire;
+    Micros acceptedAt;
+    // It has brought a usable message; a set-up; a subscription that played.
+    bool isProven = false, hasSetup = false, hasPlayed = false;
+    bool wasSilent = false;        // at the last cleanup
+    bool isOverflow = false;       // accepted without room: its set-ups are refused
+    std::set<SubId> openSetups;    // without an answer
+    int unusableCount = 0;         // set-ups
+    std::size_t playingCount = 0;  // playing subscriptions that were set up on it
+    LineConnection transport;
 };
 
-struct Viewers::Asking {
-    SetupRequest words;
-    std::uint64_t conn = 0;
-    bool plays = false, leaving = false, gone = false;
-    std::string answer;  // the media server's description, until it has been passed on
-    std::unique_ptr<net::Timer> cut;
+struct Viewers::Subscription {
+    SetupRequest request;
+    std::uint64_t connectionKey = 0;  // of the connection that it was set up on, which may be closed
+    bool isPlaying = false, isLeaving = false, isGone = false;
+    std::string answer;                    // the media server's description, until it is passed on
+    std::unique_ptr<net::Timer> endTimer;  // the viewer left: the media server has until then to confirm
 };
 
-Viewers::Viewers(net::Net& net, const net::Endpoint& where, const ViewerLimits& limits, Asked asked)
+Viewers::Viewers(net::Net& net, const net::Endpoint& listenAddress, const ViewerLimits& limits,
+                 SetupConstraints constraints)
     : net_(net),
-      where_(where),
+      listenAddress_(listenAddress),
       limits_(limits),
-      asked_(std::move(asked)),
-      lingering_(net, {limits.connections, limits.linger, limits.lingerBytes}),
-      buryTimer_(net, [this] { dead_.clear(); }),
-      tidyTimer_(net, [this] { tidy(); }) {}
+      constraints_(std::move(constraints)),
+      lingering_(net, {limits.maxConnections, limits.lingerTimeout, limits.maxLingerBytes}),
+      deletionTimer_(net, [this] { closedConnections_.clear(); }),
+      cleanupTimer_(net, [this] { cleanUp(); }) {}
 Viewers::~Viewers() = default;
 
 void Viewers::listen() {
-    listener_ = net_.listen(where_, *this);
-    at_ = listener_->endpoint();
-    tidyTimer_.after(kTidyEvery);
+    listener_ = net_.listen(listenAddress_, *this);
+    endpoint_ = listener_->endpoint();
+    cleanupTimer_.after(kCleanupInterval);
 }
 
 // ================= connections =================
 
-// Some places are kept for those that come while all others are needed: they are heard, refused and closed.
+// A sixteenth of the connections is reserved for those that arrive while all others are needed: they are
+// read, refused and closed.
 void Viewers::onAccepted(std::unique_ptr<net::Stream> stream) {
     ++counts_.accepted;
-    const std::size_t kept = std::max<std::size_t>(1, limits_.connections / 16);
-    const bool room = makeRoom(limits_.connections - kept, false);
-    const bool bounded = room || makeRoom(limits_.connections, true);
-    const std::uint64_t key = nextConn_++;
-    Conn& conn = *(conns_[key] = std::make_unique<Conn>(*this, key, std::move(stream)));
-    conn.tooMany = !room;
-    // What it has brought already is read before anything ends it: most ask as soon as they are connected.
-    conn.wire.readNow();
-    if (!bounded && !conn.wire.isClosed()) drop(conn);
-}
-
-// A crowd that connects and says nothing, or no more than a test, must not keep out those that ask, nor cut
-// off those that play: the least that it has brought goes first, then the longest silent. One on which
-// something plays is never taken, as its end must be said there. What lies unread on the one to go is read
-// first, as it may be a set-up; it goes if that brought nothing. False where there is none to go.
-bool Viewers::makeRoom(std::size_t limit, bool alsoTooMany) {
-    for (std::size_t looks = conns_.size(); conns_.size() + lingering_.size() >= limit;) {
+    const std::size_t reserved = std::max<std::size_t>(1, limits_.maxConnections / 16);
+    const bool hasRoom = evictUntilBelow(limits_.maxConnections - reserved, false);
+    const bool isWithinLimit = hasRoom || evictUntilBelow(limits_.maxConnections, true);
+    const std::uint64_t key = nextConnectionKey_++;
+    Connection& connection =
+        *(connections_[key] = std::make_unique<Connection>(*this, key, std::move(stream)));
+    connection.isOverflow = !hasRoom;
+    // Most send a request as soon as they are connected: read it before the connection may be closed.
+    connection.transport.readAvailable();
+    if (!isWithinLimit && !connection.transport.isClosed()) closeConnection(connection);
+}
+
+// Closes lingering connections, then the least useful ones, until there are fewer than `limit`. Guards
+// against many silent connections, or ones that only send tests, which keep out requests or displace viewers
+// that play. A connection with an open set-up or a playing subscription is never closed, as the answer or
+// release must go out on it. Unread input may be a set-up, so it is read before the connection is closed.
+// Returns false if none can be closed.
+bool Viewers::evictUntilBelow(std::size_t limit, bool includeOverflow) {
+    for (std::size_t attempts = connections_.size(); connections_.size() + lingering_.size() >= limit;) {
         if (lingering_.size() > 0) {
-            lingering_.freeOldest();
+            lingering_.closeOldest();
             continue;
         }
-        Conn* pick = nullptr;
-        for (const auto& [key, conn] : conns_)
-            if (!conn->needed() && (alsoTooMany || !conn->tooMany) &&
-                (!pick || conn->brought() < pick->brought()))
-                pick = conn.get();
-        if (!pick) return false;
-        const auto before = pick->brought();
-        pick->wire.readNow();
-        if (pick->wire.isClosed()) continue;  // by what it had brought
-        if (pick->needed() || pick->brought() != before) {
-            if (looks-- > 0) continue;
-            return false;  // guards against a crowd that says something at each look
+        Connection* candidate = nullptr;
+        for (const auto& [key, connection] : connections_)
+            if (!connection->isNeeded() && (includeOverflow || !connection->isOverflow) &&
+                (!candidate || connection->usefulness() < candidate->usefulness()))
+                candidate = connection.get();
+        if (!candidate) return false;
+        const auto usefulnessBefore = candidate->usefulness();
+        candidate->transport.readAvailable();
+        if (candidate->transport.isClosed()) continue;  // because of its input
+        if (candidate->isNeeded() || candidate->usefulness() != usefulnessBefore) {
+            if (attempts-- > 0) continue;
+            return false;  // guards against many connections that each send something when read
         }
         ++counts_.evicted;
-        drop(*pick);
+        closeConnection(*candidate);
     }
     return true;
 }
 
-void Viewers::drop(Conn& conn) {
-    conn.wire.close();
-    connGone(conn);
+void Viewers::closeConnection(Connection& connection) {
+    connection.transport.close();
+    onConnectionClosed(connection);
 }
 
-// Whoever hangs up on a set-up has given it up.
-void Viewers::connGone(Conn& conn) {
-    const std::set<SubId> open = std::move(conn.open);
-    conn.open.clear();
-    const auto it = conns_.find(conn.key);
-    if (it == conns_.end()) return;
-    dead_.push_back(std::move(it->second));
-    conns_.erase(it);
-    buryTimer_.soon();
-    for (auto told = unheard_.begin(); told != unheard_.end();) {
-        if (told->second.conn != conn.key) {
-            ++told;
+// A viewer that closes its connection has given up its open set-ups.
+void Viewers::onConnectionClosed(Connection& connection) {
+    const std::set<SubId> openSetups = std::move(connection.openSetups);
+    connection.openSetups.clear();
+    const auto it = connections_.find(connection.key);
+    if (it == connections_.end()) return;
+    closedConnections_.push_back(std::move(it->second));
+    connections_.erase(it);
+    deletionTimer_.soon();
+    for (auto release = unconfirmedReleases_.begin(); release != unconfirmedReleases_.end();) {
+        if (release->second.connectionKey != connection.key) {
+            ++release;
             continue;
         }
-        tellLater(told->second.at, told->first, std::move(told->second.line));
-        told = unheard_.erase(told);
+        queueRelease(release->second.sentAt, release->first, std::move(release->second.line));
+        release = unconfirmedReleases_.erase(release);
     }
-    for (const SubId id : open) {
+    for (const SubId id : openSetups) {
         ++counts_.givenUp;
         core_->unsubscribe(id);
     }
 }
 
-void Viewers::tidy() {
-    tidyTimer_.after(kTidyEvery);
+void Viewers::cleanUp() {
+    cleanupTimer_.after(kCleanupInterval);
     const Micros now = net_.now();
-    std::vector<Conn*> idle;
-    for (const auto& [key, conn] : conns_) {
-        if (!conn->open.empty()) continue;
-        const Micros rest = now - std::max(conn->wire.heardAt(), conn->wire.usedAt());
-        const bool silent = conn->proven ? rest > limits_.idle && conn->standing == 0
-                                         : now - conn->since > limits_.provenWithin;
-        // At the second look that finds it so: a process that had no turn for a while looks before it reads.
-        if (std::exchange(conn->silent, silent) && silent) idle.push_back(conn.get());
+    std::vector<Connection*> idle;
+    for (const auto& [key, connection] : connections_) {
+        if (!connection->openSetups.empty()) continue;
+        const Micros idleTime =
+            now - std::max(connection->transport.lastReceivedAt(), connection->transport.lastSentAt());
+        const bool isSilent = connection->isProven
+                                  ? idleTime > limits_.idleTimeout && connection->playingCount == 0
+                                  : now - connection->acceptedAt > limits_.firstMessageTimeout;
+        // Closed only if two cleanups in a row find it silent: a process that was not scheduled for a while
+        // runs its timers before it reads.
+        if (std::exchange(connection->wasSilent, isSilent) && isSilent) idle.push_back(connection.get());
     }
-    for (Conn* conn : idle) {
-        counts_.silent += !conn->proven;
-        drop(*conn);
+    for (Connection* connection : idle) {
+        counts_.silent += !connection->isProven;
+        closeConnection(*connection);
     }
-    sayWaiting();
-    while (!toTell_.empty() && now - toTell_.front().since > limits_.tellFor) {
-        ++counts_.untold;
-        toTell_.pop_front();
+    sendUndelivered();
+    while (!undeliveredReleases_.empty() &&
+           now - undeliveredReleases_.front().releasedAt > limits_.releaseTimeout) {
+        ++counts_.undelivered;
+        undeliveredReleases_.pop_front();
     }
-    std::erase_if(unheard_, [&](const auto& told) { return now - told.second.at > limits_.heardWithin; });
+    std::erase_if(unconfirmedReleases_, [&](const auto& release) {
+        return now - release.second.sentAt > limits_.confirmationTimeout;
+    });
 }
 
-// ================= in =================
+// ================= received messages =================
 
-void Viewers::heard(Conn& conn, std::string_view line) {
-    ++lines_;
+void Viewers::onLine(Connection& connection, std::string_view line) {
+    ++lineCount_;
     const auto message = parseMessage(line);
     if (!message) {
         ++counts_.unreadable;
-        odd_("a viewer's line can't be read", line.substr(0, 200));
-        return drop(conn);
+        reportAnomaly_("a viewer's line can't be read", line.substr(0, 200));
+        return closeConnection(connection);
     }
-    if (message->verb == "START") return setup(conn, *message);
-    if (message->verb == "FINISH") return ending(conn, *message);
+    if (message->verb == "START") return onSetup(connection, *message);
+    if (message->verb == "FINISH") return onFinishMessage(connection, *message);
     if (message->verb == "ECHO") {
         ++counts_.tests;
-        conn.proven = true;
-        Message passed;
-        passed.verb = "ECHOED";
-        passed.tag = message->tag;
-        passed.cause = 1;
-        conn.wire.say(formatMessage(passed));
+        connection.isProven = true;
+        Message reply;
+        reply.verb = "ECHOED";
+        reply.tag = message->tag;
+        reply.cause = 1;
+        connection.transport.send(formatMessage(reply));
     } else if (message->verb == "FINISHED") {
-        if (const auto told = unheard_.find(message->tag); told != unheard_.end()) unheard_.erase(told);
+        if (const auto release = unconfirmedReleases_.find(message->tag);
+            release != unconfirmedReleases_.end())
+            unconfirmedReleases_.erase(release);
     } else if (message->verb != "PENDING") {
-        return useless(conn, *message, "unknown verb");
+        return rejectUnusable(connection, *message, "unknown verb");
     }
 }
 
-// Refused as unusable. Nothing of it reaches the core, and no media server is asked.
-void Viewers::useless(Conn& conn, const Message& m, const char* why) {
+// Refuses an unusable message, which reaches neither the core nor a media server.
+void Viewers::rejectUnusable(Connection& connection, const Message& message, const char* why) {
     ++counts_.unusable;
-    odd_(why, formatMessage(m));
-    const std::string& tag = m.tag;
-    conn.wire.say(formatMessage(finish(wellFormedTag(tag) ? tag : "", kUnusable)));
-    // Whoever sends the same again as soon as it is turned away must not take up the core.
-    if (++conn.useless >= kMostUseless) drop(conn);
+    reportAnomaly_(why, formatMessage(message));
+    const std::string& tag = message.tag;
+    connection.transport.send(formatMessage(finishMessage(isValidTag(tag) ? tag : "", kCauseUnusable)));
+    // Guards against a peer that resends as soon as it is refused and takes up the processor.
+    if (++connection.unusableCount >= kMaxUnusableSetups) closeConnection(connection);
 }
 
-void Viewers::setup(Conn& conn, const Message& m) {
-    if (!wellFormedTag(m.tag)) return useless(conn, m, "no id");
+void Viewers::onSetup(Connection& connection, const Message& message) {
+    if (!isValidTag(message.tag)) return rejectUnusable(connection, message, "no id");
     const char* why = "";
-    const auto request = requestOf(m, asked_, limits_.longestWait, why);
-    const auto known = byTag_.find(m.tag);
+    const auto setup = parseSetup(message, constraints_, limits_.maxClientTimeout, why);
+    const auto known = byTag_.find(message.tag);
     if (known != byTag_.end()) {
-        if (request && request->playsAt) return;  // handed over, and held already
-        // One id, two set-ups: which of them an answer would be for can't be told, so neither is served. The
-        // first goes on if it came on another connection: nobody ends it by guessing its id.
-        ++counts_.twice;
+        if (setup && setup->playingOn) return;  // handed over again
+        // Two set-ups with one tag: an answer would be ambiguous, so neither is served. The first continues
+        // if it came on another connection, so that nobody can end it by guessing its tag.
+        ++counts_.duplicateTags;
         const SubId id = known->second;
-        if (conn.open.count(id)) {
-            conn.wire.say(formatMessage(finish(m.tag, kUnusable)));
-            conn.open.erase(id);
+        if (connection.openSetups.count(id)) {
+            connection.transport.send(formatMessage(finishMessage(message.tag, kCauseUnusable)));
+            connection.openSetups.erase(id);
             core_->unsubscribe(id);
         }
-        return drop(conn);
+        return closeConnection(connection);
     }
-    if (!request) return useless(conn, m, why);
-    conn.proven = conn.asked = true;
-    SetupRequest words{m.tag, *m.text("class"), *m.text("key"), *m.description};
-    if (request->playsAt) {
+    if (!setup) return rejectUnusable(connection, message, why);
+    connection.isProven = connection.hasSetup = true;
+    SetupRequest setupRequest{message.tag, *message.textOption("class"), *message.textOption("key"),
+                              *message.description};
+    if (setup->playingOn) {
         ++counts_.handedOver;
-        const auto id = servers_->knows(*request->playsAt)
-                            ? core_->adopt(*this, request->wish, *request->playsAt)
+        const auto id = servers_->isKnown(*setup->playingOn)
+                            ? core_->adopt(*this, setup->subscription, *setup->playingOn)
                             : std::nullopt;
-        if (!id) {  // what plays at a server that is gone is over
-            conn.wire.say(formatMessage(finish(m.tag, kCut)));
+        if (!id) {  // playback on a server that no longer exists is over
+            connection.transport.send(formatMessage(finishMessage(message.tag, kCauseCut)));
             return;
         }
-        Asking& asking = asking_[*id];
-        asking.words = std::move(words);
-        asking.conn = conn.key;
-        asking.plays = conn.played = true;
-        ++conn.standing;
-        byTag_[m.tag] = *id;
-        servers_->adopt(*id, *request->playsAt);
+        Subscription& subscription = subscriptions_[*id];
+        subscription.request = std::move(setupRequest);
+        subscription.connectionKey = connection.key;
+        subscription.isPlaying = connection.hasPlayed = true;
+        ++connection.playingCount;
+        byTag_[message.tag] = *id;
+        servers_->adopt(*id, *setup->playingOn);
         return;
     }
     ++counts_.setups;
-    const bool taken = !draining_ && !conn.tooMany && conn.open.size() < limits_.openOnOne;
-    const auto id = taken ? core_->subscribe(*this, request->wish, request->left) : std::nullopt;
+    const bool isAccepted =
+        !isDraining_ && !connection.isOverflow && connection.openSetups.size() < limits_.maxOpenSetups;
+    const auto id = isAccepted ? core_->subscribe(*this, setup->subscription, setup->timeLeft) : std::nullopt;
     if (!id) {
-        conn.wire.say(formatMessage(finish(m.tag, kBusy)));
-        if (conn.tooMany) drop(conn);
+        connection.transport.send(formatMessage(finishMessage(message.tag, kCauseBusy)));
+        if (connection.isOverflow) closeConnection(connection);
         return;
     }
-    Asking& asking = asking_[*id];
-    asking.words = std::move(words);
-    asking.conn = conn.key;
-    byTag_[m.tag] = *id;
-    conn.open.insert(*id);
+    Subscription& subscription = subscriptions_[*id];
+    subscription.request = std::move(setupRequest);
+    subscription.connectionKey = connection.key;
+    byTag_[message.tag] = *id;
+    connection.openSetups.insert(*id);
     core_->start(*id);
 }
 
-void Viewers::ending(Conn& conn, const Message& m) {
-    const auto known = byTag_.find(m.tag);
+void Viewers::onFinishMessage(Connection& connection, const Message& message) {
+    const auto known = byTag_.find(message.tag);
     if (known == byTag_.end()) {
-        Message heard;
-        heard.verb = "FINISHED";
-        heard.tag = m.tag;
-        conn.wire.say(formatMessage(heard));
+        Message reply;
+        reply.verb = "FINISHED";
+        reply.tag = message.tag;
+        connection.transport.send(formatMessage(reply));
         return;
     }
     const SubId id = known->second;
-    Asking& asking = asking_.at(id);
-    if (!asking.plays) {
+    Subscription& subscription = subscriptions_.at(id);
+    if (!subscription.isPlaying) {
         ++counts_.givenUp;
-        if (const auto it = conns_.find(asking.conn); it != conns_.end()) it->second->open.erase(id);
+        if (const auto it = connections_.find(subscription.connectionKey); it != connections_.end())
+            it->second->openSetups.erase(id);
         core_->unsubscribe(id);
         return;
     }
-    if (asking.leaving) return;
-    ++counts_.leftStanding;
-    endThere(id, asking);
+    if (subscription.isLeaving) return;
+    ++counts_.leftPlaying;
+    endPlayback(id, subscription);
 }
 
-// Its seat counts until its media server has ended it, or has had time to.
-void Viewers::endThere(SubId id, Asking& asking) {
-    asking.leaving = true;
-    asking.cut = std::make_unique<net::Timer>(net_, [this, id] { core_->unsubscribe(id); });
-    asking.cut->after(limits_.cutWithin);
-    servers_->cut(id);
+// The viewer has left. The seat stays taken until the media server confirms the end, or endTimeout.
+void Viewers::endPlayback(SubId id, Subscription& subscription) {
+    subscription.isLeaving = true;
+    subscription.endTimer = std::make_unique<net::Timer>(net_, [this, id] { core_->unsubscribe(id); });
+    subscription.endTimer->after(limits_.endTimeout);
+    servers_->endPlayback(id);
 }
 
-// ================= out =================
+// ================= sent messages =================
 
-// On the connection that it was set up on, if that stands. A release may go out on any.
-void Viewers::tell(SubId id, const Message& message, bool release) {
-    const auto it = asking_.find(id);
-    if (it == asking_.end()) return;
+// Sends on the connection that the subscription was set up on, if it is open; a release may use any other.
+void Viewers::sendToViewer(SubId id, const Message& message, bool isRelease) {
+    const auto it = subscriptions_.find(id);
+    if (it == subscriptions_.end()) return;
     const std::string line = formatMessage(message);
-    if (const auto conn = conns_.find(it->second.conn); conn != conns_.end()) {
-        conn->second->open.erase(id);
-        if (release)
-            sayRelease(*conn->second, message.tag, line);
+    if (const auto connection = connections_.find(it->second.connectionKey);
+        connection != connections_.end()) {
+        connection->second->openSetups.erase(id);
+        if (isRelease)
+            sendRelease(*connection->second, message.tag, line);
         else
-            conn->second->wire.say(line);
+            connection->second->transport.send(line);
         return;
     }
-    if (!release) return;
-    tellLater(net_.now(), message.tag, line);
-    sayWaiting();
+    if (!isRelease) return;
+    queueRelease(net_.now(), message.tag, line);
+    sendUndelivered();
 }
 
-void Viewers::sayRelease(Conn& conn, const std::string& tag, const std::string& line) {
-    conn.wire.say(line);
-    if (unheard_.size() < limits_.toTell) unheard_[tag] = {net_.now(), conn.key, line};
+void Viewers::sendRelease(Connection& connection, const std::string& tag, const std::string& line) {
+    connection.transport.send(line);
+    if (unconfirmedReleases_.size() < limits_.maxUndeliveredReleases)
+        unconfirmedReleases_[tag] = {net_.now(), connection.key, line};
 }
 
-void Viewers::tellLater(Micros since, std::string tag, std::string line) {
-    if (toTell_.size() >= limits_.toTell) {  // the oldest has had its chance
-        ++counts_.untold;
-        toTell_.pop_front();
+void Viewers::queueRelease(Micros releasedAt, std::string tag, std::string line) {
+    if (undeliveredReleases_.size() >= limits_.maxUndeliveredReleases) {  // drops the oldest
+        ++counts_.undelivered;
+        undeliveredReleases_.pop_front();
     }
-    toTell_.push_back({since, std::move(tag), std::move(line)});
+    undeliveredReleases_.push_back({releasedAt, std::move(tag), std::move(line)});
 }
 
-// Releases whose own connection is gone: on one that belongs to viewers whose subscriptions play. Another may
-// be anybody's, and what is said there is lost; it is taken only once no better one has come for a while.
-void Viewers::sayWaiting() {
-    if (toTell_.empty()) return;
-    Conn* pick = nullptr;
-    const auto rank = [](const Conn& c) {
-        return std::tuple(c.standing > 0, c.played, c.asked, c.wire.heardAt());
+// Sends the releases whose own connection is closed on a connection of viewers whose subscriptions play. Any
+// other may belong to somebody who ignores them; it is used only if no better one has appeared for
+// anyConnectionAfter.
+void Viewers::sendUndelivered() {
+    if (undeliveredReleases_.empty()) return;
+    Connection* candidate = nullptr;
+    const auto rank = [](const Connection& c) {
+        return std::tuple(c.playingCount > 0, c.hasPlayed, c.hasSetup, c.transport.lastReceivedAt());
     };
-    for (const auto& [key, conn] : conns_)
-        if (conn->proven && (!pick || rank(*conn) > rank(*pick))) pick = conn.get();
-    // Not more than it has room for: else it would be taken for one that does not read, and closed with them.
-    while (pick && !toTell_.empty() && pick->wire.unsent() < limits_.unsent / 2 &&
-           (pick->played || net_.now() - toTell_.front().since > limits_.tellAnyAfter)) {
-        const Untold next = std::move(toTell_.front());
-        toTell_.pop_front();
-        sayRelease(*pick, next.tag, next.line);
+    for (const auto& [key, connection] : connections_)
+        if (connection->isProven && (!candidate || rank(*connection) > rank(*candidate)))
+            candidate = connection.get();
+    // Stops at half of the output limit: beyond the limit the connection would be closed as a slow reader.
+    while (candidate && !undeliveredReleases_.empty() &&
+           candidate->transport.unsentBytes() < limits_.maxUnsentBytes / 2 &&
+           (candidate->hasPlayed ||
+            net_.now() - undeliveredReleases_.front().releasedAt > limits_.anyConnectionAfter)) {
+        const UndeliveredRelease next = std::move(undeliveredReleases_.front());
+        undeliveredReleases_.pop_front();
+        sendRelease(*candidate, next.tag, next.line);
     }
 }
 
 void Viewers::release(SubId id, int cause) {
-    const auto it = asking_.find(id);
-    if (it == asking_.end() || it->second.leaving) return;
+    const auto it = subscriptions_.find(id);
+    if (it == subscriptions_.end() || it->second.isLeaving) return;
     ++counts_.released;
-    tell(id, finish(it->second.words.tag, cause), true);
+    sendToViewer(id, finishMessage(it->second.request.tag, cause), true);
 }
 
 void Viewers::onPlaying(SubId id, SfuId, int) {
-    const auto it = asking_.find(id);
-    if (it == asking_.end()) return;
+    const auto it = subscriptions_.find(id);
+    if (it == subscriptions_.end()) return;
     ++counts_.played;
-    it->second.plays = true;
-    if (const auto conn = conns_.find(it->second.conn); conn != conns_.end()) {
-        ++conn->second->standing;
-        conn->second->played = true;
+    it->second.isPlaying = true;
+    if (const auto connection = connections_.find(it->second.connectionKey);
+        connection != connections_.end()) {
+        ++connection->second->playingCount;
+        connection->second->hasPlayed = true;
     }
     Message answer;
     answer.verb = "STARTED";
-    answer.tag = it->second.words.tag;
+    answer.tag = it->second.request.tag;
     answer.description = std::move(it->second.answer);
     it->second.answer.clear();
-    it->second.words.description.clear();  // no other join will need it
-    it->second.words.description.shrink_to_fit();
-    tell(id, answer, false);
+    it->second.request.description.clear();  // no further join needs it
+    it->second.request.description.shrink_to_fit();
+    sendToViewer(id, answer, false);
 }
 
 void Viewers::onThrottled(SubId id, Micros retryAfter) {
     ++counts_.throttled;
-    const auto it = asking_.find(id);
-    if (it == asking_.end()) return;
-    Message refusal = finish(it->second.words.tag, kBusy);
-    if (retryAfter > 0) refusal.opts["wait"] = std::to_string((retryAfter + 999) / 1000);
-    tell(id, refusal, false);
+    const auto it = subscriptions_.find(id);
+    if (it == subscriptions_.end()) return;
+    Message refusal = finishMessage(it->second.request.tag, kCauseBusy);
+    if (retryAfter > 0) refusal.options["wait"] = std::to_string((retryAfter + 999) / 1000);
+    sendToViewer(id, refusal, false);
 }
 
-void Viewers::onTerminated(SubId id, core::TerminationReason how) {
+void Viewers::onTerminated(SubId id, core::TerminationReason reason) {
     ++counts_.terminated;
-    const auto it = asking_.find(id);
-    if (it != asking_.end())
-        tell(id, finish(it->second.words.tag, how == core::TerminationReason::TimedOut ? kTimedOut : kFailed),
-             false);
+    const auto it = subscriptions_.find(id);
+    if (it != subscriptions_.end())
+        sendToViewer(
+            id,
+            finishMessage(it->second.request.tag,
+                          reason == core::TerminationReason::TimedOut ? kCauseTimedOut : kCauseFailed),
+            false);
 }
 
 void Viewers::onRungChanged(SubId id, int rung) {
     servers_->setRung(id, rung);
 }
 void Viewers::onServerLost(SubId id) {
-    release(id, kCut);
+    release(id, kCauseCut);
 }
 void Viewers::onFinished(SubId id) {
-    release(id, kNormal);
+    release(id, kCauseNormal);
 }
 
 void Viewers::releaseAll() {
-    draining_ = true;
-    for (auto& [id, asking] : asking_) {
-        if (!asking.plays || asking.leaving) continue;
-        release(id, kCut);
-        endThere(id, asking);
+    isDraining_ = true;
+    for (auto& [id, subscription] : subscriptions_) {
+        if (!subscription.isPlaying || subscription.isLeaving) continue;
+        release(id, kCauseCut);
+        endPlayback(id, subscription);
     }
 }
 
-void Viewers::answerAll() {
-    std::vector<SubId> open;
-    for (const auto& [key, conn] : conns_) open.insert(open.end(), conn->open.begin(), conn->open.end());
-    for (const SubId id : open) {
-        tell(id, finish(asking_.at(id).words.tag, kFailed), false);
+void Viewers::failOpenSetups() {
+    std::vector<SubId> unanswered;
+    for (const auto& [key, connection] : connections_)
+        unanswered.insert(unanswered.end(), connection->openSetups.begin(), connection->openSetups.end());
+    for (const SubId id : unanswered) {
+        sendToViewer(id, finishMessage(subscriptions_.at(id).request.tag, kCauseFailed), false);
         core_->unsubscribe(id);
     }
 }
 
 void Viewers::closeAll() {
-    draining_ = true;
+    isDraining_ = true;
     if (listener_) listener_->acceptPending();
     listener_.reset();
-    while (!conns_.empty()) {
-        Conn& conn = *conns_.begin()->second;
-        conn.wire.readNow();
-        if (!conn.wire.isClosed()) drop(conn);
+    while (!connections_.empty()) {
+        Connection& connection = *connections_.begin()->second;
+        connection.transport.readAvailable();
+        if (!connection.transport.isClosed()) closeConnection(connection);
     }
 }
 
-// ================= from media servers =================
+// ================= ServersHandler =================
 
-const SetupRequest* Viewers::wordsOf(SubId id) {
-    const auto it = asking_.find(id);
-    return it == asking_.end() ? nullptr : &it->second.words;
+const SetupRequest* Viewers::findSetupRequest(SubId id) {
+    const auto it = subscriptions_.find(id);
+    return it == subscriptions_.end() ? nullptr : &it->second.request;
 }
-void Viewers::answered(SubId id, const std::string& description) {
-    const auto it = asking_.find(id);
-    if (it != asking_.end()) it->second.answer = description;
+void Viewers::onAnswer(SubId id, const std::string& description) {
+    const auto it = subscriptions_.find(id);
+    if (it != subscriptions_.end()) it->second.answer = description;
 }
-void Viewers::over(SubId id, JoinResult end, int, const LoadReport& load) {
-    const auto it = asking_.find(id);
-    if (it != asking_.end() && it->second.leaving)
-        core_->unsubscribe(id);  // its viewer has left, and is owed no release
+void Viewers::onPlaybackEnded(SubId id, JoinResult end, int, const LoadReport& load) {
+    const auto it = subscriptions_.find(id);
+    if (it != subscriptions_.end() && it->second.isLeaving)
+        core_->unsubscribe(id);  // its viewer has left and gets no release
     else
         core_->onPlaybackEnded(id, end, load);
 }
 
 void Viewers::forget(SubId id) {
-    const auto it = asking_.find(id);
-    if (it == asking_.end()) return;
-    if (const auto conn = conns_.find(it->second.conn); conn != conns_.end()) {
-        conn->second->open.erase(id);
-        if (it->second.plays && conn->second->standing > 0) --conn->second->standing;
+    const auto it = subscriptions_.find(id);
+    if (it == subscriptions_.end()) return;
+    if (const auto connection = connections_.find(it->second.connectionKey);
+        connection != connections_.end()) {
+        connection->second->openSetups.erase(id);
+        if (it->second.isPlaying && connection->second->playingCount > 0) --connection->second->playingCount;
     }
-    byTag_.erase(it->second.words.tag);
-    asking_.erase(it);
+    byTag_.erase(it->second.request.tag);
+    subscriptions_.erase(it);
 }
 
 }  // namespace valekeel::node
--- a/src/node/viewers.hpp
+++ b/src/node/viewers.hpp
@@ -1,5 +1,6 @@
-// The viewers' side of the platform's protocol: set-ups, what ends them, tests in; answers and releases out.
-// What can't be read or used is refused here and never reaches the core. It decides nothing else.
+// The viewers' side of the front node: accepts connections in the platform's protocol, receives set-ups,
+// their ends and test messages, and sends answers and releases. Unreadable or unusable input is refused here
+// and never reaches the core. Makes no other decision.
 #pragma once
 
 #include <deque>
@@ -18,127 +19,134 @@
 namespace valekeel::node {
 
 struct ViewerLimits {
-    std::size_t connections = 340;
-    std::size_t openOnOne = 512;      // set-ups without an answer, on one connection
-    Micros provenWithin = 2'200'000;  // a connection that has brought nothing of use is closed after
-    Micros idle = 6'000'000;          // one on which nothing is open, after
-    Micros unfinished = 2'000'000;    // how long a line may stay unfinished
-    std::size_t unsent = 256 * 1024;  // bytes, on one connection
-    Micros longestWait = 60'000'000;  // a viewer may name
-    Micros tellFor = 8'000'000;       // a release that no connection takes is kept for so long
-    Micros tellAnyAfter = 3'000'000;  // where no connection of viewers that play stands
-    std::size_t toTell = 4'096;       // of them
-    // A release whose connection ends so soon after it, unconfirmed, may be lost with it: it is told again.
-    Micros heardWithin = kSecond;
-    Micros linger = kSecond;  // a connection that was just told something, past its close
-    std::size_t lingerBytes = 256 * 1024;
-    Micros cutWithin = 400'000;  // a media server confirms the end of what its viewer left
+    std::size_t maxConnections = 340;
+    std::size_t maxOpenSetups = 512;             // without an answer, per connection
+    Micros firstMessageTimeout = 2'200'000;      // closes a connection that brought nothing usable
+    Micros idleTimeout = 6'000'000;              // closes a connection without open set-ups or playback
+    Micros lineTimeout = 2'000'000;              // how long a line may stay incomplete
+    std::size_t maxUnsentBytes = 256 * 1024;     // per connection
+    Micros maxClientTimeout = 60'000'000;        // that a viewer may ask for
+    Micros releaseTimeout = 8'000'000;           // an undelivered release is dropped after
+    Micros anyConnectionAfter = 3'000'000;       // and goes out on any usable connection after
+    std::size_t maxUndeliveredReleases = 4'096;  // also of those sent but not confirmed
+    // A release that is not confirmed when its connection ends this soon after it may be lost: it is sent
+    // again.
+    Micros confirmationTimeout = kSecond;
+    Micros lingerTimeout = kSecond;  // see LingeringCloser
+    std::size_t maxLingerBytes = 256 * 1024;
+    Micros endTimeout = 400'000;  // for a media server to confirm the end of what a viewer left
 };
 
+// Totals since the start.
 struct ViewerCounts {
     std::uint64_t accepted = 0, evicted = 0, silent = 0, unreadable = 0, unusable = 0, tests = 0, setups = 0,
                   handedOver = 0, played = 0, throttled = 0, terminated = 0, released = 0, givenUp = 0,
-                  leftStanding = 0, untold = 0, twice = 0;
+                  leftPlaying = 0, undelivered = 0, duplicateTags = 0;
 };
 
-// What a set-up must keep to, as the platform's settings have it.
-struct Asked {
-    std::vector<std::string> rooms;
-    int cells = 1, rungs = 1;
+// The values that a set-up may use, from the platform's settings.
+struct SetupConstraints {
+    std::vector<std::string> roomNames;  // by RoomTypeId
+    int cellCount = 1, rungCount = 1;
 };
 
 class Viewers final : public core::SubscriptionHandler, public ServersHandler, private net::ListenerHandler {
   public:
-    Viewers(net::Net&, const net::Endpoint&, const ViewerLimits&, Asked);
+    Viewers(net::Net&, const net::Endpoint& listenAddress, const ViewerLimits&, SetupConstraints);
     ~Viewers() override;
-    // What was odd, and what of a message shows it; for the log.
-    void onOdd(std::function<void(const char* what, std::string_view detail)> told) {
-        odd_ = std::move(told);
+    // Called with the anomaly and the part of the message that shows it; for the log.
+    void setAnomalyHandler(std::function<void(const char* what, std::string_view detail)> handler) {
+        reportAnomaly_ = std::move(handler);
     }
-    void connect(core::Core& core, Servers& servers) {
+    // Must be called before listen(); both must outlive this object.
+    void attach(core::Core& core, Servers& servers) {
         core_ = &core;
         servers_ = &servers;
     }
+    // Throws std::runtime_error if the address can't be bound.
     void listen();
-    net::Endpoint endpoint() const { return at_; }
-    void forget(SubId);  // the core holds it no more
-    // The steps of this front's end. What plays is released, to its viewer and at its media server, which has
-    // its usual time to confirm; from then on set-ups are refused.
+    net::Endpoint endpoint() const { return endpoint_; }  // after listen(): with the actual port
+    void forget(SubId);                                   // the core no longer holds it
+    // The steps of a planned stop. The first releases all that plays, to its viewer and at its media server,
+    // which has endTimeout to confirm; from then on set-ups are refused.
     void releaseAll();
-    void answerAll();  // the set-ups that are still open: as failed
-    // All connections, by lingering closes, and the listening one; what has come till then is read first.
+    void failOpenSetups();  // answers every open set-up as failed
+    // Closes the listener and all connections, by lingering closes; input that has arrived is read first.
     void closeAll();
-    std::uint64_t arrivals() const { return counts_.accepted + lines_; }
-    std::size_t untold() const { return toTell_.size(); }
-    // All tables that grow with what viewers do; empty again once they have gone.
-    std::size_t remembered() const {
-        return asking_.size() + byTag_.size() + toTell_.size() + unheard_.size() + dead_.size();
+    // Connections accepted and lines received so far.
+    std::uint64_t arrivalCount() const { return counts_.accepted + lineCount_; }
+    std::size_t undeliveredReleaseCount() const { return undeliveredReleases_.size(); }
+    // Entries in all tables that grow with what viewers do; 0 once they have all left.
+    std::size_t tableEntryCount() const {
+        return subscriptions_.size() + byTag_.size() + undeliveredReleases_.size() +
+               unconfirmedReleases_.size() + closedConnections_.size();
     }
-    std::size_t connections() const { return conns_.size(); }
-    std::size_t lingering() const { return lingering_.size(); }
+    std::size_t connectionCount() const { return connections_.size(); }
+    std::size_t lingeringCount() const { return lingering_.size(); }
     const ViewerCounts& counts() const { return counts_; }
 
   private:
-    class Conn;
-    struct Asking;
-    // ---- core::Face ----
+    class Connection;
+    struct Subscription;
+    // ---- core::SubscriptionHandler ----
     void onPlaying(SubId, SfuId, int rung) override;
     void onThrottled(SubId, Micros retryAfter) override;
     void onTerminated(SubId, core::TerminationReason) override;
     void onRungChanged(SubId, int rung) override;
     void onServerLost(SubId) override;
     void onFinished(SubId) override;
-    // ---- ServersUser ----
-    const SetupRequest* wordsOf(SubId) override;
-    void answered(SubId, const std::string& description) override;
-    void over(SubId, JoinResult, int cause, const LoadReport&) override;
+    // ---- ServersHandler ----
+    const SetupRequest* findSetupRequest(SubId) override;
+    void onAnswer(SubId, const std::string& description) override;
+    void onPlaybackEnded(SubId, JoinResult, int cause, const LoadReport&) override;
 
     void onAccepted(std::unique_ptr<net::Stream>) override;
-    void heard(Conn&, std::string_view line);
-    void setup(Conn&, const Message&);
-    void ending(Conn&, const Message&);
-    void endThere(SubId, Asking&);
-    void useless(Conn&, const Message&, const char* why);
-    void connGone(Conn&);
-    void drop(Conn&);
-    void tell(SubId, const Message&, bool release);
+    void onLine(Connection&, std::string_view line);
+    void onSetup(Connection&, const Message&);
+    void onFinishMessage(Connection&, const Message&);
+    void endPlayback(SubId, Subscription&);
+    void rejectUnusable(Connection&, const Message&, const char* why);
+    void onConnectionClosed(Connection&);
+    void closeConnection(Connection&);
+    void sendToViewer(SubId, const Message&, bool isRelease);
     void release(SubId, int cause);
-    void sayWaiting();
-    void sayRelease(Conn&, const std::string& tag, const std::string& line);
-    void tellLater(Micros since, std::string tag, std::string line);
-    bool makeRoom(std::size_t limit, bool alsoTooMany);
-    void tidy();
+    void sendUndelivered();
+    void sendRelease(Connection&, const std::string& tag, const std::string& line);
+    void queueRelease(Micros releasedAt, std::string tag, std::string line);
+    bool evictUntilBelow(std::size_t limit, bool includeOverflow);
+    void cleanUp();
 
     net::Net& net_;
-    net::Endpoint where_, at_;
+    net::Endpoint listenAddress_, endpoint_;
     ViewerLimits limits_;
-    Asked asked_;
-    std::function<void(const char*, std::string_view)> odd_ = [](const char*, std::string_view) {};
+    SetupConstraints constraints_;
+    std::function<void(const char*, std::string_view)> reportAnomaly_ = [](const char*, std::string_view) {};
     core::Core* core_ = nullptr;
     Servers* servers_ = nullptr;
     std::unique_ptr<net::Listener> listener_;
-    LingeringCloser lingering_;  // counted with the connections, and freed before any of them
-    std::map<std::uint64_t, std::unique_ptr<Conn>> conns_;
-    std::uint64_t nextConn_ = 1;
-    std::map<SubId, Asking> asking_;
+    LingeringCloser lingering_;  // counts towards maxConnections; its connections are closed first
+    std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
+    std::uint64_t nextConnectionKey_ = 1;
+    std::map<SubId, Subscription> subscriptions_;
     std::map<std::string, SubId, std::less<>> byTag_;
-    // Releases: that no connection has taken yet; that one has taken a moment ago.
-    struct Untold {
-        Micros since;
+    // A release whose own connection is closed.
+    struct UndeliveredRelease {
+        Micros releasedAt;
         std::string tag, line;
     };
-    std::deque<Untold> toTell_;
-    struct Unheard {
-        Micros at;
-        std::uint64_t conn;
+    std::deque<UndeliveredRelease> undeliveredReleases_;
+    // A release that was just sent; kept until it is confirmed, or confirmationTimeout.
+    struct UnconfirmedRelease {
+        Micros sentAt;
+        std::uint64_t connectionKey;
         std::string line;
     };
-    std::map<std::string, Unheard, std::less<>> unheard_;
-    std::vector<std::unique_ptr<Conn>> dead_;
+    std::map<std::string, UnconfirmedRelease, std::less<>> unconfirmedReleases_;  // by tag
+    std::vector<std::unique_ptr<Connection>> closedConnections_;
     ViewerCounts counts_;
-    std::uint64_t lines_ = 0;
-    bool draining_ = false;
-    net::Timer buryTimer_, tidyTimer_;
+    std::uint64_t lineCount_ = 0;
+    bool isDraining_ = false;
+    net::Timer deletionTimer_, cleanupTimer_;
 };
 
 }  // namespace valekeel::node
