--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -111,12 +111,12 @@
 };
 
 struct Heard final : node::ChangeLogHandler {
-    void changed(const node::ChangeEvent& event) override {
-        numbers.push_back(event.number);
+    void onChange(const node::ChangeEvent& event) override {
+        numbers.push_back(event.sequenceNumber);
         if (onChanged) onChanged(event);
     }
-    void current() override { ++currents; }
-    void unreachable(const std::string& why) override { whys.push_back(why); }
+    void onCurrent() override { ++currents; }
+    void onUnreachable(const std::string& why) override { whys.push_back(why); }
     std::vector<std::uint64_t> numbers;
     std::function<void(const node::ChangeEvent&)> onChanged;
     std::vector<std::string> whys;
@@ -137,7 +137,7 @@
     net::VirtualNode& elsewhere = world.node("other", place(3).ip);
     HandLog log{there, place(2)};
     Heard user;
-    node::ChangeLog follows{front, place(2), 1, node::FrameReader(1, 1, 4096), node::ChangeLogTimes{}, user};
+    node::ChangeLogClient follows{front, place(2), 1, node::FrameReader(1, 1, 4096), node::ChangeLogTimings{}, user};
     void run(Micros time) { world.runUntil(world.now() + time); }
     // How long until it holds, at most so long.
     Micros until(const std::function<bool()>& holds, Micros atMost = 20 * kSecond) {
@@ -155,7 +155,7 @@
 TEST_F(ChangeLogDay, AConnectionThatComesUpLateIsUsed) {
     for (const Micros oneWay : {240'000, 260'000, 290'000, 400'000, 490'000}) {
         Heard heard;
-        node::ChangeLog one(front, place(2), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, heard);
+        node::ChangeLogClient one(front, place(2), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimings{}, heard);
         world.latency = [&](const auto&, const auto&) { return oneWay; };
         log.onAsk = [](HandLog::Link& link, std::uint64_t) { link.say(drain(2)); };
         one.start();
@@ -169,10 +169,10 @@
     other.tells({{2, drain(2)}});
     for (const Micros into : {0, 100, 300, 390, 410, 700}) {
         Heard heard;
-        node::ChangeLog one(front, place(2), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, heard);
+        node::ChangeLogClient one(front, place(2), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimings{}, heard);
         one.start();
         run(into);
-        one.moveTo(other.endpoint());
+        one.switchTo(other.endpoint());
         EXPECT_LE(until([&] { return !heard.numbers.empty(); }), kAfterReload) << into;
         run(3 * kSecond);
         EXPECT_EQ(heard.numbers, std::vector<std::uint64_t>{2}) << into;
@@ -188,7 +188,7 @@
     HandLog other(elsewhere, place(3));
     other.tells({{2, drain(2)}});
     run(700'000);  // refused again and again
-    follows.moveTo(other.endpoint());
+    follows.switchTo(other.endpoint());
     EXPECT_LE(until([&] { return has(2); }), 110'000);
 }
 
@@ -200,10 +200,10 @@
     HandLog other(elsewhere, place(3));
     other.down();
     other.tells({{2, drain(2)}});
-    follows.moveTo(other.endpoint());
+    follows.switchTo(other.endpoint());
     run(200'000);
-    follows.moveTo(place(2));
-    follows.moveTo(other.endpoint());
+    follows.switchTo(place(2));
+    follows.switchTo(other.endpoint());
     run(2'800'000);
     other.up();
     EXPECT_LE(until([&] { return has(2); }), kSecond);
@@ -219,7 +219,7 @@
     follows.start();
     run(1'500'000);
     log.newest().say(drain(2));
-    follows.moveTo(place(3));  // the drain is on its way
+    follows.switchTo(place(3));  // the drain is on its way
     run(500'000);
     EXPECT_TRUE(has(2));
     HandLog other(elsewhere, place(3));
@@ -230,7 +230,7 @@
 TEST_F(ChangeLogDay, AReloadABreakAndADrainInOneMoment) {
     for (const bool breakFirst : {true, false}) {
         Heard heard;
-        node::ChangeLog one(front, place(2), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, heard);
+        node::ChangeLogClient one(front, place(2), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimings{}, heard);
         HandLog other(elsewhere, place(3));
         other.tells({{2, drain(2)}, {3, drain(3)}});
         one.start();
@@ -238,7 +238,7 @@
         log.newest().say(drain(2));
         if (breakFirst) log.breakAll();
         run(200);  // both have arrived, or arrive in this moment
-        one.moveTo(other.endpoint());
+        one.switchTo(other.endpoint());
         if (!breakFirst) log.breakAll();
         EXPECT_LE(until([&] { return heard.numbers.size() == 2; }), kAfterBreak);
         run(3 * kSecond);
@@ -252,7 +252,7 @@
     HandLog other(elsewhere, place(3));
     other.tells({{4, drain(4)}});
     user.onChanged = [&](const node::ChangeEvent& event) {
-        if (event.number == 2) follows.moveTo(other.endpoint());
+        if (event.sequenceNumber == 2) follows.switchTo(other.endpoint());
     };
     log.onAsk = [](HandLog::Link& link, std::uint64_t) { link.say(drain(2) + drain(3)); };
     follows.start();
@@ -263,12 +263,12 @@
 // More lay unread on the connection that is left than is read at once, and nobody answers at the new address.
 TEST_F(ChangeLogDay, WhatLiesUnreadWhenAReloadComesIsTaken) {
     const std::vector<PlatformChangeLog::Box> boxes(4096, {7, place(9)});
-    node::ChangeLogTimes times;
-    times.again = 1;  // the move comes before the rest is read
+    node::ChangeLogTimings timings;
+    timings.reconnectDelay = 1;  // the move comes before the rest is read
     Heard heard;
-    node::ChangeLog one(front, place(2), 1, node::FrameReader(1, 1, 4096), times, heard);
+    node::ChangeLogClient one(front, place(2), 1, node::FrameReader(1, 1, 4096), timings, heard);
     heard.onChanged = [&](const node::ChangeEvent& event) {
-        if (event.number == 2) one.moveTo(place(3));
+        if (event.sequenceNumber == 2) one.switchTo(place(3));
     };
     log.onAsk = [&](HandLog::Link& link, std::uint64_t) {
         link.say(PlatformChangeLog::frame(2, 1, boxes) + PlatformChangeLog::frame(3, 1, boxes) + drain(4));
@@ -283,10 +283,10 @@
 TEST_F(ChangeLogDay, AReloadToTheSameAddressKeepsTheConnection) {
     follows.start();
     run(1'500'000);
-    follows.moveTo(log.endpoint());
+    follows.switchTo(log.endpoint());
     run(2 * kSecond);
     EXPECT_EQ(log.asked.size(), 1u);
-    follows.moveTo(log.endpoint());
+    follows.switchTo(log.endpoint());
     log.beats = false;  // from here on the old process tells nothing, and closes after 1.5 s
     const Micros from = world.now();
     run(1'500'000);
@@ -322,7 +322,7 @@
         log.onAsk = nullptr;
         run(7'300'000);
         log.beats = false;
-        const std::uint64_t next = follows.last() + 1;
+        const std::uint64_t next = follows.lastSequenceNumber() + 1;
         log.newest().say(drain(next).substr(0, 20));
         log.tells({{next, drain(next)}});
         EXPECT_LE(until([&] { return has(next); }), kAfterSilence);
@@ -395,17 +395,17 @@
 }
 
 // All fronts lose the change log in the same moment, and must not all be back in the same one.
-TEST(ChangeLog, FrontsThatLoseItTogetherAskAgainApart) {
+TEST(ChangeLogClient, FrontsThatLoseItTogetherAskAgainApart) {
     net::VirtualWorld world{3};
     net::VirtualNode& there = world.node("log", place(2).ip);
     HandLog log(there, place(2));
     std::vector<std::unique_ptr<Heard>> heard;
-    std::vector<std::unique_ptr<node::ChangeLog>> fronts;
+    std::vector<std::unique_ptr<node::ChangeLogClient>> fronts;
     for (int i = 0; i < 100; ++i) {
         auto& front = world.node("f" + std::to_string(i), place(10 + i).ip);
         heard.push_back(std::make_unique<Heard>());
-        fronts.push_back(std::make_unique<node::ChangeLog>(front, place(2), 1, node::FrameReader(1, 1, 16),
-                                                           node::ChangeLogTimes{}, *heard.back()));
+        fronts.push_back(std::make_unique<node::ChangeLogClient>(front, place(2), 1, node::FrameReader(1, 1, 16),
+                                                           node::ChangeLogTimings{}, *heard.back()));
         fronts.back()->start();
     }
     world.runUntil(world.now() + 1'500'000);
@@ -414,7 +414,7 @@
         HandLog other(there, place(3));
         (reload ? other : log).onAsk = [&](HandLog::Link&, std::uint64_t) { ++byMilli[world.now() / 5'000]; };
         if (reload) {
-            for (const auto& front : fronts) front->moveTo(other.endpoint());
+            for (const auto& front : fronts) front->switchTo(other.endpoint());
         } else {
             log.breakAll();
         }
@@ -485,10 +485,10 @@
     follows.start();
     run(8 * kSecond);
     EXPECT_EQ(user.whys, std::vector<std::string>{"no connection"});
-    follows.moveTo(place(3));  // nor is anybody there: said of each address
+    follows.switchTo(place(3));  // nor is anybody there: said of each address
     run(kSecond);
     EXPECT_EQ(user.whys.size(), 2u);
-    follows.moveTo(place(2));
+    follows.switchTo(place(2));
     run(kSecond);
     log.tells({{2, drain(2)}, {3, drain(3)}});
     log.up();
@@ -497,17 +497,17 @@
 }
 
 // Without a descriptor left it goes on trying, and hears all there was to tell once there is one.
-TEST(ChangeLog, OutOfDescriptorsItTriesAgain) {
+TEST(ChangeLogClient, OutOfDescriptorsItTriesAgain) {
     Loop loop;
     HandLog log(loop.net, Loop::any());
     log.tells({{2, drain(2)}, {3, drain(3)}});
     Heard user;
-    node::ChangeLog follows(loop.net, log.endpoint(), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimes{},
+    node::ChangeLogClient follows(loop.net, log.endpoint(), 1, node::FrameReader(1, 1, 16), node::ChangeLogTimings{},
                             user);
     {  // the same failure with descriptors to spare: a sanitizer needs one where it meets a class first
         Heard heard;
-        node::ChangeLog nobody(loop.net, *net::parseEndpoint("255.255.255.255:9"), 1,
-                               node::FrameReader(1, 1, 16), node::ChangeLogTimes{}, heard);
+        node::ChangeLogClient nobody(loop.net, *net::parseEndpoint("255.255.255.255:9"), 1,
+                               node::FrameReader(1, 1, 16), node::ChangeLogTimings{}, heard);
         nobody.start();
         EXPECT_TRUE(loop.until([&] { return !heard.whys.empty(); }));
     }
@@ -696,15 +696,15 @@
     nowhere["changelog"] = "nowhere";
     noPort["changelog"] = "10.0.0.1:0";
     for (const auto& [text, why] : std::vector<std::pair<std::string, std::string>>{
-             {"", "config.json:1:1: no valid JSON here"},
-             {whole.substr(0, whole.size() / 2), "no valid JSON here"},
-             {whole + "}", "no valid JSON here"},
+             {"", "config.json:1:1: invalid JSON"},
+             {whole.substr(0, whole.size() / 2), "invalid JSON"},
+             {whole + "}", "invalid JSON"},
              {"[]", "config.json: an object is expected"},
              {missing.dump(), "config.json: 'changelog' is missing"},
              {number.dump(), "config.json: 'changelog' is no text"},
-             {nowhere.dump(), "config.json: 'changelog' is 'nowhere', and should be an address and a port"},
+             {nowhere.dump(), "config.json: 'changelog' is 'nowhere'; expected an address and a port"},
              {noPort.dump(),
-              "config.json: 'changelog' is '10.0.0.1:0', and should be an address and a port"}}) {
+              "config.json: 'changelog' is '10.0.0.1:0'; expected an address and a port"}}) {
         front->reloadConfiguration(text);
         run(1'100'000);  // one a second is written
         EXPECT_NE(logged().find(why), std::string::npos) << why;
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -141,7 +141,7 @@
 TEST(Deployments, AReportIsReadByNameWhereverTheNameStands) {
     const auto load = [](const char* told) {
         node::Message m;
-        m.opts["load"] = told;
+        m.options["load"] = told;
         return node::parseLoadReport(m);
     };
     const LoadReport last = load("throughput:9;errors_per_s:0;outstanding:12;utilization:0.4");
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -195,9 +195,9 @@
     }
     void onRungChanged(SubId, int) override {}
     void onServerLost(SubId) override {}
-    const node::SetupRequest* wordsOf(SubId id) override { return &words.at(id); }
-    void answered(SubId, const std::string&) override {}
-    void over(SubId, JoinResult, int, const LoadReport&) override {}
+    const node::SetupRequest* findSetupRequest(SubId id) override { return &words.at(id); }
+    void onAnswer(SubId, const std::string&) override {}
+    void onPlaybackEnded(SubId, JoinResult, int, const LoadReport&) override {}
 };
 
 TEST(NodeServers, OneMayBeCalledOffWhileItsConnectionGoes) {
@@ -213,7 +213,7 @@
                         return setup::makeDecider<core::LogicModule>(host, now, 7, told, "s");
                     });
     user.core = &core;
-    servers.connect(core);
+    servers.setCore(core);
     servers.setAddress(SfuId{0}, day.servers[0]->endpoint());
     SfuEntry one;
     one.standing = ServerState::On;
@@ -242,12 +242,12 @@
 
 struct Words : node::ServersHandler {
     node::SetupRequest words{"", "talk", "t", "offer"};
-    const node::SetupRequest* wordsOf(SubId id) override {
+    const node::SetupRequest* findSetupRequest(SubId id) override {
         words.tag = idOf(static_cast<int>(id.v));
         return &words;
     }
-    void answered(SubId, const std::string&) override {}
-    void over(SubId, JoinResult, int, const LoadReport&) override {}
+    void onAnswer(SubId, const std::string&) override {}
+    void onPlaybackEnded(SubId, JoinResult, int, const LoadReport&) override {}
 };
 
 // Guards against a dead server that fills the memory, and is knocked at by hundreds of fronts all the time.
@@ -257,12 +257,12 @@
     node::ServerLimits limits;
     node::Servers servers(machines.machine(1), limits, user);
     servers.setAddress(SfuId{0}, VirtualMachines::place(0));  // nobody listens there
-    const auto most = static_cast<std::uint32_t>(limits.owed);
+    const auto most = static_cast<std::uint32_t>(limits.maxQueuedEnds);
     for (std::uint32_t n = 1; n <= most + 88; ++n) servers.release(SubId{n}, SfuId{0});
-    EXPECT_EQ(servers.owed(), limits.owed);
+    EXPECT_EQ(servers.queuedEndCount(), limits.maxQueuedEnds);
     EXPECT_EQ(servers.counts().endsDropped, 88u);
-    machines.run(limits.owedFor + kSecond);
-    EXPECT_EQ(servers.owed(), 0u);
+    machines.run(limits.queuedEndTimeout + kSecond);
+    EXPECT_EQ(servers.queuedEndCount(), 0u);
     EXPECT_LE(servers.counts().refused, 22u);  // the pause doubles up to two seconds
     EXPECT_GE(servers.counts().refused, 10u);
 }
@@ -273,9 +273,9 @@
     node::Servers servers(day.machine(21), {}, user);
     servers.setAddress(SfuId{0}, day.servers[0]->endpoint());
     for (std::uint32_t n = 1; n <= 20; ++n) servers.release(SubId{n}, SfuId{0});
-    EXPECT_EQ(servers.owed(), 20u);
+    EXPECT_EQ(servers.queuedEndCount(), 20u);
     day.run(3 * kSecond);
-    EXPECT_EQ(servers.owed(), 0u);
+    EXPECT_EQ(servers.queuedEndCount(), 0u);
     EXPECT_EQ(day.servers[0]->cuts, 20);
 }
 
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -22,7 +22,7 @@
     node::Message m;
     m.verb = "START";
     m.tag = "9b1f03aa5c7e2d41";
-    m.opts = {{"left", "1500"}, {"rung", 2}, {"odd", "1e400"}, {"words", "12x"}};
+    m.options = {{"left", "1500"}, {"rung", 2}, {"odd", "1e400"}, {"words", "12x"}};
     m.cause = 34;
     m.description = "c=IN\r\n\"\\ é";
     const std::string line = node::formatMessage(m);
@@ -30,17 +30,17 @@
     ASSERT_TRUE(back);
     EXPECT_EQ(back->description, m.description);
     EXPECT_EQ(back->cause, 34);
-    EXPECT_EQ(back->number("left"), 1500);
-    EXPECT_EQ(back->number("rung"), 2);
-    for (const char* none : {"odd", "words", "absent"}) EXPECT_FALSE(back->number(none)) << none;
+    EXPECT_EQ(back->numberOption("left"), 1500);
+    EXPECT_EQ(back->numberOption("rung"), 2);
+    for (const char* none : {"odd", "words", "absent"}) EXPECT_FALSE(back->numberOption(none)) << none;
     for (const char* bad :
          {"", "{", "[]", "17", "{}", R"({"verb":7})", R"({"verb":"A","opts":[]})",
           R"({"verb":"A","opts":{"x":{}}})", R"({"verb":"A","rc":"x"})", R"({"verb":"A","rc":-1})",
           R"({"verb":"A","rc":1e99})", R"({"verb":"A","blob":3})", "{\"verb\":\"A\",\"tag\":\"\xff\"}"})
         EXPECT_FALSE(node::parseMessage(bad)) << bad;
-    EXPECT_TRUE(node::wellFormedTag("9b1f03aa5c7e2d41"));
+    EXPECT_TRUE(node::isValidTag("9b1f03aa5c7e2d41"));
     for (const char* bad : {"", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d4g", "9b1f03aa5c7e2d411"})
-        EXPECT_FALSE(node::wellFormedTag(bad)) << bad;
+        EXPECT_FALSE(node::isValidTag(bad)) << bad;
 }
 
 // However the bytes are cut, the frames that come out are those that went in.
@@ -63,7 +63,7 @@
             const std::size_t n = std::min<std::size_t>(1 + chance() % 40, bytes.size() - from);
             ASSERT_TRUE(reader.feed(
                 std::string_view(bytes).substr(from, n),
-                [&](const node::ChangeEvent& e, bool) { got.emplace_back(e.number, e.entries.size()); }));
+                [&](const node::ChangeEvent& e, bool) { got.emplace_back(e.sequenceNumber, e.entries.size()); }));
             from += n;
         }
         EXPECT_EQ(put, got);
@@ -485,7 +485,7 @@
         }
         return "taken";
     };
-    EXPECT_EQ(wrong("{\n \"a\": ,}"), "c.json:2:7: no valid JSON here");
+    EXPECT_EQ(wrong("{\n \"a\": ,}"), "c.json:2:7: invalid JSON");
     Json one = good;
     one["setting"] = one["settings"];
     one.erase("settings");
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -209,7 +209,7 @@
             for (int i = 0; i < 4; ++i) day.viewers->send(VirtualDay::start(77, "unheard"));
         day.run(20'000);
         EXPECT_EQ(day.servers[0]->cuts, 2) << how;
-        EXPECT_EQ(day.front->remembered(), 0u) << how;
+        EXPECT_EQ(day.front->tableEntryCount(), 0u) << how;
     }
     VirtualDay day(1);  // a set-up and the close in one segment: nothing of it is left
     LateReader both(day.machine(13), day.front->endpoint());
@@ -217,7 +217,7 @@
     day.world.step(day.world.now() + kSecond);
     both.stream.reset();
     day.run(kSecond);
-    EXPECT_EQ(day.front->remembered(), 0u);
+    EXPECT_EQ(day.front->tableEntryCount(), 0u);
 }
 
 // A release that went out on a connection which was broken already, unseen, is told on another.
@@ -299,16 +299,16 @@
         if (line) line->close(false);
     day.viewers->close(false);
     day.run(12 * kSecond);
-    EXPECT_EQ(day.front->remembered(), 0u);
-    EXPECT_EQ(day.front->connections(), 0u);
+    EXPECT_EQ(day.front->tableEntryCount(), 0u);
+    EXPECT_EQ(day.front->connectionCount(), 0u);
     for (const auto& s : day.servers) EXPECT_TRUE(s->playing.empty());
 }
 
 // Guards against connects that fail together and are tried again at once: each held two descriptors then.
 TEST(NodeViewers, AConnectGivenUpFreesItsDescriptorAtOnce) {
     struct Nobody final : node::LineConnectionHandler {
-        void line(std::string_view) override {}
-        void gone(node::DisconnectReason) override {}
+        void onLine(std::string_view) override {}
+        void onDisconnect(node::DisconnectReason) override {}
     } nobody;
     net::VirtualWorld world{5};
     net::VirtualNode& here = world.node("here", VirtualMachines::place(0).ip);
