--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -5,45 +5,45 @@
 namespace valekeel::core {
 
 Core::Core(net::Net& net, const std::vector<RoomType>& rooms, const CoreLimits& limits, Micros deliveryWindow,
-           JoinSender& sender, CoreObserver& observer, const ModuleFactory& decide)
+           JoinSender& sender, CoreObserver& observer, const ModuleFactory& makeModule)
     : net_(net),
       rooms_(rooms),
       limits_(limits),
       delivery_(deliveryWindow),
       sender_(sender),
       observer_(observer),
-      reportTimer_(net, [this] { report(); }) {
-    callModule([&] { module_ = decide(*this, net_.now()); });
+      reportTimer_(net, [this] { reportShares(); }) {
+    callModule([&] { module_ = makeModule(*this, net_.now()); });
     reportTimer_.after(delivery_.window());
 }
 
 Core::~Core() = default;
 
-// The module calls back while it is told something. What that sets off outside is done once it has returned:
-// an answer that finds its connection broken must not come back into the module from below.
+// The module calls its Host from within calls to it. The external effects of those are deferred until it has
+// returned: an answer that finds its connection broken must not re-enter the module.
 template <class Call>
 void Core::callModule(Call&& call) {
-    ++telling_;
+    ++moduleCallDepth_;
     call();
-    --telling_;
-    if (telling_ > 0 || draining_) return;
-    draining_ = true;
-    while (!after_.empty()) {
-        const std::function<void()> next = std::move(after_.front());
-        after_.pop_front();
+    --moduleCallDepth_;
+    if (moduleCallDepth_ > 0 || runningDeferred_) return;
+    runningDeferred_ = true;
+    while (!deferred_.empty()) {
+        const std::function<void()> next = std::move(deferred_.front());
+        deferred_.pop_front();
         next();
     }
-    draining_ = false;
+    runningDeferred_ = false;
 }
 
-void Core::after(std::function<void()> what) {
-    after_.push_back(std::move(what));
-    if (telling_ == 0 && !draining_) callModule([] {});
+void Core::defer(std::function<void()> action) {
+    deferred_.push_back(std::move(action));
+    if (moduleCallDepth_ == 0 && !runningDeferred_) callModule([] {});
 }
 
-// ================= from a face =================
+// ================= Called by front ends =================
 
-std::optional<SubId> Core::subscribe(SubscriptionHandler& handler, SubscriptionRequest wish,
+std::optional<SubId> Core::subscribe(SubscriptionHandler& handler, SubscriptionRequest request,
                                      Micros clientTimeout) {
     if (subs_.size() >= limits_.subs) {
         ++counts_.refusedFull;
@@ -51,70 +51,71 @@
     }
     const Micros now = net_.now();
     const SubId id{nextSub_++};
-    Sub& sub = subs_[id];
+    Subscription& sub = subs_[id];
     sub.handler = &handler;
-    wish.deadline = now + clientTimeout - limits_.answerMargin;
-    sub.wish = wish;
-    sub.askedAt = now;
-    sub.guard = std::make_unique<net::Timer>(net_, [this, id] { guard(id); });
-    sub.guard->at(now + clientTimeout - limits_.answerMargin / 2);
+    request.deadline = now + clientTimeout - limits_.answerMargin;
+    sub.request = request;
+    sub.requestedAt = now;
+    sub.guardTimer = std::make_unique<net::Timer>(net_, [this, id] { onGuardTimer(id); });
+    sub.guardTimer->at(now + clientTimeout - limits_.answerMargin / 2);
     ++unanswered_;
     ++counts_.asked;
-    observer_.onRequest(id, wish);
+    observer_.onRequest(id, request);
     return id;
 }
 
-std::optional<SubId> Core::adopt(SubscriptionHandler& handler, const SubscriptionRequest& wish, SfuId at) {
+std::optional<SubId> Core::adopt(SubscriptionHandler& handler, const SubscriptionRequest& request,
+                                 SfuId server) {
     if (subs_.size() >= limits_.subs) return std::nullopt;
     const SubId id{nextSub_++};
-    Sub& sub = subs_[id];
+    Subscription& sub = subs_[id];
     sub.handler = &handler;
-    sub.wish = wish;
+    sub.request = request;
     sub.state = State::Answered;
-    sub.begun = sub.plays = true;
+    sub.started = sub.playing = true;
     sub.joins = 1;
-    sub.at = at;
-    sub.rung = rooms_[wish.room.v].floor;
-    sub.askedAt = sub.playsSince = net_.now();
-    callModule([&] { module_->onAdopted(net_.now(), id, wish, at); });
+    sub.server = server;
+    sub.rung = rooms_[request.room.v].floor;
+    sub.requestedAt = sub.playingSince = net_.now();
+    callModule([&] { module_->onAdopted(net_.now(), id, request, server); });
     return id;
 }
 
 void Core::start(SubId id) {
     const auto it = subs_.find(id);
-    if (it == subs_.end() || it->second.begun) return;
-    it->second.begun = true;
-    const SubscriptionRequest wish = it->second.wish;
-    callModule([&] { module_->onSubscribe(net_.now(), id, wish); });
+    if (it == subs_.end() || it->second.started) return;
+    it->second.started = true;
+    const SubscriptionRequest request = it->second.request;
+    callModule([&] { module_->onSubscribe(net_.now(), id, request); });
 }
 
 void Core::unsubscribe(SubId id) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.left) return;
-    Sub& sub = it->second;
+    Subscription& sub = it->second;
     sub.left = true;
     ++counts_.left;
     const Micros now = net_.now();
-    if (sub.state == State::Asked) {
+    if (sub.state == State::Pending) {
         sub.state = State::Answered;
         --unanswered_;
     }
-    sub.guard.reset();
-    if (sub.plays) {
-        sender_.release(id, sub.at);
+    sub.guardTimer.reset();
+    if (sub.playing) {
+        sender_.release(id, sub.server);
         callModule([&] {
-            module_->onJoinEnded(now, id, sub.joins - 1, sub.at, JoinResult::Played, true,
-                                 now - sub.playsSince, LoadReport{});
+            module_->onJoinEnded(now, id, sub.joins - 1, sub.server, JoinResult::Played, true,
+                                 now - sub.playingSince, LoadReport{});
         });
-        drop(id, "left");
+        close(id, "left");
     } else {
         callModule([&] { module_->onViewerLeft(now, id); });
-        // What a join that is out comes to is still awaited. One that may be repeated is called off. A paid
-        // one that may have left runs to its end, and its place is given back then.
-        if (!sub.joinOut)
-            drop(id, "left");
+        // The outcome of a join in flight is still awaited. A join that may be repeated is cancelled. A paid
+        // one that may already have left runs to its end, and its place is released then.
+        if (!sub.joinInFlight)
+            close(id, "left");
         else
-            after([this, id, joinNo = sub.joins - 1, paid = rooms_[sub.wish.room.v].paid] {
+            defer([this, id, joinNo = sub.joins - 1, paid = rooms_[sub.request.room.v].paid] {
                 paid ? sender_.withdraw(id, joinNo) : sender_.cancel(id, joinNo);
             });
     }
@@ -122,121 +123,122 @@
 
 void Core::onRungFetched(SubId id, int rung) {
     const auto it = subs_.find(id);
-    if (it == subs_.end() || !it->second.plays || it->second.rung != rung) return;
+    if (it == subs_.end() || !it->second.playing || it->second.rung != rung) return;
     callModule([&] { module_->onRungInForce(net_.now(), id, rung); });
 }
 
 void Core::onPlaybackEnded(SubId id, JoinResult end, const LoadReport& load) {
     const auto it = subs_.find(id);
-    if (it == subs_.end() || !it->second.plays) return;
-    Sub& sub = it->second;
+    if (it == subs_.end() || !it->second.playing) return;
+    Subscription& sub = it->second;
     const Micros now = net_.now();
     if (end != JoinResult::Played) ++counts_.broke;
-    sub.plays = false;
+    sub.playing = false;
     SubscriptionHandler* handler = sub.left ? nullptr : sub.handler;
     callModule([&] {
-        module_->onJoinEnded(now, id, sub.joins - 1, sub.at, end, true, now - sub.playsSince, load);
+        module_->onJoinEnded(now, id, sub.joins - 1, sub.server, end, true, now - sub.playingSince, load);
         if (handler)
-            after([handler, id, end] {
+            defer([handler, id, end] {
                 end == JoinResult::Played ? handler->onFinished(id) : handler->onServerLost(id);
             });
     });
-    drop(id, end == JoinResult::Played ? "finished" : "broke");
+    close(id, end == JoinResult::Played ? "finished" : "broke");
 }
 
 void Core::onRungInForce(SubId id, int rung) {
     const auto it = subs_.find(id);
-    if (it != subs_.end() && it->second.plays)
+    if (it != subs_.end() && it->second.playing)
         callModule([&] { module_->onRungInForce(net_.now(), id, rung); });
 }
 
-void Core::onShareDelivered(SubId id, SfuId at, double share) {
-    callModule([&] { module_->onShareDelivered(net_.now(), id, at, share); });
+void Core::onShareDelivered(SubId id, SfuId server, double share) {
+    callModule([&] { module_->onShareDelivered(net_.now(), id, server, share); });
 }
 
-// ================= from what is sent =================
+// ================= Called by the senders of joins and fetches =================
 
 void Core::onJoinOutcome(SubId id, int joinNo, const JoinOutcome& outcome) {
     const auto it = subs_.find(id);
-    if (it == subs_.end() || !it->second.joinOut || joinNo != it->second.joins - 1) return;
-    Sub& sub = it->second;
+    if (it == subs_.end() || !it->second.joinInFlight || joinNo != it->second.joins - 1) return;
+    Subscription& sub = it->second;
     const Micros now = net_.now();
-    sub.joinOut = false;
-    observer_.onJoinEnded(id, joinNo, sub.at, outcome);
+    sub.joinInFlight = false;
+    observer_.onJoinEnded(id, joinNo, sub.server, outcome);
     if (outcome.end == JoinResult::Played) {
-        sub.plays = true;
-        sub.playsSince = now;
-        const SfuId at = sub.at;
+        sub.playing = true;
+        sub.playingSince = now;
+        const SfuId server = sub.server;
         bool wanted = false;
         callModule([&] {
             wanted = !sub.left && answer(id, sub, "plays");
             if (wanted) {
                 ++counts_.played;
-                after([this, id] {
+                defer([this, id] {
                     const auto found = subs_.find(id);
                     if (found != subs_.end() && !found->second.left)
-                        found->second.handler->onPlaying(id, found->second.at, found->second.rung);
+                        found->second.handler->onPlaying(id, found->second.server, found->second.rung);
                 });
             }
-            module_->onPlaying(now, id, joinNo, at, outcome.took);
-            // Nobody waits for it any more: its place is given back at once.
+            module_->onPlaying(now, id, joinNo, server, outcome.took);
+            // Nobody waits for it any more: its place is released at once.
             if (!wanted)
-                module_->onJoinEnded(now, id, joinNo, at, JoinResult::Played, true, outcome.took,
+                module_->onJoinEnded(now, id, joinNo, server, JoinResult::Played, true, outcome.took,
                                      outcome.load);
         });
         if (!wanted) {
-            sender_.release(id, at);
-            drop(id, "left");
+            sender_.release(id, server);
+            close(id, "left");
         } else if (subs_.count(id)) {
-            onLoadReport(id, at, outcome.load.linkUse, outcome.load.uplinkUse);
+            onLoadReport(id, server, outcome.load.linkUse, outcome.load.uplinkUse);
         }
         return;
     }
     const bool over = sub.left || sub.state == State::Answered;
-    // A try that may have run and is given up on leaves nothing behind if that can be helped.
-    if (!outcome.neverRan) sender_.release(id, sub.at);
-    const SfuId at = sub.at;
-    callModule(
-        [&] { module_->onJoinEnded(now, id, joinNo, at, outcome.end, over, outcome.took, outcome.load); });
-    const auto again = subs_.find(id);
-    if (over && again != subs_.end()) drop(id, "left");
+    // A failed join that may have run on the media server must not leave a session behind.
+    if (!outcome.neverRan) sender_.release(id, sub.server);
+    const SfuId server = sub.server;
+    callModule([&] {
+        module_->onJoinEnded(now, id, joinNo, server, outcome.end, over, outcome.took, outcome.load);
+    });
+    const auto found = subs_.find(id);
+    if (over && found != subs_.end()) close(id, "left");
 }
 
-void Core::onLoadReport(SubId id, SfuId at, std::optional<double> link, std::optional<double> uplink) {
+void Core::onLoadReport(SubId id, SfuId server, std::optional<double> link, std::optional<double> uplink) {
     if (!link && !uplink) return;
     const Micros now = net_.now();
     auto& [linkAt, uplinkAt] =
-        figuresAt_.try_emplace(at, -limits_.reportEvery, -limits_.reportEvery).first->second;
-    const bool tellLink = link && now - linkAt >= limits_.reportEvery;
-    const bool tellUplink = uplink && now - uplinkAt >= limits_.reportEvery;
-    if (tellLink) linkAt = now;
-    if (tellUplink) uplinkAt = now;
+        lastLoadReportAt_.try_emplace(server, -limits_.reportEvery, -limits_.reportEvery).first->second;
+    const bool reportLink = link && now - linkAt >= limits_.reportEvery;
+    const bool reportUplink = uplink && now - uplinkAt >= limits_.reportEvery;
+    if (reportLink) linkAt = now;
+    if (reportUplink) uplinkAt = now;
     callModule([&] {
-        if (tellLink) module_->onLinkUse(now, id, at, *link);
-        if (tellUplink) module_->onUplinkUse(now, id, at, *uplink);
+        if (reportLink) module_->onLinkUse(now, id, server, *link);
+        if (reportUplink) module_->onUplinkUse(now, id, server, *uplink);
     });
 }
 
-void Core::report() {
+void Core::reportShares() {
     const Micros now = net_.now();
-    for (const DeliveryMeter::ShareReport& t : delivery_.takeReports(now))
-        callModule([&] { module_->onShareDelivered(now, t.sub, t.at, t.share); });
+    for (const DeliveryMeter::ShareReport& report : delivery_.takeReports(now))
+        callModule([&] { module_->onShareDelivered(now, report.sub, report.server, report.share); });
     reportTimer_.after(delivery_.window());
 }
 
-// ================= from the list =================
+// ================= Called by the follower of the server list =================
 
 void Core::onServerList(std::span<const SfuEntry> all, bool stale) {
-    std::erase_if(figuresAt_, [&](const auto& told) {  // gone without a word of it
+    std::erase_if(lastLoadReportAt_, [&](const auto& reported) {  // removed without a change event
         return std::none_of(all.begin(), all.end(),
-                            [&](const SfuEntry& one) { return one.id == told.first; });
+                            [&](const SfuEntry& entry) { return entry.id == reported.first; });
     });
     callModule([&] { module_->onServerList(net_.now(), all, stale); });
 }
-void Core::onServerListChange(std::span<const SfuEntry> some) {
-    for (const SfuEntry& one : some)
-        if (one.standing == ServerState::Off) figuresAt_.erase(one.id);
-    callModule([&] { module_->onServerListChange(net_.now(), some); });
+void Core::onServerListChange(std::span<const SfuEntry> changed) {
+    for (const SfuEntry& entry : changed)
+        if (entry.standing == ServerState::Off) lastLoadReportAt_.erase(entry.id);
+    callModule([&] { module_->onServerListChange(net_.now(), changed); });
 }
 std::vector<ServerEvidence> Core::serverEvidence() const {
     return module_->serverEvidence(net_.now());
@@ -250,26 +252,27 @@
 
 // ================= Host =================
 
-void Core::join(SubId id, SfuId at, Micros timeOut) {
+void Core::join(SubId id, SfuId server, Micros timeOut) {
     const auto it = subs_.find(id);
-    // One join out, and none after an answer: the module holds to it; this is where it would show.
-    if (it == subs_.end() || it->second.joinOut || it->second.plays) return;
-    Sub& sub = it->second;
-    sub.at = at;
-    sub.joinOut = true;
+    // At most one join in flight, and none while it plays. The module keeps to that; this ignores violations.
+    if (it == subs_.end() || it->second.joinInFlight || it->second.playing) return;
+    Subscription& sub = it->second;
+    sub.server = server;
+    sub.joinInFlight = true;
     sub.joinedAt = net_.now();
     const int joinNo = sub.joins++;
     ++counts_.joins;
-    const Micros until = net_.now() + timeOut;
-    after([this, id, joinNo, at, until] {
+    const Micros joinDeadline = net_.now() + timeOut;
+    defer([this, id, joinNo, server, joinDeadline] {
         const auto found = subs_.find(id);
         if (found == subs_.end()) return;
-        const Sub& s = found->second;
-        // Whoever has gone since, or has been answered, gets nothing set up.
-        if (s.left || s.state == State::Answered)
-            return onJoinOutcome(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "its viewer has gone"});
-        observer_.onJoinSent(id, joinNo, at, s.rung, until - net_.now());
-        sender_.join(id, joinNo, at, s.rung, until - net_.now(), rooms_[s.wish.room.v].paid);
+        const Subscription& current = found->second;
+        // The viewer may have left, or been answered, since the join was decided: then nothing is sent.
+        if (current.left || current.state == State::Answered)
+            return onJoinOutcome(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "the viewer has left"});
+        observer_.onJoinSent(id, joinNo, server, current.rung, joinDeadline - net_.now());
+        sender_.join(id, joinNo, server, current.rung, joinDeadline - net_.now(),
+                     rooms_[current.request.room.v].paid);
     });
 }
 
@@ -277,21 +280,21 @@
     const auto it = subs_.find(id);
     if (it == subs_.end()) return;
     it->second.rung = rung;
-    if (!it->second.plays || it->second.left) return;
-    after([this, id, rung] {
+    if (!it->second.playing || it->second.left) return;
+    defer([this, id, rung] {
         const auto found = subs_.find(id);
-        if (found != subs_.end() && found->second.plays && !found->second.left)
+        if (found != subs_.end() && found->second.playing && !found->second.left)
             found->second.handler->onRungChanged(id, rung);
     });
 }
 
-// The one place through which each answer goes: true for the first, and for the first only.
-bool Core::answer(SubId id, Sub& sub, std::string_view how) {
+// Every answer passes through here. Returns true for the first one of a subscription, false for any other.
+bool Core::answer(SubId id, Subscription& sub, std::string_view how) {
     if (sub.state == State::Answered) return false;
     sub.state = State::Answered;
-    sub.guard.reset();
+    sub.guardTimer.reset();
     --unanswered_;
-    observer_.onAnswer(id, how, net_.now() - sub.askedAt);
+    observer_.onAnswer(id, how, net_.now() - sub.requestedAt);
     return true;
 }
 
@@ -300,9 +303,9 @@
     if (it == subs_.end() || it->second.left || !answer(id, it->second, "throttled")) return;
     ++counts_.throttled;
     SubscriptionHandler* handler = it->second.handler;
-    after([this, handler, id, retryAfter] {
+    defer([this, handler, id, retryAfter] {
         handler->onThrottled(id, retryAfter);
-        drop(id, "throttled");
+        close(id, "throttled");
     });
 }
 
@@ -311,11 +314,12 @@
     if (it == subs_.end() || it->second.left || !answer(id, it->second, "terminated")) return;
     ++counts_.terminated;
     SubscriptionHandler* handler = it->second.handler;
-    const TerminationReason how =
-        net_.now() >= it->second.wish.deadline ? TerminationReason::TimedOut : TerminationReason::SetupFailed;
-    after([this, handler, id, how] {
-        handler->onTerminated(id, how);
-        drop(id, "terminated");
+    const TerminationReason reason = net_.now() >= it->second.request.deadline
+                                         ? TerminationReason::TimedOut
+                                         : TerminationReason::SetupFailed;
+    defer([this, handler, id, reason] {
+        handler->onTerminated(id, reason);
+        close(id, "terminated");
     });
 }
 
@@ -324,43 +328,43 @@
     const auto it = std::prev(wakes_.end());
     it->why = why;
     it->timer = std::make_unique<net::Timer>(net_, [this, it] {
-        spent_ = std::move(*it);  // kept for a while: this very call lies in it
+        firedWake_ = std::move(*it);  // kept alive: this lambda is owned by its timer
         wakes_.erase(it);
-        const std::string why = spent_.why;
-        if (why == "slot") ++slot_;
+        const std::string why = firedWake_.why;
+        if (why == "slot") ++endedSlots_;
         callModule([&] { module_->onWake(net_.now(), why); });
     });
     it->timer->after(wait);
 }
 
 void Core::followList() {
-    after([this] { sender_.followList(); });
+    defer([this] { sender_.followList(); });
 }
-void Core::log(const std::string& words) {
-    observer_.onModuleLog(words);
+void Core::log(const std::string& message) {
+    observer_.onModuleLog(message);
 }
 
-// The module answers in time by itself. Should it ever not, the viewer is still owed an answer.
-void Core::guard(SubId id) {
+// Answers in place of a module that has not answered in time, which a correct module never lets happen.
+void Core::onGuardTimer(SubId id) {
     const auto it = subs_.find(id);
-    if (it == subs_.end() || it->second.state != State::Asked) return;
+    if (it == subs_.end() || it->second.state != State::Pending) return;
     ++counts_.guarded;
     observer_.onGuardTriggered(id);
     SubscriptionHandler* handler = it->second.handler;
     if (!answer(id, it->second, "terminated")) return;
     ++counts_.terminated;
     callModule([&] { module_->onViewerLeft(net_.now(), id); });
-    after([this, handler, id] {
+    defer([this, handler, id] {
         handler->onTerminated(id, TerminationReason::TimedOut);
         const auto found = subs_.find(id);
-        if (found != subs_.end() && !found->second.joinOut) drop(id, "guarded");
+        if (found != subs_.end() && !found->second.joinInFlight) close(id, "guarded");
     });
 }
 
-void Core::drop(SubId id, std::string_view why) {
+void Core::close(SubId id, std::string_view why) {
     const auto it = subs_.find(id);
     if (it == subs_.end()) return;
-    if (it->second.joinOut && it->second.left) return;
+    if (it->second.joinInFlight && it->second.left) return;
     observer_.onClosed(id, why);
     subs_.erase(it);
 }
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -1,6 +1,7 @@
-// The core of a front: the table of subscriptions, the module's Host, the joins that are out, and the promise
-// of exactly one answer before the client timeout. It knows no protocol and opens no socket: faces call it
-// and are called back, boxes send for it. It decides nothing: the module does.
+// The protocol-independent core of a front. Holds the table of subscriptions and the joins in flight, acts as
+// the decision module's Host, and guarantees exactly one answer to each subscription before its client
+// timeout. Front ends call it and are called back through SubscriptionHandler; joins leave through
+// JoinSender. It opens no socket and decides nothing itself: the decision module chooses servers and rungs.
 #pragma once
 
 #include <deque>
@@ -16,132 +17,145 @@
 
 namespace valekeel::core {
 
+// Why a subscription was answered "terminated".
 enum class TerminationReason {
-    SetupFailed,  // its set-up failed, and may have run
-    TimedOut,     // the same, with the client timeout at hand
+    SetupFailed,  // the set-up failed, and may have run on the media server
+    TimedOut,     // the same, and the deadline for the answer has passed
 };
 
-// The protocol side, which owns the viewer's end of subscriptions. Called after the call that caused it has
-// returned.
+// Implemented by the protocol front end that owns the viewer's connection. Called once the decision module
+// has returned, never from within a call to the module.
 class SubscriptionHandler {
   public:
     virtual ~SubscriptionHandler() = default;
-    // The three answers. Exactly one of them for each subscription that is taken, unless the face said
-    // unsubscribe() before.
+    // The three answers. Exactly one of them is called for each accepted subscription, unless the front end
+    // calls unsubscribe() first.
     virtual void onPlaying(SubId, SfuId, int rung) = 0;
-    virtual void onThrottled(SubId, Micros retryAfter) = 0;  // 0: no time is named
+    virtual void onThrottled(SubId, Micros retryAfter) = 0;  // 0: no retry time is given
     virtual void onTerminated(SubId, TerminationReason) = 0;
-    virtual void onRungChanged(SubId, int rung) = 0;  // while it plays
-    virtual void onServerLost(SubId) = 0;             // it played, and its media server lost it
-    virtual void onFinished(SubId) {}                 // it played to its end
+    virtual void onRungChanged(SubId, int rung) = 0;  // while the subscription plays
+    virtual void onServerLost(SubId) = 0;             // playback broke off; the subscription is closed next
+    virtual void onFinished(SubId) {}  // the title played to its end; the subscription is closed next
 };
 
-// How one join ended, as the sender of it found.
+// How one join ended, as its sender observed it.
 struct JoinOutcome {
     JoinResult end = JoinResult::Error;
-    bool neverRan = false;  // proven
-    Micros took = 0;
-    LoadReport load;
-    std::string_view why;
+    bool neverRan = false;  // proven: the media server did not start it
+    Micros took = 0;        // from sending the join to its end
+    LoadReport load;        // as reported in the response
+    std::string_view why;   // for the log; not owned
 };
 
 class Core;
 
-// Who sends joins. Never calls back within join(). What waits there, for a connection or for a peer that does
-// not read, must be held back until it can leave: until then whatever allowed it may cease to hold.
+// Sends joins to media servers and reports each outcome with Core::onJoinOutcome(), never from within join().
+// A join that waits for a connection, or for a peer that does not read, must stay unsent until it can really
+// leave, so that it can still be withdrawn when the reason for it no longer holds.
 class JoinSender {
   public:
     virtual ~JoinSender() = default;
+    // `paid`: the set-up must not run twice.
     virtual void join(SubId, int joinNo, SfuId, int rung, Micros timeOut, bool paid) = 0;
-    virtual void cancel(SubId, int joinNo) = 0;  // its outcome comes all the same
-    // The same, but only where provably nothing of it has left this front; else it runs on.
+    // Aborts the join. Its outcome is still reported.
+    virtual void cancel(SubId, int joinNo) = 0;
+    // Like cancel(), but only if provably no byte of the join has left this front; otherwise it runs on.
     virtual void withdraw(SubId, int joinNo) = 0;
-    // What plays, or may, is to end there: the place is given back.
+    // Ends a session that plays, or may play, on the media server and frees its place there.
     virtual void release(SubId, SfuId) = 0;
+    // Starts, or restarts, following the server list.
     virtual void followList() = 0;
 };
 
-// For the record, at each step of a subscription's way.
+// Notified of each step in the life of a subscription, for logs and metrics.
 class CoreObserver {
   public:
     virtual ~CoreObserver() = default;
     virtual void onRequest(SubId, const SubscriptionRequest&) {}
-    // What decided a join: the score that won, if anything fitted, among so many boxes, in which slot.
-    virtual void onPlacement(SubId, SfuId, const double* /*score*/, int /*among*/, std::uint64_t /*slot*/) {}
+    // A media server was chosen: the winning score (null if none fitted), the number of candidates, and the
+    // number of decision slots that had ended.
+    virtual void onPlacement(SubId, SfuId, const double* /*score*/, int /*candidates*/,
+                             std::uint64_t /*slot*/) {}
     virtual void onJoinSent(SubId, int /*joinNo*/, SfuId, int /*rung*/, Micros /*timeOut*/) {}
     virtual void onJoinEnded(SubId, int /*joinNo*/, SfuId, const JoinOutcome&) {}
     virtual void onAnswer(SubId, std::string_view /*how*/, Micros /*took*/) {}
     virtual void onClosed(SubId, std::string_view /*why*/) {}
-    virtual void onGuardTriggered(SubId) {}  // the core had to answer where the module had not: a bug
+    // The guard timer answered because the module had not: a bug in the module.
+    virtual void onGuardTriggered(SubId) {}
     virtual void onModuleLog(const std::string&) {}
 };
 
 struct CoreLimits {
-    std::size_t subs = 100'000;      // subscriptions held at once; more are not taken
-    Micros answerMargin = 120'000;   // the module is told of a client timeout this much before it is
-    Micros reportEvery = 1'000'000;  // a media server's figures of its load are passed on no more often
+    std::size_t subs = 100'000;      // subscriptions held at once; further ones are rejected
+    Micros answerMargin = 120'000;   // the module's deadline is this much before the client timeout
+    Micros reportEvery = 1'000'000;  // minimum interval between load reports of one server to the module
 };
 
+// Counters since the start.
 struct CoreCounts {
+    // Subscriptions: requested, playing, throttled, terminated, left by the viewer, lost by the media server;
+    // joins decided; answers given by the guard timer; subscriptions rejected at the limit.
     std::uint64_t asked = 0, played = 0, throttled = 0, terminated = 0, left = 0, broke = 0, joins = 0,
                   guarded = 0, refusedFull = 0;
 };
 
 class Core final : public Host {
   public:
-    // `decide` is handed this core as its Host and must not call it before it returns.
+    // Creates the decision module. Receives this core as its Host and must not call it before it returns.
     using ModuleFactory = std::function<std::unique_ptr<DecisionModule>(Host&, Micros now)>;
+    // Network, sender and observer must outlive the core. `deliveryWindow`: see DeliveryMeter.
     Core(net::Net&, const std::vector<RoomType>&, const CoreLimits&, Micros deliveryWindow, JoinSender&,
          CoreObserver&, const ModuleFactory&);
     ~Core() override;
 
-    // ---- from a face ----
-    // Nothing if no more can be held: the face throttles. `clientTimeout` counts from now. The module hears
-    // of it with start(), which may call the handler back before it returns: the handler must know the id by
-    // then.
+    // ---- Called by front ends ----
+    // Registers a subscription. Returns nullopt at the limit; the front end then throttles. `clientTimeout`
+    // counts from now. The module is notified by start(), which may call the handler before it returns, so
+    // the handler must know the id by then.
     std::optional<SubId> subscribe(SubscriptionHandler&, SubscriptionRequest, Micros clientTimeout);
     void start(SubId);
-    void unsubscribe(SubId);              // the viewer is gone; nothing more is said of it
-    void onRungFetched(SubId, int rung);  // the first segment of a rung was asked for
-    void onPlaybackEnded(SubId, JoinResult,
-                         const LoadReport& = {});  // its media server broke, or played it to its end
-    // It plays already, and no answer is owed. Nothing if no more can be held.
+    void unsubscribe(SubId);              // the viewer left; its handler is not called again
+    void onRungFetched(SubId, int rung);  // the first segment of a rung was requested
+    // JoinResult::Played: the title played to its end; any other: playback broke off at the media server.
+    void onPlaybackEnded(SubId, JoinResult, const LoadReport& = {});
+    // Takes over a subscription that already plays on the server and needs no answer. Nullopt at the limit.
     std::optional<SubId> adopt(SubscriptionHandler&, const SubscriptionRequest&, SfuId);
 
-    // ---- from what is sent ----
+    // ---- Called by the senders of joins and fetches ----
     void onJoinOutcome(SubId, int joinNo, const JoinOutcome&);
+    // Link and uplink use: demand over capacity.
     void onLoadReport(SubId, SfuId, std::optional<double> linkUse, std::optional<double> uplinkUse);
     DeliveryMeter& delivery() { return delivery_; }
-    // Where media servers tell of these by themselves.
+    // For media servers that report these themselves. `share`: delivered part of the rung's rate, 0 to 1.
     void onShareDelivered(SubId, SfuId, double share);
     void onRungInForce(SubId, int rung);
 
-    // ---- from the list ----
+    // ---- Called by the follower of the server list ----
     void onServerList(std::span<const SfuEntry>, bool stale);
     void onServerListChange(std::span<const SfuEntry>);
     void onServerListFailure();
-    // What the module has learnt of boxes, and what an earlier life of this front had; after the list has
-    // come.
+    // What the module has learnt about media servers, to be saved; and what an earlier process of this front
+    // saved, to be restored after the server list has arrived.
     std::vector<ServerEvidence> serverEvidence() const;
     void restoreServerEvidence(std::span<const ServerEvidence>);
 
     const CoreCounts& counts() const { return counts_; }
     std::size_t subscriptionCount() const { return subs_.size(); }
-    std::size_t unansweredCount() const { return unanswered_; }
+    std::size_t unansweredCount() const { return unanswered_; }  // still without one of the three answers
 
   private:
-    enum class State { Asked, Answered };
-    struct Sub {
+    enum class State { Pending, Answered };
+    struct Subscription {
         SubscriptionHandler* handler;
-        SubscriptionRequest wish;
-        State state = State::Asked;
-        Micros askedAt = 0;
-        int joins = 0;
-        bool begun = false, joinOut = false, plays = false, left = false;
-        SfuId at;
+        SubscriptionRequest request;
+        State state = State::Pending;
+        Micros requestedAt = 0;
+        int joins = 0;  // sent so far; the last one is number joins - 1
+        bool started = false, joinInFlight = false, playing = false, left = false;
+        SfuId server;  // of the last join
         int rung = 0;
-        Micros playsSince = 0, joinedAt = 0;
-        std::unique_ptr<net::Timer> guard;
+        Micros playingSince = 0, joinedAt = 0;
+        std::unique_ptr<net::Timer> guardTimer;  // set until the answer
     };
 
     // ---- Host ----
@@ -152,17 +166,17 @@
     void wakeAfter(Micros, const std::string& why) override;
     void followList() override;
     void log(const std::string&) override;
-    void recordPlacement(SubId id, SfuId at, const double* score, int among) override {
-        observer_.onPlacement(id, at, score, among, slot_);
+    void recordPlacement(SubId id, SfuId server, const double* score, int candidates) override {
+        observer_.onPlacement(id, server, score, candidates, endedSlots_);
     }
 
     template <class Call>
     void callModule(Call&&);
-    void after(std::function<void()>);
-    bool answer(SubId, Sub&, std::string_view how);
-    void drop(SubId, std::string_view why);
-    void guard(SubId);
-    void report();
+    void defer(std::function<void()>);  // until no call to the module is on the stack
+    bool answer(SubId, Subscription&, std::string_view how);
+    void close(SubId, std::string_view why);
+    void onGuardTimer(SubId);
+    void reportShares();
 
     net::Net& net_;
     std::vector<RoomType> rooms_;
@@ -170,21 +184,21 @@
     DeliveryMeter delivery_;
     JoinSender& sender_;
     CoreObserver& observer_;
-    std::map<SubId, Sub> subs_;
+    std::map<SubId, Subscription> subs_;
     std::uint32_t nextSub_ = 1;
     std::size_t unanswered_ = 0;
     CoreCounts counts_;
-    std::map<SfuId, std::pair<Micros, Micros>> figuresAt_;  // link, uplink
+    std::map<SfuId, std::pair<Micros, Micros>> lastLoadReportAt_;  // link, uplink
     struct Wake {
         std::unique_ptr<net::Timer> timer;
         std::string why;
     };
     std::list<Wake> wakes_;
-    Wake spent_;
-    std::deque<std::function<void()>> after_;
-    int telling_ = 0;
-    std::uint64_t slot_ = 0;  // slots of the module that have ended
-    bool draining_ = false;
+    Wake firedWake_;
+    std::deque<std::function<void()>> deferred_;
+    int moduleCallDepth_ = 0;
+    std::uint64_t endedSlots_ = 0;  // decision slots of the module that have ended
+    bool runningDeferred_ = false;
     net::Timer reportTimer_;
     std::unique_ptr<DecisionModule> module_;
 };
--- a/src/core/decision_module.hpp
+++ b/src/core/decision_module.hpp
@@ -1,5 +1,6 @@
-// Who decides, seen from the core: the accepted module in service, a baseline in the drill, a deliberately
-// broken one in tests. The methods are those of logic.hpp, one for each thing that can happen.
+// Interface of the decision module as the core calls it. Implemented by the production module (LogicModule),
+// by the baselines that the drill compares it with, and by scripted and deliberately broken ones in tests.
+// The methods mirror those of Logic (logic.hpp), one for each kind of event; see there for their meaning.
 #pragma once
 
 #include <memory>
@@ -11,6 +12,8 @@
 
 namespace valekeel::core {
 
+// Notified of events; replies through the Host that its factory was given (Core::ModuleFactory). `now` and
+// all durations are microseconds.
 class DecisionModule {
   public:
     virtual ~DecisionModule() = default;
@@ -25,48 +28,48 @@
     virtual void onViewerLeft(Micros now, SubId) = 0;
     virtual void onShareDelivered(Micros now, SubId, SfuId, double share) = 0;
     virtual void onRungInForce(Micros now, SubId, int rung) = 0;
-    virtual void onLinkUse(Micros now, SubId, SfuId, double askedOverGiven) = 0;
-    virtual void onUplinkUse(Micros now, SubId, SfuId, double askedOverGiven) = 0;
+    virtual void onLinkUse(Micros now, SubId, SfuId, double demandOverCapacity) = 0;
+    virtual void onUplinkUse(Micros now, SubId, SfuId, double demandOverCapacity) = 0;
     virtual void onWake(Micros now, const std::string& why) = 0;
     virtual std::vector<ServerEvidence> serverEvidence(Micros) const { return {}; }
     virtual void restoreServerEvidence(Micros, std::span<const ServerEvidence>) {}
 };
 
-// The module, as it is.
+// The production module: forwards each call to Logic.
 class LogicModule final : public DecisionModule {
   public:
-    template <class... Given>
-    explicit LogicModule(Given&&... given) : logic_(std::forward<Given>(given)...) {}
+    template <class... Args>
+    explicit LogicModule(Args&&... args) : logic_(std::forward<Args>(args)...) {}
     void onServerList(Micros now, std::span<const SfuEntry> all, bool stale) override {
         logic_.onServerList(now, all, stale);
     }
-    void onServerListChange(Micros now, std::span<const SfuEntry> some) override {
-        logic_.onServerListChange(now, some);
+    void onServerListChange(Micros now, std::span<const SfuEntry> changed) override {
+        logic_.onServerListChange(now, changed);
     }
     void onServerListFailure(Micros now) override { logic_.onServerListFailure(now); }
-    void onSubscribe(Micros now, SubId id, const SubscriptionRequest& wish) override {
-        logic_.onSubscribe(now, id, wish);
+    void onSubscribe(Micros now, SubId id, const SubscriptionRequest& request) override {
+        logic_.onSubscribe(now, id, request);
     }
-    void onAdopted(Micros now, SubId id, const SubscriptionRequest& wish, SfuId at) override {
-        logic_.onAdopted(now, id, wish, at);
+    void onAdopted(Micros now, SubId id, const SubscriptionRequest& request, SfuId server) override {
+        logic_.onAdopted(now, id, request, server);
     }
-    void onPlaying(Micros now, SubId id, int joinNo, SfuId at, Micros took) override {
-        logic_.onPlaying(now, id, joinNo, at, took);
+    void onPlaying(Micros now, SubId id, int joinNo, SfuId server, Micros took) override {
+        logic_.onPlaying(now, id, joinNo, server, took);
     }
-    void onJoinEnded(Micros now, SubId id, int joinNo, SfuId at, JoinResult end, bool over, Micros took,
+    void onJoinEnded(Micros now, SubId id, int joinNo, SfuId server, JoinResult end, bool over, Micros took,
                      const LoadReport& load) override {
-        logic_.onJoinEnded(now, id, joinNo, at, end, over, took, load);
+        logic_.onJoinEnded(now, id, joinNo, server, end, over, took, load);
     }
     void onViewerLeft(Micros now, SubId id) override { logic_.onViewerLeft(now, id); }
-    void onShareDelivered(Micros now, SubId id, SfuId at, double share) override {
-        logic_.onShareDelivered(now, id, at, share);
+    void onShareDelivered(Micros now, SubId id, SfuId server, double share) override {
+        logic_.onShareDelivered(now, id, server, share);
     }
     void onRungInForce(Micros now, SubId id, int rung) override { logic_.onRungInForce(now, id, rung); }
-    void onLinkUse(Micros now, SubId id, SfuId at, double use) override {
-        logic_.onLinkUse(now, id, at, use);
+    void onLinkUse(Micros now, SubId id, SfuId server, double use) override {
+        logic_.onLinkUse(now, id, server, use);
     }
-    void onUplinkUse(Micros now, SubId id, SfuId at, double use) override {
-        logic_.onUplinkUse(now, id, at, use);
+    void onUplinkUse(Micros now, SubId id, SfuId server, double use) override {
+        logic_.onUplinkUse(now, id, server, use);
     }
     void onWake(Micros now, const std::string& why) override { logic_.onWake(now, why); }
     std::vector<ServerEvidence> serverEvidence(Micros now) const override {
--- a/src/core/delivery_meter.cpp
+++ b/src/core/delivery_meter.cpp
@@ -4,31 +4,31 @@
 
 namespace valekeel::core {
 namespace {
-constexpr double kShort = 0.98;
+constexpr double kFullShare = 0.98;  // below it, a media server is reported
 }
 
-Micros DeliveryMeter::spent(Micros now, const Open& o) {
-    return now - o.began - o.held - (o.isHeld ? now - o.heldSince : 0);
+Micros DeliveryMeter::timeSpent(Micros now, const OpenFetch& fetch) {
+    return now - fetch.startedAt - fetch.pausedTime - (fetch.isPaused ? now - fetch.pausedSince : 0);
 }
 
-void DeliveryMeter::start(Micros now, FetchId id, SubId sub, SfuId at, Micros playTime,
+void DeliveryMeter::start(Micros now, FetchId id, SubId sub, SfuId server, Micros playTime,
                           std::uint64_t length) {
-    open_[id] = Open{sub, at, now, playTime, 0, 0, length, 0, false};
+    open_[id] = OpenFetch{sub, server, now, playTime, 0, 0, length, 0, false};
 }
 void DeliveryMeter::addBytes(FetchId id, std::uint64_t bytes) {
     if (const auto it = open_.find(id); it != open_.end()) it->second.bytes += bytes;
 }
 void DeliveryMeter::pause(Micros now, FetchId id) {
     const auto it = open_.find(id);
-    if (it == open_.end() || it->second.isHeld) return;
-    it->second.isHeld = true;
-    it->second.heldSince = now;
+    if (it == open_.end() || it->second.isPaused) return;
+    it->second.isPaused = true;
+    it->second.pausedSince = now;
 }
 void DeliveryMeter::resume(Micros now, FetchId id) {
     const auto it = open_.find(id);
-    if (it == open_.end() || !it->second.isHeld) return;
-    it->second.isHeld = false;
-    it->second.held += now - it->second.heldSince;
+    if (it == open_.end() || !it->second.isPaused) return;
+    it->second.isPaused = false;
+    it->second.pausedTime += now - it->second.pausedSince;
 }
 void DeliveryMeter::discard(FetchId id) {
     open_.erase(id);
@@ -37,47 +37,48 @@
 void DeliveryMeter::finish(Micros now, FetchId id) {
     const auto it = open_.find(id);
     if (it == open_.end()) return;
-    const Open& o = it->second;
-    const double play = seconds(o.playTime);
-    AtBox& box = boxes_[o.at];
-    box.sum += play * std::min(1.0, play / std::max(1e-6, seconds(spent(now, o))));
-    box.weight += play;
-    box.lastSub = o.sub;
+    const OpenFetch& fetch = it->second;
+    const double playSeconds = seconds(fetch.playTime);
+    ServerShare& server = servers_[fetch.server];
+    server.sum += playSeconds * std::min(1.0, playSeconds / std::max(1e-6, seconds(timeSpent(now, fetch))));
+    server.weight += playSeconds;
+    server.lastSub = fetch.sub;
     open_.erase(it);
 }
 
 std::vector<DeliveryMeter::ShareReport> DeliveryMeter::takeReports(Micros now) {
-    // What comes too slowly to have ended yet counts by how far it is: a server that gives nothing at all
-    // would otherwise never be told to be short.
-    for (const auto& [id, o] : open_) {
-        const Micros so = spent(now, o);
-        if (so <= o.playTime || o.length == 0) continue;
-        const double play = seconds(o.playTime);
-        AtBox& box = boxes_[o.at];
-        box.sum += play * std::min(1.0, static_cast<double>(o.bytes) / static_cast<double>(o.length) * play /
-                                            seconds(so));
-        box.weight += play;
-        box.lastSub = o.sub;
+    // An overdue segment counts by the bytes that have arrived: a server that delivers nothing at all would
+    // otherwise never be reported.
+    for (const auto& [id, fetch] : open_) {
+        const Micros elapsed = timeSpent(now, fetch);
+        if (elapsed <= fetch.playTime || fetch.length == 0) continue;
+        const double playSeconds = seconds(fetch.playTime);
+        ServerShare& server = servers_[fetch.server];
+        server.sum +=
+            playSeconds * std::min(1.0, static_cast<double>(fetch.bytes) / static_cast<double>(fetch.length) *
+                                            playSeconds / seconds(elapsed));
+        server.weight += playSeconds;
+        server.lastSub = fetch.sub;
     }
-    std::vector<ShareReport> out;
-    for (auto it = boxes_.begin(); it != boxes_.end();) {
-        AtBox& box = it->second;
-        if (box.weight <= 0) {
-            if (!box.wasShort) {
-                it = boxes_.erase(it);  // nothing plays there: nothing is kept of it
+    std::vector<ShareReport> reports;
+    for (auto it = servers_.begin(); it != servers_.end();) {
+        ServerShare& server = it->second;
+        if (server.weight <= 0) {
+            if (!server.wasShort) {
+                it = servers_.erase(it);  // nothing plays there any more
                 continue;
             }
             ++it;
             continue;
         }
-        const double share = box.sum / box.weight;
-        const bool isShort = share < kShort;
-        if (isShort || box.wasShort) out.push_back({box.lastSub, it->first, isShort ? share : 1.0});
-        box.wasShort = isShort;
-        box.sum = box.weight = 0;
+        const double share = server.sum / server.weight;
+        const bool isShort = share < kFullShare;
+        if (isShort || server.wasShort) reports.push_back({server.lastSub, it->first, isShort ? share : 1.0});
+        server.wasShort = isShort;
+        server.sum = server.weight = 0;
         ++it;
     }
-    return out;
+    return reports;
 }
 
 }  // namespace valekeel::core
--- a/src/core/delivery_meter.hpp
+++ b/src/core/delivery_meter.hpp
@@ -1,5 +1,6 @@
-// What was delivered of what the rungs in force ask for: measured segment by segment, told by media server.
-// No I/O, no clock. Time for which the viewer itself took nothing doesn't count against the media server.
+// Measures, segment by segment, which share of the rate of the rungs in force the media servers deliver, and
+// reports it per media server. No I/O, no clock of its own. Time during which the viewer itself reads nothing
+// is not counted against the media server.
 #pragma once
 
 #include <map>
@@ -11,48 +12,49 @@
 
 using FetchId = Id<struct FetchTag, std::uint64_t>;
 
+// Time spent on a segment beyond its play time lowers the share; a segment in time counts as 1.
 class DeliveryMeter {
   public:
-    // `window`: over which shares are averaged, and how often one is told.
+    // `window`: over which shares are averaged; also the interval at which takeReports() is to be called.
     explicit DeliveryMeter(Micros window) : window_(window) {}
 
-    // A segment of so much play time begins to come; it is so many bytes long.
+    // A segment starts to arrive: its play time and its length in bytes, 0 if unknown.
     void start(Micros now, FetchId, SubId, SfuId, Micros playTime, std::uint64_t length);
     void addBytes(FetchId, std::uint64_t bytes);
-    void pause(Micros now, FetchId);  // the viewer takes nothing
+    void pause(Micros now, FetchId);  // the viewer reads nothing
     void resume(Micros now, FetchId);
-    void finish(Micros now, FetchId);  // whole or not
-    void discard(FetchId);             // broken: says nothing of the share
+    void finish(Micros now, FetchId);  // the fetch ended, and counts with its time
+    void discard(FetchId);             // the fetch broke: it says nothing about the share
 
-    // To be asked once a window. Tells, for each media server that is short, its share on one subscription
-    // there; and once more, with 1, when it no longer is.
     struct ShareReport {
-        SubId sub;
-        SfuId at;
-        double share;
+        SubId sub;  // a subscription on that server
+        SfuId server;
+        double share;  // 0 to 1
     };
+    // To be called once per window. Returns one report for each media server whose share is too low, and one
+    // more, with share 1, for each that has recovered.
     std::vector<ShareReport> takeReports(Micros now);
     Micros window() const { return window_; }
-    std::size_t openCount() const { return open_.size(); }
+    std::size_t openCount() const { return open_.size(); }  // segments that are arriving
 
   private:
-    struct Open {
+    struct OpenFetch {
         SubId sub;
-        SfuId at;
-        Micros began = 0, playTime = 0, held = 0, heldSince = 0;
+        SfuId server;
+        Micros startedAt = 0, playTime = 0, pausedTime = 0, pausedSince = 0;
         std::uint64_t length = 0, bytes = 0;
-        bool isHeld = false;
+        bool isPaused = false;
     };
-    struct AtBox {
-        double sum = 0;  // of shares, weighed by play time
+    struct ServerShare {
+        double sum = 0;  // of shares, weighted by play time
         double weight = 0;
         SubId lastSub;
         bool wasShort = false;
     };
-    static Micros spent(Micros now, const Open&);
+    static Micros timeSpent(Micros now, const OpenFetch&);  // without pauses
     Micros window_;
-    std::map<FetchId, Open> open_;
-    std::map<SfuId, AtBox> boxes_;
+    std::map<FetchId, OpenFetch> open_;
+    std::map<SfuId, ServerShare> servers_;
 };
 
 }  // namespace valekeel::core
