--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -13,7 +13,8 @@
     reader.feed(text);
     try {
         const ServerList list = parseServerList("f", text, {"k"}, {});
-        if (parseServerList("f", formatServerList(list, {"k"}), {"k"}, {}).boxes.size() != list.boxes.size())
+        if (parseServerList("f", formatServerList(list, {"k"}), {"k"}, {}).servers.size() !=
+            list.servers.size())
             std::abort();
     } catch (const valekeel::settings::SettingsError&) {
     }
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -15,9 +15,9 @@
 namespace valekeel::admission {
 
 struct ConcurrencyLimitSettings {
-    std::size_t least = 64, most = 1'000;  // each decision looks at all that wait: more cost more each
-    Micros target = 300'000;               // 0: the bound stays at `most`
-    Micros every = 200'000;                // between looks
+    std::size_t minLimit = 64, maxLimit = 1'000;  // each decision looks at all that wait: more cost more each
+    Micros targetWait = 300'000;                  // 0: the bound stays at `most`
+    Micros interval = 200'000;                    // between looks
 };
 
 class ConcurrencyLimit {
--- a/src/admission/path_capacity.cpp
+++ b/src/admission/path_capacity.cpp
@@ -9,12 +9,12 @@
     const Seen seen = way.seen;
     way.seen = {};
     way.begun = now;
-    if (seen.of < terms_.least) {
+    if (seen.of < terms_.minSegments) {
         // Nobody watches there any more, so nothing can be told: a few are let in to see.
         if (way.narrow && now - way.heardAt >= 3 * terms_.window) {
             way.narrow = false;
             way.opening = true;
-            way.perSecond = terms_.openBy;
+            way.perSecond = terms_.initialAdmitsPerSecond;
         }
         return;
     }
@@ -22,26 +22,27 @@
     Seen others = allBefore_;
     others.sum = std::max(0.0, others.sum - seen.sum);
     others.of -= std::min(others.of, seen.of);
-    const bool alone =
-        others.of < terms_.least || others.mean() > seen.mean() + 0.1 || others.mean() >= terms_.enough;
+    const bool alone = others.of < terms_.minSegments || others.mean() > seen.mean() + 0.1 ||
+                       others.mean() >= terms_.sufficientShare;
     const bool lowest = seen.lowest * 4 >= seen.of * 3;
-    const bool starved = seen.mean() < terms_.enough / 2;  // no rung would be low enough, whichever plays now
-    if (((seen.mean() < terms_.enough && lowest) || starved) && alone) {
+    const bool starved =
+        seen.mean() < terms_.sufficientShare / 2;  // no rung would be low enough, whichever plays now
+    if (((seen.mean() < terms_.sufficientShare && lowest) || starved) && alone) {
         way.narrow = true;
         way.opening = false;
-    } else if (way.narrow && seen.mean() >= terms_.enough) {
+    } else if (way.narrow && seen.mean() >= terms_.sufficientShare) {
         way.narrow = false;
         way.opening = true;
-        way.perSecond = terms_.openBy;
+        way.perSecond = terms_.initialAdmitsPerSecond;
         way.tokens = 0;
-    } else if (way.opening && seen.mean() >= terms_.enough) {
+    } else if (way.opening && seen.mean() >= terms_.sufficientShare) {
         way.perSecond *= 2;
         if (way.perSecond > 64) way.opening = false;
     }
 }
 
 void PathCapacity::onDelivered(Micros now, std::uint32_t network, double share, bool lowest) {
-    if (!terms_.on) return;
+    if (!terms_.enabled) return;
     if (now - allBegun_ >= terms_.window) {
         allBefore_ = all_;
         all_ = {};
@@ -62,7 +63,7 @@
 }
 
 bool PathCapacity::mayAdmit(Micros now, std::uint32_t network) {
-    if (!terms_.on) return true;
+    if (!terms_.enabled) return true;
     const auto it = ways_.find(network);
     if (it == ways_.end()) return true;
     Way& way = it->second;
--- a/src/admission/path_capacity.hpp
+++ b/src/admission/path_capacity.hpp
@@ -16,11 +16,12 @@
 namespace valekeel::admission {
 
 struct PathCapacitySettings {
-    double enough = 0.95;       // of what the rung asks for
-    Micros window = 2'000'000;  // over which shares are averaged
-    std::size_t least = 4;      // segments in a window that say something
-    double openBy = 1;          // let in a second, first, once it is wide enough again; doubles a window
-    bool on = true;
+    double sufficientShare = 0.95;  // of what the rung asks for
+    Micros window = 2'000'000;      // over which shares are averaged
+    std::size_t minSegments = 4;    // segments in a window that say something
+    double initialAdmitsPerSecond =
+        1;  // let in a second, first, once it is wide enough again; doubles a window
+    bool enabled = true;
 };
 
 class PathCapacity {
--- a/src/admission/retry_limiter.cpp
+++ b/src/admission/retry_limiter.cpp
@@ -30,10 +30,10 @@
 
 bool RetryLimiter::mayAttempt(Micros now) {
     look(now);
-    const double rate = std::max(terms_.least, terms_.asksForEach * placedRate_);
+    const double rate = std::max(terms_.minAttemptsPerSecond, terms_.attemptsPerPlacement * placedRate_);
     tokens_ = std::min(rate, tokens_ + rate * seconds(now - filledAt_));  // a second's worth at most
     filledAt_ = now;
-    if (terms_.most <= 0 || !crowded_) return true;
+    if (terms_.maxRetryAfter <= 0 || !crowded_) return true;
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
@@ -41,14 +41,14 @@
 
 Micros RetryLimiter::retryAfter(Micros now, Micros least) {
     look(now);
-    if (terms_.most <= 0) return least;
-    const double rate = std::max(1.0, placedRate_ * terms_.over);
+    if (terms_.maxRetryAfter <= 0) return least;
+    const double rate = std::max(1.0, placedRate_ * terms_.retriesPerPlacement);
     const Micros apart = static_cast<Micros>(1e6 / rate);
     // The first is told `least`; each later one comes behind those who were told before.
     nextSlot_ = std::max(nextSlot_ + apart, now + least);
-    const Micros latest = now + std::max(least, terms_.most);
+    const Micros latest = now + std::max(least, terms_.maxRetryAfter);
     // Beyond the longest wait the row begins anew, over the last half of it: not all at its very end.
-    if (nextSlot_ > latest) nextSlot_ = now + std::max(least, terms_.most / 2);
+    if (nextSlot_ > latest) nextSlot_ = now + std::max(least, terms_.maxRetryAfter / 2);
     return nextSlot_ - now;
 }
 
--- a/src/admission/retry_limiter.hpp
+++ b/src/admission/retry_limiter.hpp
@@ -15,11 +15,13 @@
 namespace valekeel::admission {
 
 struct RetryLimiterSettings {
-    Micros most = 30'000'000;  // nobody is told to wait longer; 0: everybody is told what the module says
-    double over = 1.5;         // so many are told to come for each place that comes free
-    double asksForEach = 4;  // asks put to the module for each that it places, while it throttles nearly all
-    double least = 20;       // and never fewer than so many a second
-    Micros window = 2'000'000;  // over which rates are found
+    Micros maxRetryAfter =
+        30'000'000;  // nobody is told to wait longer; 0: everybody is told what the module says
+    double retriesPerPlacement = 1.5;  // so many are told to come for each place that comes free
+    double attemptsPerPlacement =
+        4;  // asks put to the module for each that it places, while it throttles nearly all
+    double minAttemptsPerSecond = 20;  // and never fewer than so many a second
+    Micros window = 2'000'000;         // over which rates are found
 };
 
 class RetryLimiter {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -117,8 +117,8 @@
         discovery::ServerListEntry line;
         line.sfu.id = SfuId{static_cast<std::uint32_t>(id)};
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
-        line.at = box.endpoint();
-        told.boxes.push_back(line);
+        line.endpoint = box.endpoint();
+        told.servers.push_back(line);
         std::cerr << "valekeel: box " << id << " on " << net::toString(box.endpoint()) << "\n";
     }
     discovery::saveServerList(listFile, told, machines.kinds);
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -45,8 +45,8 @@
 
 std::optional<SubId> Core::subscribe(SubscriptionHandler& handler, SubscriptionRequest request,
                                      Micros clientTimeout) {
-    if (subs_.size() >= limits_.subs) {
-        ++counts_.refusedFull;
+    if (subs_.size() >= limits_.subscriptions) {
+        ++counts_.rejectedAtLimit;
         return std::nullopt;
     }
     const Micros now = net_.now();
@@ -59,14 +59,14 @@
     sub.guardTimer = std::make_unique<net::Timer>(net_, [this, id] { onGuardTimer(id); });
     sub.guardTimer->at(now + clientTimeout - limits_.answerMargin / 2);
     ++unanswered_;
-    ++counts_.asked;
+    ++counts_.requested;
     observer_.onRequest(id, request);
     return id;
 }
 
 std::optional<SubId> Core::adopt(SubscriptionHandler& handler, const SubscriptionRequest& request,
                                  SfuId server) {
-    if (subs_.size() >= limits_.subs) return std::nullopt;
+    if (subs_.size() >= limits_.subscriptions) return std::nullopt;
     const SubId id{nextSub_++};
     Subscription& sub = subs_[id];
     sub.handler = &handler;
@@ -132,7 +132,7 @@
     if (it == subs_.end() || !it->second.playing) return;
     Subscription& sub = it->second;
     const Micros now = net_.now();
-    if (end != JoinResult::Played) ++counts_.broke;
+    if (end != JoinResult::Played) ++counts_.lost;
     sub.playing = false;
     SubscriptionHandler* handler = sub.left ? nullptr : sub.handler;
     callModule([&] {
@@ -164,7 +164,7 @@
     const Micros now = net_.now();
     sub.joinInFlight = false;
     observer_.onJoinEnded(id, joinNo, sub.server, outcome);
-    if (outcome.end == JoinResult::Played) {
+    if (outcome.result == JoinResult::Played) {
         sub.playing = true;
         sub.playingSince = now;
         const SfuId server = sub.server;
@@ -198,7 +198,7 @@
     if (!outcome.neverRan) sender_.release(id, sub.server);
     const SfuId server = sub.server;
     callModule([&] {
-        module_->onJoinEnded(now, id, joinNo, server, outcome.end, over, outcome.took, outcome.load);
+        module_->onJoinEnded(now, id, joinNo, server, outcome.result, over, outcome.took, outcome.load);
     });
     const auto found = subs_.find(id);
     if (over && found != subs_.end()) close(id, "left");
@@ -208,9 +208,9 @@
     if (!link && !uplink) return;
     const Micros now = net_.now();
     auto& [linkAt, uplinkAt] =
-        lastLoadReportAt_.try_emplace(server, -limits_.reportEvery, -limits_.reportEvery).first->second;
-    const bool reportLink = link && now - linkAt >= limits_.reportEvery;
-    const bool reportUplink = uplink && now - uplinkAt >= limits_.reportEvery;
+        lastLoadReportAt_.try_emplace(server, -limits_.reportInterval, -limits_.reportInterval).first->second;
+    const bool reportLink = link && now - linkAt >= limits_.reportInterval;
+    const bool reportUplink = uplink && now - uplinkAt >= limits_.reportInterval;
     if (reportLink) linkAt = now;
     if (reportUplink) uplinkAt = now;
     callModule([&] {
@@ -269,7 +269,7 @@
         const Subscription& current = found->second;
         // The viewer may have left, or been answered, since the join was decided: then nothing is sent.
         if (current.left || current.state == State::Answered)
-            return onJoinOutcome(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "the viewer has left"});
+            return onJoinOutcome(id, joinNo, {JoinResult::NeverSent, true, 0, {}, "its viewer has gone"});
         observer_.onJoinSent(id, joinNo, server, current.rung, joinDeadline - net_.now());
         sender_.join(id, joinNo, server, current.rung, joinDeadline - net_.now(),
                      rooms_[current.request.room.v].paid);
@@ -348,7 +348,7 @@
 void Core::onGuardTimer(SubId id) {
     const auto it = subs_.find(id);
     if (it == subs_.end() || it->second.state != State::Pending) return;
-    ++counts_.guarded;
+    ++counts_.guardAnswers;
     observer_.onGuardTriggered(id);
     SubscriptionHandler* handler = it->second.handler;
     if (!answer(id, it->second, "terminated")) return;
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -40,7 +40,7 @@
 
 // How one join ended, as its sender observed it.
 struct JoinOutcome {
-    JoinResult end = JoinResult::Error;
+    JoinResult result = JoinResult::Error;
     bool neverRan = false;  // proven: the media server did not start it
     Micros took = 0;        // from sending the join to its end
     LoadReport load;        // as reported in the response
@@ -86,17 +86,17 @@
 };
 
 struct CoreLimits {
-    std::size_t subs = 100'000;      // subscriptions held at once; further ones are rejected
-    Micros answerMargin = 120'000;   // the module's deadline is this much before the client timeout
-    Micros reportEvery = 1'000'000;  // minimum interval between load reports of one server to the module
+    std::size_t subscriptions = 100'000;  // subscriptions held at once; further ones are rejected
+    Micros answerMargin = 120'000;        // the module's deadline is this much before the client timeout
+    Micros reportInterval = 1'000'000;    // minimum interval between load reports of one server to the module
 };
 
 // Counters since the start.
 struct CoreCounts {
     // Subscriptions: requested, playing, throttled, terminated, left by the viewer, lost by the media server;
     // joins decided; answers given by the guard timer; subscriptions rejected at the limit.
-    std::uint64_t asked = 0, played = 0, throttled = 0, terminated = 0, left = 0, broke = 0, joins = 0,
-                  guarded = 0, refusedFull = 0;
+    std::uint64_t requested = 0, played = 0, throttled = 0, terminated = 0, left = 0, lost = 0, joins = 0,
+                  guardAnswers = 0, rejectedAtLimit = 0;
 };
 
 class Core final : public Host {
--- a/src/discovery/list_follower.cpp
+++ b/src/discovery/list_follower.cpp
@@ -27,7 +27,7 @@
 
   private:
     void look() {
-        look_.after(times_.lookEvery);
+        look_.after(times_.pollInterval);
         std::ifstream in(path_, std::ios::binary);
         if (!in) {
             // Told once for each time that it goes: the module asks again by itself.
@@ -47,7 +47,7 @@
                 return;
             }
             version_ = list.version;
-            user_.onList(list.boxes, false);
+            user_.onList(list.servers, false);
         } catch (const settings::SettingsError& wrong) {
             user_.onListAnomaly(wrong.brief);  // half written, or mistaken: the one held still applies
         }
@@ -87,13 +87,13 @@
   private:
     void open() {
         reader_.reset();
-        conn_ = std::make_unique<http::Connection>(net_, at_, http::HttpLimits{}, times_.connectWithin);
+        conn_ = std::make_unique<http::Connection>(net_, at_, http::HttpLimits{}, times_.connectTimeout);
         http::Fields fields;
         fields.add("Accept", "text/event-stream");
         fields.add("Cache-Control", "no-store");
         if (version_ > 0 && !wantWhole_) fields.add("Last-Event-ID", std::to_string(version_));
         conn_->fetch(http::requestBytes("GET", target_, at_, fields), false, *this);
-        silent_.after(times_.silentFor);
+        silent_.after(times_.silenceTimeout);
         status_ = 0;
     }
 
@@ -103,7 +103,7 @@
         if (status_ == 200 && (!type || type->compare(0, 17, "text/event-stream") != 0)) status_ = 0;
     }
     void onBody(std::string_view bytes) override {
-        silent_.after(times_.silentFor);
+        silent_.after(times_.silenceTimeout);
         if (status_ == 200) reader_.feed(bytes);
         if (gap_) {
             gap_ = false;
@@ -147,9 +147,9 @@
             version_ = version;
             if (whole) {
                 wantWhole_ = false;
-                user_.onList(list.boxes, false);
+                user_.onList(list.servers, false);
             } else {
-                user_.onListChange(list.boxes);
+                user_.onListChange(list.servers);
             }
         } catch (const settings::SettingsError& wrong) {
             user_.onListAnomaly(wrong.brief);
--- a/src/discovery/list_follower.hpp
+++ b/src/discovery/list_follower.hpp
@@ -32,9 +32,9 @@
 };
 
 struct FollowTimings {
-    Micros lookEvery = 200'000;  // at the file
-    Micros connectWithin = 1'000'000;
-    Micros silentFor = 15'000'000;  // a stream that says nothing, not even a comment, is given up on
+    Micros pollInterval = 200'000;  // at the file
+    Micros connectTimeout = 1'000'000;
+    Micros silenceTimeout = 15'000'000;  // a stream that says nothing, not even a comment, is given up on
 };
 
 // `keptAt`: where the last list is kept; empty for nowhere.
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -55,7 +55,7 @@
         return box.indexOf(what, known, known.empty() ? "" : known.front(), title, "in the settings");
     };
     for (settings::NodeReader& box : top.childrenNamed("box")) {
-        if (out.boxes.size() >= limits.boxes)
+        if (out.servers.size() >= limits.boxes)
             box.fail("the list names more than " + std::to_string(limits.boxes) + " boxes");
         ServerListEntry line;
         const auto id = box.numbers("a box's number", 0, 4294967295.0);
@@ -68,7 +68,7 @@
         line.sfu.standing = standing == "on"       ? ServerState::On
                             : standing == "fading" ? ServerState::Draining
                                                    : ServerState::Off;
-        if (line.sfu.standing != ServerState::Off || box.has("at")) line.at = box.address("at");
+        if (line.sfu.standing != ServerState::Off || box.has("at")) line.endpoint = box.address("at");
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
         line.sfu.size = box.number("size", 0.001, 1'000'000, 1);
         if (!names.kinds.empty())
@@ -82,7 +82,7 @@
         }
         if (box.has("launched-us")) line.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
         box.rejectUnread();
-        out.boxes.push_back(line);
+        out.servers.push_back(line);
     }
     top.rejectUnread();
     return out;
@@ -99,14 +99,14 @@
     version.name = "version";
     version.arguments.push_back(number(list.version));
     nodes.push_back(version);
-    for (const ServerListEntry& line : list.boxes) {
+    for (const ServerListEntry& line : list.servers) {
         settings::Node box;
         box.name = "box";
         box.arguments.push_back(number(line.sfu.id.v));
         const auto put = [&](const char* name, settings::Value v) {
             box.properties.emplace_back(name, std::move(v));
         };
-        if (line.at.port != 0) put("at", text(net::toString(line.at)));
+        if (line.endpoint.port != 0) put("at", text(net::toString(line.endpoint)));
         put("standing", text(line.sfu.standing == ServerState::On         ? "on"
                              : line.sfu.standing == ServerState::Draining ? "fading"
                                                                           : "off"));
--- a/src/discovery/server_list.hpp
+++ b/src/discovery/server_list.hpp
@@ -15,13 +15,13 @@
 namespace valekeel::discovery {
 
 struct ServerListEntry {
-    SfuEntry sfu;      // `launched` on the wall clock
-    net::Endpoint at;  // of no use where it is off
+    SfuEntry sfu;            // `launched` on the wall clock
+    net::Endpoint endpoint;  // of no use where it is off
 };
 
 struct ServerList {
     std::int64_t version = 0;
-    std::vector<ServerListEntry> boxes;
+    std::vector<ServerListEntry> servers;
 };
 
 // The names that the settings give: lines of the list use them, in the order in which the settings have them.
--- a/src/evidence/evidence_file.hpp
+++ b/src/evidence/evidence_file.hpp
@@ -15,13 +15,13 @@
 namespace valekeel::evidence {
 
 struct EvidenceEntry {
-    ServerEvidence what;
+    ServerEvidence evidence;
     Micros launched = 0;  // of the box's process, on the wall clock as the list has it
 };
 
 struct EvidenceFile {
     Micros savedAt = 0;  // on the wall clock
-    std::vector<EvidenceEntry> boxes;
+    std::vector<EvidenceEntry> servers;
 };
 
 // Throws settings::Wrong: another version, a figure that is no number or out of its range, more than `most`
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -93,7 +93,7 @@
         v.relayBytes = static_cast<std::size_t>(node.whole("relay-bytes", 4'096, 100'000'000, 131'072));
         v.cachedPlaylists = static_cast<std::size_t>(node.whole("cached-playlists", 1, 1'000'000, 512));
         v.retryWhenFull = node.time("retry-when-full", kSecond, kHour, v.retryWhenFull);
-        t.core.subs = static_cast<std::size_t>(node.whole("at-most", 1, 10'000'000, 100'000));
+        t.core.subscriptions = static_cast<std::size_t>(node.whole("at-most", 1, 10'000'000, 100'000));
         t.core.answerMargin = node.time("answer-margin", 1'000, kSecond, t.core.answerMargin);
         t.deliveryWindow = node.time("delivery-window", 100'000, 60 * kSecond, t.deliveryWindow);
         node.rejectUnread();
@@ -105,15 +105,15 @@
         NodeReader node = top.childOrDefaults("boxes");
         upstream::UpstreamLimits& b = t.boxes;
         b.connections = static_cast<std::size_t>(node.whole("connections", 1, 100'000, 256));
-        b.waiting = static_cast<std::size_t>(node.whole("waiting", 0, 1'000'000, 1'024));
-        b.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, b.connectWithin);
-        b.keepIdle = node.time("keep-idle", 0, kHour, b.keepIdle);
-        b.sureFor = node.time("sure-for", 0, kHour, b.sureFor);
+        b.pendingRequests = static_cast<std::size_t>(node.whole("waiting", 0, 1'000'000, 1'024));
+        b.connectTimeout = node.time("connect-within", 1'000, 60 * kSecond, b.connectTimeout);
+        b.idleTimeout = node.time("keep-idle", 0, kHour, b.idleTimeout);
+        b.recentUse = node.time("sure-for", 0, kHour, b.recentUse);
         b.releases = static_cast<std::size_t>(node.whole("releases", 1, 10'000'000, b.releases));
-        b.releaseTries = static_cast<int>(node.whole("release-tries", 1, 100, b.releaseTries));
+        b.releaseAttempts = static_cast<int>(node.whole("release-tries", 1, 100, b.releaseAttempts));
         node.rejectUnread();
     }
-    t.core.reportEvery = t.tidings.every;
+    t.core.reportInterval = t.tidings.every;
 }
 
 void readSip(NodeReader& top, Told& t) {
@@ -152,9 +152,9 @@
     if (t.listFile.empty() == !t.listAt)
         node.fail("'list' is expected to have either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\"");
     t.listKept = node.text("keep", "");
-    t.listTimes.lookEvery = node.time("look-every", 1'000, kHour, t.listTimes.lookEvery);
-    t.listTimes.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, t.listTimes.connectWithin);
-    t.listTimes.silentFor = node.time("silent-for", 100'000, kHour, t.listTimes.silentFor);
+    t.listTimes.pollInterval = node.time("look-every", 1'000, kHour, t.listTimes.pollInterval);
+    t.listTimes.connectTimeout = node.time("connect-within", 1'000, 60 * kSecond, t.listTimes.connectTimeout);
+    t.listTimes.silenceTimeout = node.time("silent-for", 100'000, kHour, t.listTimes.silenceTimeout);
     t.listLimits.boxes = static_cast<std::size_t>(node.whole("boxes", 1, 1'000'000, 4'096));
     t.listLimits.bytes = static_cast<std::size_t>(node.whole("bytes", 1'024, 100'000'000, 1'000'000));
     node.rejectUnread();
@@ -162,17 +162,17 @@
 
 void readAdmission(NodeReader& top, Told& t) {
     NodeReader node = top.childOrDefaults("admission");
-    t.gateBound.most = static_cast<std::size_t>(node.whole("waiting", 1, 1'000'000, 1'000));
-    t.gateBound.least = static_cast<std::size_t>(node.whole("waiting-least", 1, 1'000'000, 64));
-    t.gateBound.target = node.time("target-wait", 0, kHour, t.gateBound.target);
+    t.gateBound.maxLimit = static_cast<std::size_t>(node.whole("waiting", 1, 1'000'000, 1'000));
+    t.gateBound.minLimit = static_cast<std::size_t>(node.whole("waiting-least", 1, 1'000'000, 64));
+    t.gateBound.targetWait = node.time("target-wait", 0, kHour, t.gateBound.targetWait);
     admission::RetryLimiterSettings& r = t.gateReturns;
-    r.most = node.time("come-back-most", 0, kHour, r.most);
-    r.over = node.number("returns-for-each", 0.1, 100, r.over);
-    r.asksForEach = node.number("asks-for-each", 1, 1e6, r.asksForEach);
-    r.least = node.number("asks-least", 1, 1e6, r.least);
+    r.maxRetryAfter = node.time("come-back-most", 0, kHour, r.maxRetryAfter);
+    r.retriesPerPlacement = node.number("returns-for-each", 0.1, 100, r.retriesPerPlacement);
+    r.attemptsPerPlacement = node.number("asks-for-each", 1, 1e6, r.attemptsPerPlacement);
+    r.minAttemptsPerSecond = node.number("asks-least", 1, 1e6, r.minAttemptsPerSecond);
     admission::PathCapacitySettings& w = t.gateWays;
-    w.on = node.flag("narrow-ways", true);
-    w.enough = node.number("way-enough", 0.1, 1, w.enough);
+    w.enabled = node.flag("narrow-ways", true);
+    w.sufficientShare = node.number("way-enough", 0.1, 1, w.sufficientShare);
     w.window = node.time("way-window", 100'000, kHour, w.window);
     t.gateConnections = static_cast<std::size_t>(node.whole("connections-each", 1, 1'000'000, 2'000));
     t.prefix4 = static_cast<int>(node.whole("prefix4", 1, 32, 24));
@@ -380,8 +380,8 @@
                                   " stands in a cell that the settings do not have"}});
                 continue;
             }
-            if (one.at.port != 0) {
-                boxes.setAddress(sfu.id, one.at);
+            if (one.endpoint.port != 0) {
+                boxes.setAddress(sfu.id, one.endpoint);
                 joins.releaseEarlierSessions(sfu.id);
             }
             out.push_back(sfu);
@@ -389,15 +389,15 @@
         return out;
     }
     void merge(const std::vector<discovery::ServerListEntry>& lines, bool whole) {
-        if (whole) held.boxes.clear();
+        if (whole) held.servers.clear();
         for (const discovery::ServerListEntry& one : lines) {
             const auto same =
-                std::find_if(held.boxes.begin(), held.boxes.end(),
+                std::find_if(held.servers.begin(), held.servers.end(),
                              [&](const discovery::ServerListEntry& b) { return b.sfu.id == one.sfu.id; });
-            if (same == held.boxes.end())
-                held.boxes.push_back(one);
+            if (same == held.servers.end())
+                held.servers.push_back(one);
             else if (one.sfu.standing == ServerState::Off)
-                held.boxes.erase(same);
+                held.servers.erase(same);
             else
                 *same = one;
         }
@@ -437,7 +437,7 @@
                 told.learntFile, settings::readFile(told.learntFile), told.listLimits.boxes);
             const Micros since = net.wallNow() - kept.savedAt;
             if (since < 0 || since > told.learntFor) throw std::runtime_error("it is of another time");
-            for (evidence::EvidenceEntry& b : kept.boxes) b.what.age += since;
+            for (evidence::EvidenceEntry& b : kept.servers) b.evidence.age += since;
             earlier = std::move(kept);
         } catch (const std::exception& e) {
             line(logging::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
@@ -445,29 +445,30 @@
     }
     std::map<SfuId, Micros> launchedOf() const {  // of all boxes listed, on the wall clock
         std::map<SfuId, Micros> out;
-        for (const discovery::ServerListEntry& box : held.boxes) out.emplace(box.sfu.id, box.sfu.launched);
+        for (const discovery::ServerListEntry& box : held.servers) out.emplace(box.sfu.id, box.sfu.launched);
         return out;
     }
     // Only of boxes that the list has now, and whose process is still the same.
     void recall() {
-        if (earlier.boxes.empty()) return;
+        if (earlier.servers.empty()) return;
         const auto launched = launchedOf();
         std::vector<ServerEvidence> same;
-        for (const evidence::EvidenceEntry& b : earlier.boxes)
-            if (const auto now = launched.find(b.what.id); now != launched.end() && now->second == b.launched)
-                same.push_back(b.what);
+        for (const evidence::EvidenceEntry& b : earlier.servers)
+            if (const auto now = launched.find(b.evidence.id);
+                now != launched.end() && now->second == b.launched)
+                same.push_back(b.evidence);
         line(logging::Level::Info, "learnt-taken",
-             {{"boxes", same.size()}, {"passed_over", earlier.boxes.size() - same.size()}});
-        earlier.boxes.clear();
+             {{"boxes", same.size()}, {"passed_over", earlier.servers.size() - same.size()}});
+        earlier.servers.clear();
         core->restoreServerEvidence(same);
     }
     void keepLearnt() {
-        if (!earlier.boxes.empty()) return;  // no list has come yet: what was kept is all that is known
+        if (!earlier.servers.empty()) return;  // no list has come yet: what was kept is all that is known
         evidence::EvidenceFile kept{net.wallNow(), {}};
         const auto launched = launchedOf();
         for (const ServerEvidence& what : core->serverEvidence())
             if (const auto now = launched.find(what.id); now != launched.end())
-                kept.boxes.push_back({what, now->second});
+                kept.servers.push_back({what, now->second});
         try {
             evidence::saveEvidenceFile(told.learntFile, kept);
         } catch (const std::exception& e) {
@@ -480,7 +481,7 @@
         try {
             held = discovery::parseServerList(told.listKept, settings::readFile(told.listKept), names(),
                                               told.listLimits);
-            onList(held.boxes, true);
+            onList(held.servers, true);
         } catch (const std::exception& e) {
             line(logging::Level::Warning, "kept-list-odd", {{"why", e.what()}});
         }
@@ -497,7 +498,7 @@
         face->shutDown([this] {
             const core::CoreCounts& c = core->counts();
             line(logging::Level::Info, "stopped",
-                 {{"asked", c.asked},
+                 {{"asked", c.requested},
                   {"played", c.played},
                   {"throttled", c.throttled},
                   {"terminated", c.terminated}});
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -240,12 +240,12 @@
     void onFailed(upstream::RequestResult how) override {
         // A kept connection that the box had just closed: what is fetched may be fetched again, on a fresh
         // one.
-        if (how == upstream::RequestResult::BrokenOutKept && !again_ && !begun_ && exchange_) {
+        if (how == upstream::RequestResult::BrokenOnReused && !again_ && !begun_ && exchange_) {
             again_ = true;
             finished_ = std::move(request_);
             return start();
         }
-        if (how == upstream::RequestResult::NoRoomToSend || how == upstream::RequestResult::NoDescriptor)
+        if (how == upstream::RequestResult::NoFreeConnection || how == upstream::RequestResult::NoDescriptor)
             return end(503, "too much is being fetched from the box");
         if (const Viewer* viewer = face_.byToken(token_)) tellWay(*viewer, face_.net_.now());
         lost(how);
@@ -281,7 +281,7 @@
     void lost(upstream::RequestResult how) {
         const SubId sub = sub_;
         HttpFrontend& face = face_;
-        end(how == upstream::RequestResult::TimedOutOut ? 504 : 502, upstream::meaningOf(how).name);
+        end(how == upstream::RequestResult::TimedOut ? 504 : 502, upstream::meaningOf(how).name);
         face.core_.onPlaybackEnded(sub, how == upstream::RequestResult::BrokenAnswer
                                             ? JoinResult::Reset
                                             : upstream::meaningOf(how).end);
@@ -758,14 +758,14 @@
 std::string HttpFrontend::statusText() const {
     const core::CoreCounts& c = core_.counts();
     nlohmann::ordered_json out{{"front", name_},
-                               {"asked", c.asked},
+                               {"asked", c.requested},
                                {"played", c.played},
                                {"throttled", c.throttled},
                                {"terminated", c.terminated},
                                {"left", c.left},
-                               {"broke", c.broke},
+                               {"broke", c.lost},
                                {"joins", c.joins},
-                               {"guarded", c.guarded},
+                               {"guarded", c.guardAnswers},
                                {"turned_away", turnedAway_},
                                {"playing", viewers_.size()},
                                {"unanswered", core_.unansweredCount()},
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -181,8 +181,9 @@
     void onFailed(upstream::RequestResult how) override {
         Call* call = face_.bySub(sub_);
         if (!call) return;
-        if (how == upstream::RequestResult::NoRoomToSend || how == upstream::RequestResult::NoDescriptor ||
-            how == upstream::RequestResult::BrokenOutKept) {  // says nothing of the box
+        if (how == upstream::RequestResult::NoFreeConnection ||
+            how == upstream::RequestResult::NoDescriptor ||
+            how == upstream::RequestResult::BrokenOnReused) {  // says nothing of the box
             call->holdTimer->after(face_.terms_.holdEvery / 4);
             return;
         }
@@ -726,7 +727,7 @@
     words.room = rooms_.types[call->room.v].name;
     // A front that was started again knows nothing of this INVITE, and its copies go on coming: the box must
     // tell that it began this very one already.
-    if (rooms_.types[call->room.v].paid) words.once = logging::toHex(hashOf(call->key, 0));
+    if (rooms_.types[call->room.v].paid) words.idempotencyToken = logging::toHex(hashOf(call->key, 0));
     logging::TraceContext trace = call->trace;
     trace.parent = logging::toHex(net_.randomBits() | 1);
     words.fields.add("traceparent", logging::write(trace));
--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -48,7 +48,7 @@
             line.sfu.id = SfuId{idOf(setup::text(one, "instanceId", where), where)};
             line.sfu.standing = standingOf(setup::text(one, "lifecycle", where), where);
             if (const auto to = net::parseEndpoint(setup::textOr(one, "hostPort", "", where)))
-                line.at = *to;
+                line.endpoint = *to;
             else if (line.sfu.standing != ServerState::Off)
                 setup::throwInvalid(where, "'hostPort' is no address and port");
             if (setup::find(one, "zone"))
@@ -89,9 +89,9 @@
                        kindOf = bigEndian(r + 12, 1);
             if (state > 2 || zone >= std::max<std::size_t>(1, zones_) || kindOf >= kinds_) return false;
             line.sfu.id = SfuId{static_cast<std::uint32_t>(bigEndian(r, 4))};
-            line.at.ip =
+            line.endpoint.ip =
                 net::IpAddress(boost::asio::ip::address_v4(static_cast<std::uint32_t>(bigEndian(r + 4, 4))));
-            line.at.port = static_cast<std::uint16_t>(bigEndian(r + 8, 2));
+            line.endpoint.port = static_cast<std::uint16_t>(bigEndian(r + 8, 2));
             line.sfu.standing = state == 0   ? ServerState::On
                                 : state == 1 ? ServerState::Draining
                                              : ServerState::Off;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -196,7 +196,7 @@
             entries.push_back(entry);
             named.insert(entry.id);
             if (entry.standing != ServerState::Off && !servers.knows(entry.id))
-                servers.setAddress(entry.id, line.at);
+                servers.setAddress(entry.id, line.endpoint);
             if (held && started > it->second.started) anew.emplace_back(entry.id, entry.launched);
             if (entry.standing == ServerState::Off)
                 listed.erase(entry.id);
@@ -215,7 +215,7 @@
         // Only now: what the servers' side takes back is placed again at once, by what the module has just
         // heard.
         for (const discovery::ServerListEntry& line : event.boxes)
-            if (line.sfu.standing != ServerState::Off) servers.setAddress(line.sfu.id, line.at);
+            if (line.sfu.standing != ServerState::Off) servers.setAddress(line.sfu.id, line.endpoint);
         for (const auto& [id, launched] : anew) servers.onRestarted(id, launched);
         for (const SfuEntry& entry : entries) {
             if (entry.standing == ServerState::Off) off.push_back(entry.id);
@@ -263,8 +263,8 @@
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"rung", rung}, {"time_out", timeOut}});
     }
     void onJoinEnded(SubId id, int no, SfuId at, const core::JoinOutcome& how) override {
-        ++ends[static_cast<std::size_t>(how.end)];
-        if (how.end != JoinResult::Played && log.isEnabled(logging::Level::Debug))
+        ++ends[static_cast<std::size_t>(how.result)];
+        if (how.result != JoinResult::Played && log.isEnabled(logging::Level::Debug))
             say(logging::Level::Debug, "join ended",
                 {{"sub", id.v}, {"no", no}, {"at", at.v}, {"why", how.why}, {"took", how.took}});
     }
@@ -285,14 +285,14 @@
              {"out", servers.out()},
              {"standing", servers.standing()},
              {"boxes", listed.size()},
-             {"asked", c.asked},
+             {"asked", c.requested},
              {"played", c.played},
              {"throttled", c.throttled},
              {"terminated", c.terminated},
              {"left", c.left},
-             {"broke", c.broke},
+             {"broke", c.lost},
              {"joins", c.joins},
-             {"guarded", c.guarded},
+             {"guarded", c.guardAnswers},
              {"chosen", chosen},
              {"fits", fits},
              {"among", chosen ? holders / static_cast<double>(chosen) : 0},
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -309,9 +309,9 @@
         outcome.why = nameOf(how);
         // What the kernel here never took can't have been read there.
         outcome.neverRan = !held->second.sent || taken <= held->second.from;
-        outcome.end = how == DisconnectReason::NoSocket ? JoinResult::NeverSent
-                      : outcome.neverRan                ? JoinResult::NoConnection
-                                                        : JoinResult::Reset;
+        outcome.result = how == DisconnectReason::NoSocket ? JoinResult::NeverSent
+                         : outcome.neverRan                ? JoinResult::NoConnection
+                                                           : JoinResult::Reset;
         ended(id, outcome);
     }
 }
--- a/src/upstream/join_client.cpp
+++ b/src/upstream/join_client.cpp
@@ -29,18 +29,18 @@
                     JoinResponse{std::move(*read.got), path_, head_.fields.joined("CMSD-Static").value_or(""),
                                  head_.fields.joined("CMSD-Dynamic").value_or(""), toHead_};
         } else if (head_.status == 503) {
-            end = RequestResult::TurnedAway;
+            end = RequestResult::Rejected;
             for (const auto& entry :
                  hints::parseCmsdDynamic(head_.fields.joined("CMSD-Dynamic").value_or(""))) {
                 const hints::Bare* unseen = entry.custom.find("org.valekeel-unseen");
-                if (unseen && *unseen == hints::Bare(true)) end = RequestResult::TurnedAwayUnseen;
+                if (unseen && *unseen == hints::Bare(true)) end = RequestResult::RejectedUnseen;
             }
         }
         all_.ended(id_, joinNo_, end, load, all_.net_.now() - began_);
     }
     void onFailed(RequestResult end) override {
         // What failed after a head was read ran, whatever way it broke.
-        if (head_.status != 0 && end == RequestResult::TimedOutOut) end = RequestResult::BrokenAnswer;
+        if (head_.status != 0 && end == RequestResult::TimedOut) end = RequestResult::BrokenAnswer;
         all_.ended(id_, joinNo_, end, LoadReport{}, all_.net_.now() - began_);
     }
 
@@ -86,7 +86,7 @@
     const std::string target = "/talk/" + http::percentEncoded(words.title) + "/main.m3u8?sub=" + keyOf(id) +
                                "&room=" + http::percentEncoded(words.room) + "&rung=" + std::to_string(rung) +
                                "&join=" + std::to_string(joinNo) +
-                               (words.once.empty() ? "" : "&once=" + words.once);
+                               (words.idempotencyToken.empty() ? "" : "&once=" + words.idempotencyToken);
     auto out = std::make_unique<Out>(*this, id, joinNo, target);
     out->request = boxes_.send(at, "GET", target, words.fields, paid, timeOut, *out);
     out_[id] = std::move(out);
--- a/src/upstream/join_client.hpp
+++ b/src/upstream/join_client.hpp
@@ -16,8 +16,9 @@
 // What a join says. The face that asked for the subscription knows it.
 struct JoinRequest {
     std::string title, room;
-    http::Fields fields;  // hints and trace, carried on
-    std::string once;     // where not empty: a box that began this once answers 409, and does not begin again
+    http::Fields fields;           // hints and trace, carried on
+    std::string idempotencyToken;  // where not empty: a box that began this once answers 409, and does not
+                                   // begin again
 };
 class JoinRequestSource {
   public:
--- a/src/upstream/request_result.cpp
+++ b/src/upstream/request_result.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using E = JoinResult;
-constexpr std::array<ResultMeaning, static_cast<std::size_t>(RequestResult::Count_)> kTable{{
+constexpr std::array<ResultMeaning, static_cast<std::size_t>(RequestResult::kCount)> kTable{{
     {E::Played, false, "played", "the box says that it plays"},
     {E::NoConnection, true, "refused-connect", "the kernel there turned the connect away: nothing was sent"},
     {E::NoConnection, true, "no-connection", "no connection stood, so no byte was sent"},
--- a/src/upstream/request_result.hpp
+++ b/src/upstream/request_result.hpp
@@ -13,19 +13,19 @@
     ConnectRefused,    // nobody listens
     ConnectFailed,     // no route, or no connection in time
     NoDescriptor,      // this front could open no socket
-    NoRoomToSend,      // the box's connections were all taken until time ran out
+    NoFreeConnection,  // the box's connections were all taken until time ran out
     NeverWritten,      // connected, broken before a byte of the request left
-    TurnedAwayUnseen,  // 503 that names itself unseen
-    TurnedAway,        // 503 that does not
+    RejectedUnseen,    // 503 that names itself unseen
+    Rejected,          // 503 that does not
     ErrorStatus,       // any other status
     BadAnswer,         // no HTTP, over a limit, or no playlist in it
-    BrokenOutKept,     // a kept connection closed as the request went out
-    BrokenOutFresh,    // a fresh connection broken after bytes of the request left
+    BrokenOnReused,    // a kept connection closed as the request went out
+    BrokenOnFresh,     // a fresh connection broken after bytes of the request left
     BrokenAnswer,      // the answer was cut short
-    TimedOutOut,       // no whole answer in time
+    TimedOut,          // no whole answer in time
     CancelledUnsent,   // called off before a byte left
-    CancelledOut,      // called off after
-    Count_
+    CancelledSent,     // called off after
+    kCount
 };
 
 struct ResultMeaning {
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -15,7 +15,7 @@
     std::map<ConnId, Kept> conns;
     std::deque<Exchange*> waiting;
     Box(const net::Endpoint& at, const UpstreamLimits& l)
-        : at(at), reuse(l.connections, l.keepIdle, l.sureFor) {}
+        : at(at), reuse(l.connections, l.idleTimeout, l.recentUse) {}
 };
 
 // One request on its way: it waits for a connection, or holds one.
@@ -49,7 +49,7 @@
     RequestResult cancel() override {
         const bool out = wroteAny();
         letGo(false);
-        return out ? RequestResult::CancelledOut : RequestResult::CancelledUnsent;
+        return out ? RequestResult::CancelledSent : RequestResult::CancelledUnsent;
     }
     bool sure() const { return sure_; }
     void useConn(ConnId id, http::Connection& conn, bool kept) {
@@ -61,9 +61,9 @@
     }
 
     void start() {
-        if (box_->waiting.size() >= all_.limits_.waiting) {
+        if (box_->waiting.size() >= all_.limits_.pendingRequests) {
             finish();
-            user_.onFailed(RequestResult::NoRoomToSend);
+            user_.onFailed(RequestResult::NoFreeConnection);
             return;
         }
         waits_ = true;
@@ -94,7 +94,7 @@
             case http::FetchError::NeverWritten:
                 return RequestResult::NeverWritten;
             case http::FetchError::BrokenOut:
-                return kept ? RequestResult::BrokenOutKept : RequestResult::BrokenOutFresh;
+                return kept ? RequestResult::BrokenOnReused : RequestResult::BrokenOnFresh;
             case http::FetchError::BrokenAnswer:
                 return RequestResult::BrokenAnswer;
             case http::FetchError::BadAnswer:
@@ -106,8 +106,8 @@
     void tooLate() {
         const bool waited = !conn_, out = wroteAny();
         letGo(false);
-        user_.onFailed(waited ? RequestResult::NoRoomToSend
-                       : out  ? RequestResult::TimedOutOut
+        user_.onFailed(waited ? RequestResult::NoFreeConnection
+                       : out  ? RequestResult::TimedOut
                               : RequestResult::ConnectFailed);
     }
     void finish() {
@@ -179,7 +179,7 @@
     void onBody(std::string_view) override {}
     void onComplete() override { over.after(0); }
     void onFailed(RequestResult) override {
-        if (tries >= all.limits_.releaseTries) return over.after(0);
+        if (tries >= all.limits_.releaseAttempts) return over.after(0);
         again.after(Micros{50'000} << std::min(2 * tries, 8));  // 200 ms, 800 ms, and so on
     }
 };
@@ -272,7 +272,7 @@
         box.waiting.pop_front();
         const ConnId id{nextConn_++};
         Kept& kept = box.conns[id];
-        kept.conn = std::make_unique<http::Connection>(net_, box.at, wire_, limits_.connectWithin);
+        kept.conn = std::make_unique<http::Connection>(net_, box.at, wire_, limits_.connectTimeout);
         kept.busy = true;
         box.reuse.opened(id);
         next->useConn(id, *kept.conn, false);
--- a/src/upstream/upstream_client.hpp
+++ b/src/upstream/upstream_client.hpp
@@ -17,13 +17,13 @@
 namespace valekeel::upstream {
 
 struct UpstreamLimits {
-    std::size_t connections = 256;  // to one box
-    std::size_t waiting = 1'024;    // requests that wait for one of them
-    std::size_t releases = 20'000;  // that boxes are still to be told of
-    int releaseTries = 5;
-    Micros connectWithin = 250'000;
-    Micros keepIdle = 20'000'000;
-    Micros sureFor = 1'000'000;
+    std::size_t connections = 256;        // to one box
+    std::size_t pendingRequests = 1'024;  // requests that wait for one of them
+    std::size_t releases = 20'000;        // that boxes are still to be told of
+    int releaseAttempts = 5;
+    Micros connectTimeout = 250'000;
+    Micros idleTimeout = 20'000'000;
+    Micros recentUse = 1'000'000;
 };
 
 // One request to a box, until it is done. Deleting it calls it off.
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -363,15 +363,15 @@
 
 // The module takes these three for proof that nothing ran, and no others. The table must never say otherwise.
 TEST(Outcome, ProofInTheTableIsProofToTheModule) {
-    for (int i = 0; i < static_cast<int>(upstream::RequestResult::Count_); ++i) {
+    for (int i = 0; i < static_cast<int>(upstream::RequestResult::kCount); ++i) {
         const upstream::ResultMeaning& m = upstream::meaningOf(static_cast<upstream::RequestResult>(i));
         const bool module =
             m.end == JoinResult::Full || m.end == JoinResult::NoConnection || m.end == JoinResult::NeverSent;
         EXPECT_EQ(m.neverRan, module) << m.name;
         EXPECT_FALSE(m.why.empty());
     }
-    EXPECT_FALSE(upstream::meaningOf(upstream::RequestResult::BrokenOutKept).neverRan);
-    EXPECT_FALSE(upstream::meaningOf(upstream::RequestResult::TurnedAway).neverRan);
+    EXPECT_FALSE(upstream::meaningOf(upstream::RequestResult::BrokenOnReused).neverRan);
+    EXPECT_FALSE(upstream::meaningOf(upstream::RequestResult::Rejected).neverRan);
 }
 
 }  // namespace
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -266,14 +266,14 @@
 
 TEST(Core, RejectsSubscriptionsAboveTheLimit) {
     core::CoreLimits limits;
-    limits.subs = 2;
+    limits.subscriptions = 2;
     CoreFixture fixture(limits);
     fixture.subscribe();
     fixture.subscribe();
     SubscriptionRequest request;
     request.room = RoomTypeId{1};
     EXPECT_FALSE(fixture.core->subscribe(fixture, request, kSecond));
-    EXPECT_EQ(fixture.core->counts().refusedFull, 1u);
+    EXPECT_EQ(fixture.core->counts().rejectedAtLimit, 1u);
 }
 
 TEST(Core, ForwardsLoadReportsOfAServerAtMostOncePerInterval) {
@@ -335,7 +335,7 @@
         }
         fixture.net.advance(10 * kSecond);
         const core::CoreCounts& counts = fixture.core->counts();
-        EXPECT_EQ(counts.asked, requested);
+        EXPECT_EQ(counts.requested, requested);
         const auto answers = counts.played + counts.throttled + counts.terminated;
         EXPECT_LE(answers, requested);
         EXPECT_EQ(static_cast<std::uint64_t>(fixture.notifications.size()) -
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -20,9 +20,9 @@
     const ListNames names({"small"}, {"east", "west"});
     const ServerList read =
         parseServerList("t", "box 1 at=\"127.0.0.1:1\" zone=\"west\"\nbox 2 at=\"127.0.0.1:2\"", names, {});
-    EXPECT_EQ(read.boxes[0].sfu.zone.v, 1u);
-    EXPECT_EQ(read.boxes[1].sfu.zone.v, 0u);
-    EXPECT_EQ(parseServerList("t", formatServerList(read, names), names, {}).boxes[0].sfu.zone.v, 1u);
+    EXPECT_EQ(read.servers[0].sfu.zone.v, 1u);
+    EXPECT_EQ(read.servers[1].sfu.zone.v, 0u);
+    EXPECT_EQ(parseServerList("t", formatServerList(read, names), names, {}).servers[0].sfu.zone.v, 1u);
     try {
         parseServerList("t", "box 1 at=\"127.0.0.1:1\" zone=\"wets\"", names, {});
         ADD_FAILURE();
@@ -41,15 +41,15 @@
                         "launched=\"2026-12-01T09:00:00.25Z\"\n"
                         "box 2 standing=\"off\"\n",
                         kKinds, {});
-    ASSERT_EQ(read.boxes.size(), 2u);
-    EXPECT_EQ(read.boxes[0].sfu.launched, 1796115600250000);
-    EXPECT_EQ(read.boxes[0].sfu.kind.v, 1u);
-    EXPECT_EQ(read.boxes[1].sfu.standing, ServerState::Off);
+    ASSERT_EQ(read.servers.size(), 2u);
+    EXPECT_EQ(read.servers[0].sfu.launched, 1796115600250000);
+    EXPECT_EQ(read.servers[0].sfu.kind.v, 1u);
+    EXPECT_EQ(read.servers[1].sfu.standing, ServerState::Off);
     const ServerList back = parseServerList("t", formatServerList(read, kKinds), kKinds, {});
     EXPECT_EQ(back.version, 3);
-    EXPECT_EQ(back.boxes[0].sfu.launched, read.boxes[0].sfu.launched);
-    EXPECT_EQ(back.boxes[0].at, read.boxes[0].at);
-    EXPECT_DOUBLE_EQ(back.boxes[0].sfu.size, 1.5);
+    EXPECT_EQ(back.servers[0].sfu.launched, read.servers[0].sfu.launched);
+    EXPECT_EQ(back.servers[0].endpoint, read.servers[0].endpoint);
+    EXPECT_DOUBLE_EQ(back.servers[0].sfu.size, 1.5);
 }
 
 TEST(List, RefusesWhatItCannotMean) {
@@ -125,7 +125,7 @@
         put(1);
         put(2);
         FollowTimings times;
-        times.silentFor = 3 * kSecond;
+        times.silenceTimeout = 3 * kSecond;
         follower = followStream(net, server.endpoint(), "/boxes?front=a", {"small"}, {}, times, hears);
         follower->follow();
         EXPECT_TRUE(until([&] { return hears.last() == "list 2"; }));
@@ -210,7 +210,7 @@
     http::Server server(loop.net, Loop::any(), {}, mute);
     Hears hears;
     FollowTimings times;
-    times.silentFor = 150'000;
+    times.silenceTimeout = 150'000;
     auto follower = followStream(loop.net, server.endpoint(), "/", kKinds, {}, times, hears);
     follower->follow();
     EXPECT_TRUE(loop.until([&] { return hears.last() == "unreachable"; }));
@@ -224,20 +224,20 @@
     std::filesystem::remove(path);
     Hears hears;
     FollowTimings times;
-    times.lookEvery = 5'000;
+    times.pollInterval = 5'000;
     auto follower = followFile(loop.net, path, kKinds, {}, times, hears);
     follower->follow();
     ASSERT_TRUE(loop.until([&] { return hears.last() == "unreachable"; }));
     ServerList list;
     list.version = 1;
-    list.boxes.push_back({{SfuId{1}, ServerState::On, 0, Cell{0}, MachineKindId{0}, 1}, Loop::any()});
-    list.boxes[0].at.port = 5;
+    list.servers.push_back({{SfuId{1}, ServerState::On, 0, Cell{0}, MachineKindId{0}, 1}, Loop::any()});
+    list.servers[0].endpoint.port = 5;
     saveServerList(path, list, kKinds);
     ASSERT_TRUE(loop.until([&] { return hears.last() == "list 1"; }));
     std::ofstream(path) << "box 1 at=";
     ASSERT_TRUE(loop.until([&] { return hears.last() == "odd"; }));
     list.version = 1;
-    list.boxes[0].sfu.size = 2;
+    list.servers[0].sfu.size = 2;
     saveServerList(path, list, kKinds);
     ASSERT_TRUE(loop.until([&] { return hears.heard.size() >= 4 && hears.last() == "odd"; }))
         << "an old version";
--- a/tests/evidence_test.cpp
+++ b/tests/evidence_test.cpp
@@ -9,18 +9,18 @@
 
 TEST(ServerEvidence, ComesBackAsItWasKept) {
     EvidenceFile kept{77, {}};
-    kept.boxes.push_back({ServerEvidence{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
-    kept.boxes.push_back({ServerEvidence{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
+    kept.servers.push_back({ServerEvidence{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
+    kept.servers.push_back({ServerEvidence{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
     const EvidenceFile back = parseEvidenceFile("f", formatEvidenceFile(kept), 10);
     EXPECT_EQ(back.savedAt, 77);
-    ASSERT_EQ(back.boxes.size(), 2u);
-    EXPECT_EQ(back.boxes[0].what.id, SfuId{3});
-    EXPECT_EQ(back.boxes[0].launched, 99);
-    EXPECT_DOUBLE_EQ(back.boxes[0].what.evidence, 4.5);
-    EXPECT_DOUBLE_EQ(*back.boxes[0].what.linkUse, 0.25);
-    EXPECT_EQ(back.boxes[0].what.age, 1'200'000);
-    EXPECT_EQ(back.boxes[1].what.id.v, 4'294'967'295u);
-    EXPECT_FALSE(back.boxes[1].what.linkUse);
+    ASSERT_EQ(back.servers.size(), 2u);
+    EXPECT_EQ(back.servers[0].evidence.id, SfuId{3});
+    EXPECT_EQ(back.servers[0].launched, 99);
+    EXPECT_DOUBLE_EQ(back.servers[0].evidence.evidence, 4.5);
+    EXPECT_DOUBLE_EQ(*back.servers[0].evidence.linkUse, 0.25);
+    EXPECT_EQ(back.servers[0].evidence.age, 1'200'000);
+    EXPECT_EQ(back.servers[1].evidence.id.v, 4'294'967'295u);
+    EXPECT_FALSE(back.servers[1].evidence.linkUse);
 }
 
 TEST(ServerEvidence, WhatIsNotWholeOrOddIsRefused) {
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -623,7 +623,7 @@
     EXPECT_EQ(
         (rig.call("nowhere"), rig.until([&] { return rig.active == 0; }), rig.callers.back()->lastFinal()),
         404);
-    EXPECT_EQ(rig.front->core().counts().asked, 0u);
+    EXPECT_EQ(rig.front->core().counts().requested, 0u);
 }
 
 TEST(Sip, ACancelBeforeTheAnswerEndsItAndOneBehindItDoesNothing) {
@@ -946,7 +946,7 @@
     }
     rig.run(kSecond);
     EXPECT_GT(rig.front->sipFrontend()->counts().shed, 50u);
-    EXPECT_LT(rig.front->core().counts().asked, 200u);
+    EXPECT_LT(rig.front->core().counts().requested, 200u);
     const std::string* refused = rig.raw.heard("SIP/2.0 503", "Retry-After: ");
     ASSERT_TRUE(refused);
     bool told = false;
