--- a/bench/structures.cpp
+++ b/bench/structures.cpp
@@ -103,7 +103,7 @@
             return p;
         };
         for (std::size_t i = 0; i < many; ++i)
-            all.emplace_back(cut(any(), 96 + 12 + static_cast<int>(chance() % 13)),
+            all.emplace_back(truncated(any(), 96 + 12 + static_cast<int>(chance() % 13)),
                              static_cast<std::uint32_t>(i));
         for (int i = 0; i < 4'096; ++i) {
             admission::Prefix h = any();
@@ -120,7 +120,7 @@
 void prefixTrie(benchmark::State& state) {
     const Networks networks(static_cast<std::size_t>(state.range(0)));
     admission::PrefixTrie trie;
-    for (const auto& [p, v] : networks.all) trie.put(p, v);
+    for (const auto& [p, v] : networks.all) trie.insert(p, v);
     std::size_t at = 0;
     for (auto _ : state) benchmark::DoNotOptimize(trie.find(networks.hosts[at++ % networks.hosts.size()]));
 }
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -7,16 +7,16 @@
 void AdmissionController::addNamedNetwork(const Prefix& network, const std::string& name) {
     const auto [it, fresh] = names_.try_emplace(name, static_cast<std::uint32_t>(networks_.size()));
     if (fresh) networks_.push_back({name, 0, 0, true, network});
-    told_.put(network, it->second);
+    told_.insert(network, it->second);
 }
 
 Prefix AdmissionController::prefixOf(const net::IpAddress& ip) const {
     const bool four = ip.is_v4() || ip.to_v6().is_v4_mapped();
-    return cut(hostOf(ip), four ? 96 + prefix4_ : prefix6_);
+    return truncated(hostPrefix(ip), four ? 96 + prefix4_ : prefix6_);
 }
 
 std::optional<std::uint32_t> AdmissionController::known(const net::IpAddress& ip) const {
-    if (const auto told = told_.find(hostOf(ip))) return *told;
+    if (const auto told = told_.find(hostPrefix(ip))) return *told;
     const auto it = untold_.find(prefixOf(ip));
     return it == untold_.end() ? std::nullopt : std::optional(it->second);
 }
@@ -32,7 +32,7 @@
         id = free_.back();
         free_.pop_back();
     }
-    networks_[id] = {text(prefix), 0, 0, false, prefix};
+    networks_[id] = {toString(prefix), 0, 0, false, prefix};
     untold_[prefix] = id;
     return id;
 }
--- a/src/admission/prefix_trie.cpp
+++ b/src/admission/prefix_trie.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Prefix hostOf(const net::IpAddress& ip) {
+Prefix hostPrefix(const net::IpAddress& ip) {
     Prefix out;
     out.length = 128;
     if (ip.is_v6()) {
@@ -37,7 +37,7 @@
     return out;
 }
 
-Prefix cut(const Prefix& p, int length) {
+Prefix truncated(const Prefix& p, int length) {
     Prefix out = p;
     out.length = std::min(length, p.length);
     for (int at = out.length; at < 128; ++at)
@@ -45,24 +45,24 @@
     return out;
 }
 
-std::optional<Prefix> prefixOf(std::string_view text) {
+std::optional<Prefix> parsePrefix(std::string_view text) {
     boost::system::error_code bad;
     const std::string whole(text);
     const auto four = boost::asio::ip::make_network_v4(whole, bad);
     if (!bad) {
         if (four.canonical() != four) return std::nullopt;
-        Prefix out = hostOf(four.address());
+        Prefix out = hostPrefix(four.address());
         out.length = 96 + four.prefix_length();
         return out;
     }
     const auto six = boost::asio::ip::make_network_v6(whole, bad);
     if (bad || six.canonical() != six) return std::nullopt;
-    Prefix out = hostOf(six.address());
+    Prefix out = hostPrefix(six.address());
     out.length = six.prefix_length();
     return out;
 }
 
-std::string text(const Prefix& p) {
+std::string toString(const Prefix& p) {
     boost::asio::ip::address_v6::bytes_type bytes;
     std::copy(p.bits.begin(), p.bits.end(), bytes.begin());
     const boost::asio::ip::address_v6 six(bytes);
@@ -72,7 +72,7 @@
     return six.to_string() + "/" + std::to_string(p.length);
 }
 
-void PrefixTrie::put(const Prefix& prefix, std::uint32_t value) {
+void PrefixTrie::insert(const Prefix& prefix, std::uint32_t value) {
     const auto leaf = [&](const Prefix& p, std::optional<std::uint32_t> v) {
         nodes_.push_back(Node{p, v, {-1, -1}});
         return static_cast<std::int32_t>(nodes_.size()) - 1;
@@ -90,7 +90,8 @@
         const int same = sameBits(here, prefix, std::min(here.length, prefix.length));
         if (same < here.length) {  // it branches off, or ends, within this edge
             const bool ends = same == prefix.length;
-            const std::int32_t fork = leaf(cut(prefix, same), ends ? std::optional(value) : std::nullopt);
+            const std::int32_t fork =
+                leaf(truncated(prefix, same), ends ? std::optional(value) : std::nullopt);
             nodes_[static_cast<std::size_t>(fork)].child[bitOf(here, same)] = at;
             if (!ends) {
                 const std::int32_t end = leaf(prefix, value);
--- a/src/admission/prefix_trie.hpp
+++ b/src/admission/prefix_trie.hpp
@@ -22,15 +22,15 @@
     auto operator<=>(const Prefix&) const = default;
 };
 // "10.1.0.0/16", "2001:db8::/32"; nothing if it is none, or has bits set behind its length.
-std::optional<Prefix> prefixOf(std::string_view text);
-Prefix hostOf(const net::IpAddress&);
-Prefix cut(const Prefix&, int length);
-std::string text(const Prefix&);
+std::optional<Prefix> parsePrefix(std::string_view text);
+Prefix hostPrefix(const net::IpAddress&);
+Prefix truncated(const Prefix&, int length);
+std::string toString(const Prefix&);
 
 class PrefixTrie {
   public:
     // Replaces what stood there.
-    void put(const Prefix&, std::uint32_t value);
+    void insert(const Prefix&, std::uint32_t value);
     // Of the longest prefix that holds it.
     std::optional<std::uint32_t> find(const Prefix& host) const;
     std::size_t size() const { return size_; }
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -179,7 +179,7 @@
     t.prefix6 = static_cast<int>(node.whole("prefix6", 1, 128, 56));
     for (NodeReader& network : node.childrenNamed("network")) {
         const std::string text = network.argument("its prefix");
-        const auto prefix = admission::prefixOf(text);
+        const auto prefix = admission::parsePrefix(text);
         if (!prefix)
             network.fail(
                 "a network is expected as \"10.1.0.0/16\" or \"2001:db8::/32\", with no bits behind its "
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -17,11 +17,11 @@
 }
 
 TEST(Prefix, ReadsNetworksAndRefusesStrayBits) {
-    EXPECT_EQ(text(*prefixOf("10.1.0.0/16")), "10.1.0.0/16");
-    EXPECT_EQ(text(*prefixOf("2001:db8::/32")), "2001:db8::/32");
-    EXPECT_EQ(prefixOf("0.0.0.0/0")->length, 96);
+    EXPECT_EQ(toString(*parsePrefix("10.1.0.0/16")), "10.1.0.0/16");
+    EXPECT_EQ(toString(*parsePrefix("2001:db8::/32")), "2001:db8::/32");
+    EXPECT_EQ(parsePrefix("0.0.0.0/0")->length, 96);
     for (const char* bad : {"10.1.0.1/16", "10.0.0.0/33", "10.0.0.0", "2001:db8::1/32", "x/8", ""})
-        EXPECT_FALSE(prefixOf(bad)) << bad;
+        EXPECT_FALSE(parsePrefix(bad)) << bad;
 }
 
 // The trie against going through a list, on prefixes that share much and little.
@@ -38,9 +38,9 @@
             return p;
         };
         for (int i = 0; i < 80; ++i) {
-            const Prefix p = cut(any(), pick(0, 128));
+            const Prefix p = truncated(any(), pick(0, 128));
             const auto value = static_cast<std::uint32_t>(i);
-            trie.put(p, value);
+            trie.insert(p, value);
             std::erase_if(plain, [&](const auto& e) { return e.first == p; });
             plain.emplace_back(p, value);
         }
@@ -56,7 +56,7 @@
             std::optional<std::uint32_t> expected;
             int longest = -1;
             for (const auto& [p, value] : plain)
-                if (p.length > longest && cut(host, p.length) == p) {
+                if (p.length > longest && truncated(host, p.length) == p) {
                     longest = p.length;
                     expected = value;
                 }
@@ -218,7 +218,7 @@
 
 TEST(AdmissionController, ItsBoundHoldsAndAFloodLeavesRoomForOthers) {
     AdmissionController gate(fixed(100), 1'000, 24, 56);
-    gate.addNamedNetwork(*prefixOf("10.0.0.0/8"), "flood");
+    gate.addNamedNetwork(*parsePrefix("10.0.0.0/8"), "flood");
     const auto flood = gate.networkOf(ip("10.1.2.3"));
     int in = 0;
     while (gate.admit(0, flood) == AdmissionController::Decision::Admitted) ++in;
