--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -55,7 +55,7 @@
         return box.indexOf(what, known, known.empty() ? "" : known.front(), title, "in the settings");
     };
     for (settings::NodeReader& box : top.childrenNamed("box")) {
-        if (out.boxes.size() >= limits.boxes)
+        if (out.servers.size() >= limits.boxes)
             box.fail("the list names more than " + std::to_string(limits.boxes) + " boxes");
         ServerListEntry line;
         const auto id = box.numbers("a box's number", 0, 4294967295.0);
@@ -65,10 +65,10 @@
         if (!seen.insert(line.sfu.id.v).second)
             box.fail("box " + std::to_string(line.sfu.id.v) + " stands here a second time");
         const std::string standing = box.choice("standing", {"on", "fading", "off"}, "on");
-        line.sfu.state = standing == "on"       ? ServerState::On
-                         : standing == "fading" ? ServerState::Draining
-                                                : ServerState::Off;
-        if (line.sfu.state != ServerState::Off || box.has("at")) line.at = box.address("at");
+        line.sfu.standing = standing == "on"       ? ServerState::On
+                            : standing == "fading" ? ServerState::Draining
+                                                   : ServerState::Off;
+        if (line.sfu.standing != ServerState::Off || box.has("at")) line.endpoint = box.address("at");
         line.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
         line.sfu.size = box.number("size", 0.001, 1'000'000, 1);
         if (!names.kinds.empty())
@@ -82,7 +82,7 @@
         }
         if (box.has("launched-us")) line.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
         box.rejectUnread();
-        out.boxes.push_back(line);
+        out.servers.push_back(line);
     }
     top.rejectUnread();
     return out;
@@ -99,17 +99,17 @@
     version.name = "version";
     version.arguments.push_back(number(list.version));
     nodes.push_back(version);
-    for (const ServerListEntry& line : list.boxes) {
+    for (const ServerListEntry& line : list.servers) {
         settings::Node box;
         box.name = "box";
         box.arguments.push_back(number(line.sfu.id.v));
         const auto put = [&](const char* name, settings::Value v) {
             box.properties.emplace_back(name, std::move(v));
         };
-        if (line.at.port != 0) put("at", text(net::toString(line.at)));
-        put("standing", text(line.sfu.state == ServerState::On         ? "on"
-                             : line.sfu.state == ServerState::Draining ? "fading"
-                                                                       : "off"));
+        if (line.endpoint.port != 0) put("at", text(net::toString(line.endpoint)));
+        put("standing", text(line.sfu.standing == ServerState::On         ? "on"
+                             : line.sfu.standing == ServerState::Draining ? "fading"
+                                                                          : "off"));
         put("cell", number(line.sfu.cell.v));
         if (line.sfu.kind.v < names.kinds.size()) put("kind", text(names.kinds[line.sfu.kind.v]));
         if (line.sfu.zone.v < names.zones.size()) put("zone", text(names.zones[line.sfu.zone.v]));
