--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -164,7 +164,7 @@
     Micros lasts_, begun_ = 0;
     Listens listens_;
     std::mt19937_64 chance_;
-    std::unique_ptr<net::Datagrams> socket_;
+    std::unique_ptr<net::DatagramSocket> socket_;
     std::string me_;
     net::Timer pace_;
     std::map<std::uint64_t, std::unique_ptr<Call>> calls_;
--- a/bench/front.cpp
+++ b/bench/front.cpp
@@ -97,7 +97,7 @@
             idle = true;
             return;
         }
-        if (!conn || !conn->idle()) {
+        if (!conn || !conn->isIdle()) {
             dead = std::move(conn);
             conn = std::make_unique<http::Connection>(net, at, http::HttpLimits{}, 5 * kSecond);
         }
--- a/bench/structures.cpp
+++ b/bench/structures.cpp
@@ -32,7 +32,7 @@
         at = (at + 7919) % many;
         w.add(n, now + kSpan);  // the one that waited there is cancelled by it, if it has not fired
         now += step;
-        while (net::TimerNode* due = w.due(now)) benchmark::DoNotOptimize(due);
+        while (net::TimerNode* due = w.popDue(now)) benchmark::DoNotOptimize(due);
     }
 }
 
--- a/fuzz/hints.cpp
+++ b/fuzz/hints.cpp
@@ -13,10 +13,10 @@
     all.header(size % 4, text);
     all.query(text);
     all.json(text);
-    const Cmcd got = all.done();
+    const Cmcd got = all.finish();
     CmcdReader back;
     back.query(writeCmcdQuery(got));
-    if (writeCmcdQuery(back.done()) != writeCmcdQuery(got)) std::abort();
+    if (writeCmcdQuery(back.finish()) != writeCmcdQuery(got)) std::abort();
     if (const auto list = parseList(text)) {
         const auto once = write(*list);
         if (!once || parseList(*once) != list) std::abort();
--- a/src/fakes/box.cpp
+++ b/src/fakes/box.cpp
@@ -118,7 +118,7 @@
 void Box::start(bool cold) {
     if (server_) return;
     http::HttpLimits limits;
-    limits.idleFor = 30 * kSecond;
+    limits.idleTimeout = 30 * kSecond;
     server_ = std::make_unique<http::Server>(fleet_.net_, at_, limits, *this);
     at_ = server_->endpoint();
     startedAt_ = fleet_.net_.now();
--- a/src/fakes/caller.hpp
+++ b/src/fakes/caller.hpp
@@ -60,7 +60,7 @@
     std::mt19937_64 chance_;
     Ledger& ledger_;
     std::function<void()> done_;
-    std::unique_ptr<net::Datagrams> socket_;
+    std::unique_ptr<net::DatagramSocket> socket_;
     std::string callId_, tag_, toTag_, branch_, trace_, invite_, ack_, bye_;
     net::Timer again_, cancel_, giveUp_, end_, refresh_, byeAgain_;
     Micros wait_, askedAt_ = 0, byeWait_;
--- a/src/fakes/list_server.cpp
+++ b/src/fakes/list_server.cpp
@@ -88,7 +88,7 @@
     const std::string* last = exchange.head().fields.find("Last-Event-ID");
     const std::uint64_t key = next_++;
     auto& stream = streams_[key] = std::make_unique<Stream>(*this, key, front, exchange);
-    exchange.beginStream(200, fields);
+    exchange.beginChunked(200, fields);
     // Whoever is up to date hears of what comes next; all others get the whole.
     if (last && *last == std::to_string(version_)) return;
     std::vector<ListedBox> all;
--- a/src/fakes/player.cpp
+++ b/src/fakes/player.cpp
@@ -125,7 +125,7 @@
                                   : state_ == State::Init                              ? "i"
                                                                                        : "av",
                                   target);
-    if (!conn_ || !conn_->idle()) {
+    if (!conn_ || !conn_->isIdle()) {
         closeConnection();
         conn_ = std::make_unique<http::Connection>(net_, at_, http::HttpLimits{}, 2 * kSecond);
     }
@@ -255,8 +255,9 @@
         ledger_.add(l);
         if (status == 200) {
             const auto read = hls::parseMultivariantPlaylist(body_);
-            if (!read.got) return leave();
-            media_ = hls::resolveReference("/talk/x/main.m3u8", read.got->variants.front().uri).value_or("");
+            if (!read.playlist) return leave();
+            media_ =
+                hls::resolveReference("/talk/x/main.m3u8", read.playlist->variants.front().uri).value_or("");
             base_ = media_;
             if (until_ == 0) until_ = net_.now() + plan_.watch;
             waited_ = 0;
@@ -286,21 +287,21 @@
     timer_.cancel();
     if (state_ == State::Playlist) {
         auto read = hls::parseMediaPlaylist(body_);
-        if (!read.got) {
+        if (!read.playlist) {
             ledger_.add(line("segment-lost"));
             return comeAgain(true, std::nullopt);
         }
-        list_ = std::move(*read.got);
+        list_ = std::move(*read.playlist);
         // What was shown once must be shown alike: a sequence that goes back is a broken playlist.
-        if (haveNo_ && list_.firstNo > nextNo_) ledger_.add(line("gap"));
-        if (!haveNo_ || list_.firstNo > nextNo_) nextNo_ = list_.firstNo;
+        if (haveNo_ && list_.mediaSequence > nextNo_) ledger_.add(line("gap"));
+        if (!haveNo_ || list_.mediaSequence > nextNo_) nextNo_ = list_.mediaSequence;
         haveNo_ = true;
     } else if (state_ == State::Segment) {
         Line l = line("segment");
         l.number = static_cast<double>(net_.now() - sentAt_);
         if (map_.compare(0, 5, "init-") == 0) l.rung = std::atoi(map_.c_str() + 5);
         ledger_.add(l);
-        const Micros lasts = list_.segments[nextNo_ - list_.firstNo].duration;
+        const Micros lasts = list_.segments[nextNo_ - list_.mediaSequence].duration;
         ++segments_;
         ++nextNo_;
         if (abr_) abr_->measured(static_cast<double>(bytes_) / 1000, net_.now() - sentAt_);
@@ -315,19 +316,19 @@
 
 void Player::next() {
     if (net_.now() >= until_) return leave();
-    const std::uint64_t end = list_.firstNo + list_.segments.size();
+    const std::uint64_t end = list_.mediaSequence + list_.segments.size();
     if (nextNo_ >= end) {
         if (list_.ended) return leave();
         if (state_ != State::Waiting) {
             state_ = State::Waiting;
-            timer_.after(std::max<Micros>(100'000, list_.target / 2));
+            timer_.after(std::max<Micros>(100'000, list_.targetDuration / 2));
             return;
         }
         state_ = State::Playlist;
         timer_.after(15 * kSecond);
         return fetch(media_);
     }
-    const hls::Segment& s = list_.segments[nextNo_ - list_.firstNo];
+    const hls::Segment& s = list_.segments[nextNo_ - list_.mediaSequence];
     if (playout_) {
         const Micros room = playout_->roomIn(net_.now(), s.duration);
         if (room > 0) {
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -65,9 +65,9 @@
         w.targetBytes = static_cast<std::uint32_t>(node->whole("target-bytes", 128, 100'000, w.targetBytes));
         w.bodyBytes = static_cast<std::uint64_t>(node->whole("body-bytes", 0, 100'000'000, 65'536));
         w.outBytes = static_cast<std::uint32_t>(node->whole("out-bytes", 4'096, 100'000'000, w.outBytes));
-        w.headWithin = node->time("head-within", 10'000, kHour, w.headWithin);
-        w.idleFor = node->time("idle-for", 100'000, kHour, w.idleFor);
-        w.stalledFor = node->time("stalled-for", 100'000, kHour, w.stalledFor);
+        w.headTimeout = node->time("head-within", 10'000, kHour, w.headTimeout);
+        w.idleTimeout = node->time("idle-for", 100'000, kHour, w.idleTimeout);
+        w.stallTimeout = node->time("stalled-for", 100'000, kHour, w.stallTimeout);
         w.connections = static_cast<std::uint32_t>(node->whole("connections", 1, 10'000'000, w.connections));
         node->rejectUnread();
     } else {
@@ -138,8 +138,9 @@
     s.refusedKept = static_cast<std::size_t>(node->whole("refused-kept", 2, 10'000'000, 65'536));
     s.shed = node->flag("shed", true);
     s.overload.targetFill = node->number("target-fill", 0.05, 0.95, s.overload.targetFill);
-    s.overload.targetUnread = node->time("target-unread", 1'000, 10 * kSecond, s.overload.targetUnread);
-    s.overload.every = node->time("look-every", 10'000, 10 * kSecond, s.overload.every);
+    s.overload.targetQueueingDelay =
+        node->time("target-unread", 1'000, 10 * kSecond, s.overload.targetQueueingDelay);
+    s.overload.updateInterval = node->time("look-every", 10'000, 10 * kSecond, s.overload.updateInterval);
     s.overload.ratePerSecond = node->number("rate", 1, 1e6, s.overload.ratePerSecond);
     node->rejectUnread();
 }
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -200,8 +200,8 @@
             if (status_ != 200) return end(502, "the box has no playlist");
             auto read = hls::parseMediaPlaylist(body_);
             std::string().swap(body_);
-            if (!read.got) return end(502, "the box's playlist is broken: " + read.why);
-            Cached cached{std::move(*read.got), {}, path_, ++face_.cacheUse_};
+            if (!read.playlist) return end(502, "the box's playlist is broken: " + read.why);
+            Cached cached{std::move(*read.playlist), {}, path_, ++face_.cacheUse_};
             for (const hls::Segment& s : cached.list.segments) cached.durations.push_back(s.duration);
             face_.cache_[{title_, rung_}] = std::move(cached);
             if (face_.cache_.size() > face_.terms_.cachedPlaylists) {
@@ -422,7 +422,7 @@
 }
 
 void HttpFrontend::countDropped(const hints::CmcdReader& reader) {
-    for (std::size_t i = 0; i < hints::kDroppedKinds; ++i) hintsDropped_[i] += reader.dropped()[i];
+    for (std::size_t i = 0; i < hints::kDropReasonCount; ++i) hintsDropped_[i] += reader.dropped()[i];
 }
 
 hints::Cmcd HttpFrontend::hintsOf(const http::RequestHead& head) {
@@ -430,7 +430,7 @@
     for (std::size_t i = 0; i < hints::kCmcdHeaders.size(); ++i)
         if (const auto value = head.fields.joined(hints::kCmcdHeaders[i])) reader.header(i, *value);
     if (const auto value = http::queryValue(head.query(), "CMCD")) reader.query(*value);
-    const hints::Cmcd out = reader.done();
+    const hints::Cmcd out = reader.finish();
     countDropped(reader);
     return out;
 }
@@ -438,7 +438,7 @@
 void HttpFrontend::takeJson(http::Exchange& exchange) {
     hints::CmcdReader reader(hintLimits_);
     reader.json(exchange.body());
-    const hints::Cmcd got = reader.done();
+    const hints::Cmcd got = reader.finish();
     countDropped(reader);
     if (got.sid)
         for (auto& [token, viewer] : viewers_)
@@ -776,7 +776,7 @@
                                {"starved", starved_},
                                {"bad_requests", badRequests_}};
     nlohmann::ordered_json hints;
-    for (std::size_t i = 0; i < hints::kDroppedKinds; ++i)
+    for (std::size_t i = 0; i < hints::kDropReasonCount; ++i)
         hints[std::string(hints::nameOf(static_cast<hints::DropReason>(i)))] = hintsDropped_[i];
     out["hints_dropped"] = std::move(hints);
     return out.dump() + "\n";
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -219,7 +219,7 @@
             if (left <= 1) throw;
         }
     }
-    look_.after(terms_.overload.every);
+    look_.after(terms_.overload.updateInterval);
 }
 SipFrontend::~SipFrontend() {
     calls_.clear();
@@ -234,15 +234,15 @@
         mergedUntil_.pop_front();
         const auto it = merged_.find(key);
         if (it == merged_.end()) continue;
-        if (transactions_.knows(it->second))  // a long call set-up
+        if (transactions_.contains(it->second))  // a long call set-up
             mergedUntil_.emplace_back(net_.now() + 64 * terms_.times.t1, std::move(key));
         else
             merged_.erase(it);
     }
     const Micros unread =
         std::exchange(unreadSum_, 0) / std::max<std::int64_t>(1, std::exchange(unreadOf_, 0));
-    overload_.look(net_.now(), fill, unread, std::exchange(cameNow_, 0), std::exchange(servedNow_, 0));
-    look_.after(terms_.overload.every);
+    overload_.update(net_.now(), fill, unread, std::exchange(cameNow_, 0), std::exchange(servedNow_, 0));
+    look_.after(terms_.overload.updateInterval);
 }
 
 SipFrontend::Call* SipFrontend::bySub(SubId id) {
@@ -289,18 +289,18 @@
 void SipFrontend::heard(std::string_view bytes, const sip::ReplyRoute& way) {
     if (bytes.find_first_not_of("\r\n \t") == std::string_view::npos) return;  // keeps a NAT open
     ++counts_.messages;
-    sip::Parsed parsed = sip::parse(bytes, terms_.limits);
-    if (!parsed.got) {
+    sip::ParseResult parsed = sip::parse(bytes, terms_.limits);
+    if (!parsed.message) {
         ++counts_.malformed;
         log_.write(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
                    {{"peer", net::toString(way.peer)}, {"status", parsed.status}, {"why", parsed.why}});
-        if (parsed.enough && parsed.status) replyStateless(*parsed.enough, way, parsed.status);
+        if (parsed.partial && parsed.status) replyStateless(*parsed.partial, way, parsed.status);
         return;
     }
-    if (parsed.got->request)
-        onRequest(std::move(*parsed.got), way);
+    if (parsed.message->request)
+        onRequest(std::move(*parsed.message), way);
     else
-        onAnswer(*parsed.got);
+        onAnswer(*parsed.message);
 }
 
 // To one that offered overload control, its topmost Via says what is asked of it.
@@ -327,7 +327,7 @@
     const auto call = byKey_.find(key);
     const std::string tag = call != byKey_.end() ? call->second->localTag : logging::toHex(net_.randomBits());
     const net::Endpoint* from = call != byKey_.end() ? &call->second->way.peer : nullptr;
-    transactions_.answer(key, status, sip::response(withControl(m), status, tag, more, body, from));
+    transactions_.respond(key, status, sip::response(withControl(m), status, tag, more, body, from));
 }
 
 // ================= requests =================
@@ -337,10 +337,10 @@
         if (transactions_.ack(m)) return;
         Call* call = byDialog(m);
         if (!call) return;
-        transactions_.acknowledged(call->key);
+        transactions_.onAcknowledged(call->key);
         if (std::exchange(call->answerDue,
                           false)) {  // the offer was ours, and this must answer it (13.2.2.4)
-            const auto answer = sip::readOffer(m.body);
+            const auto answer = sip::parseOffer(m.body);
             if (!answer || !answer->hasVideo || !answer->wantsVideo || answer->videoPort == 0)
                 hangUp(*call, true);
         }
@@ -348,7 +348,7 @@
     }
     const std::string key = sip::Transactions::keyOf(m);
     // What is new is weighed before anything is kept of it; what is known is absorbed first.
-    if (m.method == "INVITE" && m.to.tag.empty() && !transactions_.knows(key)) {
+    if (m.method == "INVITE" && m.to.tag.empty() && !transactions_.contains(key)) {
         ++counts_.invites;
         ++cameNow_;
         const auto priority = m.others.find("resource-priority");
@@ -364,7 +364,7 @@
             return;
         case sip::Transactions::RequestDisposition::Full:
             ++counts_.shed;
-            refused_.remember(nameOf(m.vias.front().branch, m.callId, salt_));
+            refused_.insert(nameOf(m.vias.front().branch, m.callId, salt_));
             return replyStateless(m, way, 503, terms_.retryWhenFull);
         case sip::Transactions::RequestDisposition::New:
             break;
@@ -388,20 +388,20 @@
 // Before a transaction is made: overload control, and the gate where it would refuse anyway. What was refused
 // once stays refused: a copy that comes when there is room again must not get a second final answer.
 bool SipFrontend::turnedAway(std::uint64_t name, bool listens, bool emergency, const sip::ReplyRoute& way) {
-    if (refused_.knows(name)) return true;
+    if (refused_.contains(name)) return true;
     const double draw = static_cast<double>(name >> 11) / 9007199254740992.0;
     const bool away =
-        stopping_ || (terms_.shed && (overload_.shed(draw, listens, emergency, gate_.fillRatio()) ||
+        stopping_ || (terms_.shed && (overload_.shouldShed(draw, listens, emergency, gate_.fillRatio()) ||
                                       (!emergency && !gate_.wouldAdmit(way.peer.ip))));
-    if (away) refused_.remember(name);
+    if (away) refused_.insert(name);
     return away;
 }
 
 // What a flood costs at most: no message is read whole, nothing is kept but its name.
 bool SipFrontend::turnedAwayAtAGlance(const sip::PrefilteredRequest& g, const sip::ReplyRoute& way) {
     const std::uint64_t name = nameOf(g.branch, g.callId, salt_);
-    if (g.method == "ACK") return refused_.knows(name);
-    if (g.toHasTag || transactions_.knows(g.inviteKey())) return false;
+    if (g.method == "ACK") return refused_.contains(name);
+    if (g.toHasTag || transactions_.contains(g.inviteKey())) return false;
     const bool listens = g.via.find(";oc") != std::string_view::npos;
     if (!turnedAway(name, listens, false, way)) return false;
     ++counts_.messages;
@@ -426,7 +426,7 @@
     // The same call by another way (section 8.2.2.2): forked upstream, or sent from a second port.
     const std::string mergeKey = m.callId + "|" + m.from.tag + "|" + std::to_string(m.cseq);
     const auto first = merged_.find(mergeKey);
-    if (first != merged_.end() && transactions_.knows(first->second)) {
+    if (first != merged_.end() && transactions_.contains(first->second)) {
         ++counts_.merged;
         return reply(key, m, 482);
     }
@@ -443,7 +443,7 @@
     } else {
         if (m.contentType.compare(0, 15, "application/sdp") != 0)
             return reply(key, m, 415, {{"Accept", "application/sdp"}});
-        const auto read = sip::readOffer(m.body);
+        const auto read = sip::parseOffer(m.body);
         if (!read || !read->hasVideo || !read->wantsVideo) return reply(key, m, 488);
         offer = *read;
     }
@@ -458,7 +458,7 @@
                      {{"Retry-After", ceilToSeconds(gate_.retryAfter(net_.now(), terms_.retryWhenFull))}});
 
     const RoomType& type = rooms_.types[room->v];
-    double kbits = offer.mostBits ? static_cast<double>(*offer.mostBits) / 1'000 : 1e18;
+    double kbits = offer.maxBitrate ? static_cast<double>(*offer.maxBitrate) / 1'000 : 1e18;
     if (gate_.isLimitedToLowestRung(network)) kbits = 0;
     const SubscriptionRequest wish =
         subscriptionRequestFor(*room, m.user, talk->second, ladder_, type, kbits);
@@ -528,7 +528,7 @@
 void SipFrontend::onCancel(const sip::Message& m, const std::string& key) {
     std::string invite = key.substr(0, key.size() - 7);  // less "|CANCEL"
     const auto it = byKey_.find(invite);
-    reply(key, m, transactions_.knows(invite) ? 200 : 481);
+    reply(key, m, transactions_.contains(invite) ? 200 : 481);
     // Behind a final answer a CANCEL does nothing: whichever came first is what happened (section 9.2).
     if (it == byKey_.end() || it->second->playing) return;
     ++counts_.cancelled;
@@ -552,7 +552,7 @@
     if (m.contact && !m.contact->uri.empty()) call.target = m.contact->uri;
     std::string body;
     if (!m.body.empty()) {
-        const auto offer = sip::readOffer(m.body);
+        const auto offer = sip::parseOffer(m.body);
         if (!offer || !offer->hasVideo) return reply(key, m, 488);
         call.offer = *offer;
         ++call.version;
@@ -689,7 +689,7 @@
     log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
                {{"trace", call.trace.trace}, {"sub", id.v}, {"face", "sip"}});
     if (std::exchange(call.inGate, false)) gate_.onAnswered(call.network);
-    transactions_.acknowledged(call.key);  // whatever became of its 200, it is sent no more
+    transactions_.onAcknowledged(call.key);  // whatever became of its 200, it is sent no more
     byKey_.erase(call.key);
     byDialog_.erase(call.dialog);
     call.sessionTimer->cancel();
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -25,7 +25,7 @@
 namespace valekeel::frontends {
 
 struct SipFrontendSettings {
-    sip::SipTimes times;
+    sip::SipTimers times;
     sip::SipLimits limits;
     sip::OverloadSettings overload;
     bool shed = true;                  // overload control; without it only the bounds hold
@@ -110,7 +110,7 @@
     sip::Transactions transactions_;
     sip::Overload overload_;
     sip::RefusedRequests refused_;
-    std::unique_ptr<net::Datagrams> datagrams_;
+    std::unique_ptr<net::DatagramSocket> datagrams_;
     std::unique_ptr<net::Listener> listener_;
     std::map<std::uint64_t, std::unique_ptr<Stream>> streams_;
     std::vector<std::unique_ptr<Stream>> deadStreams_;
--- a/src/hints/cmcd.cpp
+++ b/src/hints/cmcd.cpp
@@ -73,9 +73,9 @@
 }  // namespace
 
 std::string_view nameOf(DropReason why) {
-    static constexpr std::string_view kNames[kDroppedKinds] = {"malformed",    "wrong-type",  "out-of-range",
-                                                               "twice",        "too-long",    "unknown",
-                                                               "wrong-header", "contradicts", "too-many"};
+    static constexpr std::string_view kNames[kDropReasonCount] = {
+        "malformed", "wrong-type",   "out-of-range", "twice",   "too-long",
+        "unknown",   "wrong-header", "contradicts",  "too-many"};
     return kNames[static_cast<std::size_t>(why)];
 }
 
@@ -144,7 +144,7 @@
         depth = std::max(depth, at);
         if (event == nlohmann::json::parse_event_t::key && at == 1) {
             const std::string name = parsed.get<std::string>();
-            if (std::find(twice.begin(), twice.end(), name) != twice.end()) drop(DropReason::Twice);
+            if (std::find(twice.begin(), twice.end(), name) != twice.end()) drop(DropReason::Duplicate);
             twice.push_back(name);
         }
         return at < 4;
@@ -177,13 +177,13 @@
     }
 }
 
-void CmcdReader::take(std::string_view key, const Bare& value, std::optional<std::size_t> header) {
+void CmcdReader::take(std::string_view key, const BareItem& value, std::optional<std::size_t> header) {
     if (seen_.size() >= limits_.keys) {
         drop(DropReason::TooMany);
         return;
     }
     if (std::find(seen_.begin(), seen_.end(), key) != seen_.end()) {
-        drop(DropReason::Twice);
+        drop(DropReason::Duplicate);
         return;
     }
     const Key* known = keyOf(key);
@@ -268,7 +268,7 @@
     if (n == "v") out_.v = whole;
 }
 
-Cmcd CmcdReader::done() {
+Cmcd CmcdReader::finish() {
     // A later version may mean other things by the same keys; only the identifiers are kept then.
     if (out_.v && *out_.v != 1) {
         Cmcd kept;
@@ -276,19 +276,19 @@
         kept.cid = out_.cid;
         kept.v = out_.v;
         out_ = kept;
-        drop(DropReason::Contradicts);
+        drop(DropReason::Contradictory);
         return out_;
     }
     // The rate played can't be over the best that the ladder has: neither is then to be believed.
     if (out_.br && out_.tb && *out_.br > *out_.tb) {
         out_.br.reset();
         out_.tb.reset();
-        drop(DropReason::Contradicts);
+        drop(DropReason::Contradictory);
     }
     // The deadline is the buffer over the play rate: one that lies far beyond it was made up.
     if (out_.dl && out_.bl && *out_.dl > 2 * *out_.bl + 10'000) {
         out_.dl.reset();
-        drop(DropReason::Contradicts);
+        drop(DropReason::Contradictory);
     }
     return out_;
 }
--- a/src/hints/cmcd.hpp
+++ b/src/hints/cmcd.hpp
@@ -17,20 +17,20 @@
 namespace valekeel::hints {
 
 enum class DropReason : std::size_t {
-    Malformed,    // the value breaks the grammar of its key
-    WrongType,    // a number where a string belongs, and the like
-    OutOfRange,   // negative, over the limit, or not among the values that the key allows
-    Twice,        // a key given again: the first is kept
-    TooLong,      // a string over the limit of its key, or a whole field over the limit
-    UnknownKey,   // neither of the specification nor with a prefix of its own
-    WrongHeader,  // a key in another header than its own: used all the same, and counted
-    Contradicts,  // says what another hint shows to be untrue
-    TooMany,      // over the number of keys that are read
+    Malformed,      // the value breaks the grammar of its key
+    WrongType,      // a number where a string belongs, and the like
+    OutOfRange,     // negative, over the limit, or not among the values that the key allows
+    Duplicate,      // a key given again: the first is kept
+    TooLong,        // a string over the limit of its key, or a whole field over the limit
+    UnknownKey,     // neither of the specification nor with a prefix of its own
+    WrongHeader,    // a key in another header than its own: used all the same, and counted
+    Contradictory,  // says what another hint shows to be untrue
+    TooMany,        // over the number of keys that are read
     Count_
 };
-constexpr std::size_t kDroppedKinds = static_cast<std::size_t>(DropReason::Count_);
+constexpr std::size_t kDropReasonCount = static_cast<std::size_t>(DropReason::Count_);
 std::string_view nameOf(DropReason);
-using DropCounts = std::array<std::uint64_t, kDroppedKinds>;
+using DropCounts = std::array<std::uint64_t, kDropReasonCount>;
 
 struct HintLimits {
     std::size_t fieldBytes = 4'096;  // of one header, or of the decoded query argument
@@ -63,12 +63,12 @@
     void query(std::string_view decoded);  // the value of CMCD=, percent-decoded
     void json(std::string_view body);
     // Checks what hints say of each other, and gives them out.
-    Cmcd done();
+    Cmcd finish();
     const DropCounts& dropped() const { return dropped_; }
 
   private:
     void read(std::string_view text, std::optional<std::size_t> header);
-    void take(std::string_view key, const Bare& value, std::optional<std::size_t> header);
+    void take(std::string_view key, const BareItem& value, std::optional<std::size_t> header);
     void drop(DropReason why) { ++dropped_[static_cast<std::size_t>(why)]; }
     HintLimits limits_;
     Cmcd out_;
--- a/src/hints/cmsd.cpp
+++ b/src/hints/cmsd.cpp
@@ -3,18 +3,18 @@
 namespace valekeel::hints {
 namespace {
 
-std::optional<std::int64_t> wholeOf(const Bare* value) {
+std::optional<std::int64_t> wholeOf(const BareItem* value) {
     if (!value) return std::nullopt;
     if (const auto* i = std::get_if<std::int64_t>(value); i && *i >= 0) return *i;
     if (const auto* d = std::get_if<Decimal>(value); d && d->thousandths >= 0) return d->thousandths / 1000;
     return std::nullopt;
 }
-std::optional<std::string> wordOf(const Bare* value) {
+std::optional<std::string> wordOf(const BareItem* value) {
     if (!value) return std::nullopt;
     if (const auto* t = std::get_if<Token>(value)) return t->text;
     return std::nullopt;
 }
-std::optional<std::string> textOf(const Bare* value) {
+std::optional<std::string> textOf(const BareItem* value) {
     if (!value) return std::nullopt;
     if (const auto* s = std::get_if<std::string>(value)) return *s;
     return std::nullopt;
@@ -25,7 +25,7 @@
 std::optional<CmsdStatic> parseCmsdStatic(std::string_view text) {
     const auto dictionary = parseDictionary(text);
     if (!dictionary) return std::nullopt;
-    const auto bare = [&](std::string_view key) -> const Bare* {
+    const auto bare = [&](std::string_view key) -> const BareItem* {
         const Member* member = dictionary->find(key);
         const Item* item = member ? std::get_if<Item>(member) : nullptr;
         return item ? &item->value : nullptr;
@@ -59,7 +59,7 @@
         entry.mb = wholeOf(item->params.find("mb"));
         entry.rd = wholeOf(item->params.find("rd"));
         entry.rtt = wholeOf(item->params.find("rtt"));
-        if (const Bare* du = item->params.find("du"))
+        if (const BareItem* du = item->params.find("du"))
             if (const auto* yes = std::get_if<bool>(du)) entry.du = *yes;
         for (const auto& [key, value] : item->params.all)
             if (key.find('-') != std::string::npos) entry.custom.set(key, value);
@@ -70,7 +70,7 @@
 
 std::string write(const CmsdStatic& s) {
     Dictionary out;
-    const auto put = [&](const char* key, Bare value) { out.set(key, Item{std::move(value), {}}); };
+    const auto put = [&](const char* key, BareItem value) { out.set(key, Item{std::move(value), {}}); };
     if (s.at) put("at", *s.at);
     if (s.br) put("br", *s.br);
     if (s.d) put("d", *s.d);
@@ -97,7 +97,7 @@
 }
 
 std::optional<double> customNumber(const CmsdEntry& entry, std::string_view key) {
-    const Bare* value = entry.custom.find(key);
+    const BareItem* value = entry.custom.find(key);
     if (!value) return std::nullopt;
     if (const auto* d = std::get_if<Decimal>(value); d && d->thousandths >= 0) return d->value();
     if (const auto* i = std::get_if<std::int64_t>(value); i && *i >= 0 && *i < 1'000'000)
--- a/src/hints/structured.cpp
+++ b/src/hints/structured.cpp
@@ -118,7 +118,7 @@
             skip(" ");
             std::string name;
             if (!key(name)) return false;
-            Bare value = true;
+            BareItem value = true;
             if (take('=') && !bare(value)) return false;
             out.set(std::move(name), std::move(value));
         }
@@ -132,7 +132,7 @@
         }
         return true;
     }
-    bool bare(Bare& out) {
+    bool bare(BareItem& out) {
         if (text_.empty()) return false;
         const char c = text_.front();
         if (c == '-' || digit(c)) return number(out);
@@ -153,7 +153,7 @@
         out = std::move(token);
         return true;
     }
-    bool number(Bare& out) {
+    bool number(BareItem& out) {
         const bool negative = take('-');
         std::int64_t whole = 0, part = 0;
         int digits = 0, behind = 0;
@@ -180,7 +180,7 @@
         out = Decimal{negative ? -all : all};
         return true;
     }
-    bool string(Bare& out) {
+    bool string(BareItem& out) {
         text_.remove_prefix(1);
         std::string value;
         while (!text_.empty()) {
@@ -202,7 +202,7 @@
         }
         return false;
     }
-    bool bytes(Bare& out) {
+    bool bytes(BareItem& out) {
         text_.remove_prefix(1);
         const auto end = text_.find(':');
         if (end == std::string_view::npos) return false;
@@ -235,7 +235,7 @@
         for (const char c : name) good = good && keyRest(c);
         out += name;
     }
-    void bare(const Bare& value) {
+    void bare(const BareItem& value) {
         if (const auto* i = std::get_if<std::int64_t>(&value)) {
             good = good && *i <= kMostInteger && *i >= -kMostInteger;
             out += std::to_string(*i);
@@ -271,7 +271,7 @@
         for (const auto& [name, value] : all.all) {
             out += ';';
             key(name);
-            if (value == Bare(true)) continue;
+            if (value == BareItem(true)) continue;
             out += '=';
             bare(value);
         }
@@ -332,7 +332,7 @@
         if (i) w.out += ", ";
         w.key(name);
         const auto* plain = std::get_if<Item>(&member);
-        if (plain && plain->value == Bare(true)) {
+        if (plain && plain->value == BareItem(true)) {
             w.params(plain->params);
         } else {
             w.out += '=';
--- a/src/hints/structured.hpp
+++ b/src/hints/structured.hpp
@@ -24,7 +24,7 @@
     bool operator==(const Decimal&) const = default;
     double value() const { return static_cast<double>(thousandths) / 1000; }
 };
-using Bare = std::variant<std::int64_t, Decimal, std::string, Token, Bytes, bool>;
+using BareItem = std::variant<std::int64_t, Decimal, std::string, Token, Bytes, bool>;
 
 // In order; a key that comes twice keeps its first place and its last value (sections 4.2.2 and 4.2.3.2).
 template <class Value>
@@ -44,10 +44,10 @@
     }
     bool operator==(const Ordered&) const = default;
 };
-using Parameters = Ordered<Bare>;
+using Parameters = Ordered<BareItem>;
 
 struct Item {
-    Bare value;
+    BareItem value;
     Parameters params;
     bool operator==(const Item&) const = default;
 };
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -123,12 +123,12 @@
         } else if (const auto t = tag("#EXT-X-TARGETDURATION:")) {
             const auto secs = numberOf<std::int64_t>(*t);
             if (!secs || *secs < 0 || *secs > 86'400) return "#EXT-X-TARGETDURATION is broken";
-            out.target = *secs * kSecond;
+            out.targetDuration = *secs * kSecond;
             hasTarget = true;
         } else if (const auto s = tag("#EXT-X-MEDIA-SEQUENCE:")) {
             const auto number = numberOf<std::uint64_t>(*s);
             if (!number) return "#EXT-X-MEDIA-SEQUENCE is broken";
-            out.firstNo = *number;
+            out.mediaSequence = *number;
         } else if (const auto r = tag("#EXT-X-BYTERANGE:")) {
             range = *r;
         } else if (const auto m = tag("#EXT-X-MAP:")) {
@@ -189,8 +189,8 @@
 
 std::string write(const MediaPlaylist& p) {
     std::string out = "#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-TARGETDURATION:" +
-                      std::to_string((p.target + kSecond - 1) / kSecond) + "\n";
-    if (p.firstNo > 0) out += "#EXT-X-MEDIA-SEQUENCE:" + std::to_string(p.firstNo) + "\n";
+                      std::to_string((p.targetDuration + kSecond - 1) / kSecond) + "\n";
+    if (p.mediaSequence > 0) out += "#EXT-X-MEDIA-SEQUENCE:" + std::to_string(p.mediaSequence) + "\n";
     int map = -1;
     for (const Segment& s : p.segments) {
         if (s.discontinuity) out += "#EXT-X-DISCONTINUITY\n";
--- a/src/hls/playlist.hpp
+++ b/src/hls/playlist.hpp
@@ -30,8 +30,8 @@
     bool operator==(const Map&) const = default;
 };
 struct MediaPlaylist {
-    Micros target = 0;
-    std::uint64_t firstNo = 0;  // EXT-X-MEDIA-SEQUENCE
+    Micros targetDuration = 0;
+    std::uint64_t mediaSequence = 0;  // EXT-X-MEDIA-SEQUENCE
     std::vector<Map> maps;
     std::vector<Segment> segments;
     bool ended = false;
@@ -56,7 +56,7 @@
 // Nothing, with why, if it is none: the first line, a needed tag or a number is missing or broken.
 template <class What>
 struct ParseResult {
-    std::optional<What> got;
+    std::optional<What> playlist;
     std::string why;
 };
 ParseResult<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& = {});
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -43,12 +43,12 @@
     void abandon();
     void pause();  // no more pieces are wanted now: the peer is made to wait
     void resume();
-    bool idle() const { return !user_ && stream_ && !ended_; }
-    bool used() const { return fetches_ > 1; }  // the request out now is not its first
+    bool isIdle() const { return !user_ && stream_ && !ended_; }
+    bool isReused() const { return fetches_ > 1; }  // the request out now is not its first
     Micros idleSince() const { return idleSince_; }
-    bool wroteAny() const { return wroteAny_; }
+    bool hasWritten() const { return wroteAny_; }
     // The peer closed it while nothing was out.
-    bool lost() const { return ended_ || !stream_; }
+    bool isClosed() const { return ended_ || !stream_; }
     // It sent bytes that nobody had asked for: a second answer, say.
     bool receivedUnsolicitedBytes() const { return unasked_; }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -58,12 +58,12 @@
     std::uint32_t headBytes = 16'384;
     std::uint32_t fields = 64;
     std::uint32_t targetBytes = 8'192;
-    std::uint64_t bodyBytes = 65'536;      // of a request; answers are streamed
-    std::uint32_t outBytes = 262'144;      // unsent on one connection before the sender must wait
-    std::int64_t headWithin = 5'000'000;   // a request must be whole by then: slow senders are cut off
-    std::int64_t idleFor = 30'000'000;     // between requests
-    std::int64_t stalledFor = 10'000'000;  // a reader that takes nothing for so long is cut off
-    std::uint32_t connections = 20'000;    // accepted and open at once; more are closed at once
+    std::uint64_t bodyBytes = 65'536;        // of a request; answers are streamed
+    std::uint32_t outBytes = 262'144;        // unsent on one connection before the sender must wait
+    std::int64_t headTimeout = 5'000'000;    // a request must be whole by then: slow senders are cut off
+    std::int64_t idleTimeout = 30'000'000;   // between requests
+    std::int64_t stallTimeout = 10'000'000;  // a reader that takes nothing for so long is cut off
+    std::uint32_t connections = 20'000;      // accepted and open at once; more are closed at once
 };
 
 }  // namespace valekeel::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -41,7 +41,7 @@
           guard_(server.net_, [this] { tooSlow(); }) {
         stream_->setHandler(*this);
         freshParser();
-        guard_.after(server_.limits_.idleFor);
+        guard_.after(server_.limits_.idleTimeout);
     }
 
     // ---- what the stream says ----
@@ -77,7 +77,7 @@
         state_ = State::Sending;
         flush();
     }
-    void beginStream(int status, const Fields& fields) override {
+    void beginChunked(int status, const Fields& fields) override {
         if (state_ != State::Owed) return;
         decideKeep();
         chunked_ = true;
@@ -169,7 +169,7 @@
                 return;
             }
             freshParser();
-            guard_.after(server_.limits_.idleFor);
+            guard_.after(server_.limits_.idleTimeout);
             if (in_.empty()) in_.shrink_to_fit();
         }
         take();
@@ -177,7 +177,7 @@
         if (!in_.empty()) {
             if (!started_) {
                 started_ = true;
-                guard_.after(server_.limits_.headWithin);
+                guard_.after(server_.limits_.headTimeout);
             }
             if (!parser_->headDone()) softenHead();
             const Parser::Fed fed = parser_->feed(in_);
@@ -259,7 +259,7 @@
             out_.erase(0, sent_);
             sent_ = 0;
         }
-        if (unsent() > 0 && (moved || !guard_.isSet())) guard_.after(server_.limits_.stalledFor);
+        if (unsent() > 0 && (moved || !guard_.isSet())) guard_.after(server_.limits_.stallTimeout);
         if (unsent() == 0 && (state_ == State::Owed || state_ == State::Sending)) guard_.cancel();
         if (state_ == State::Sending && user_ && moved && unsent() < server_.limits_.outBytes / 2)
             user_->onDrained();
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -34,7 +34,7 @@
     // An answer in pieces, of a length that is known.
     virtual void begin(int status, const Fields&, std::uint64_t length) = 0;
     // An answer without a known end, in chunks (RFC 9112, section 7.1).
-    virtual void beginStream(int status, const Fields&) = 0;
+    virtual void beginChunked(int status, const Fields&) = 0;
     virtual void send(std::string_view) = 0;
     virtual void finish() = 0;
     virtual std::size_t unsent() const = 0;
--- a/src/net/epoll.cpp
+++ b/src/net/epoll.cpp
@@ -246,9 +246,9 @@
     std::uint64_t ticket_ = 0;
 };
 
-class EpollDatagrams final : public Datagrams, private EpollNet::Handler {
+class EpollDatagramSocket final : public DatagramSocket, private EpollNet::Handler {
   public:
-    EpollDatagrams(EpollNet& net, const Endpoint& at, DatagramHandler& user) : net_(net), user_(user) {
+    EpollDatagramSocket(EpollNet& net, const Endpoint& at, DatagramHandler& user) : net_(net), user_(user) {
         fd_ = ::socket(at.ip.is_v6() ? AF_INET6 : AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
         sockaddr_storage raw;
         const socklen_t size = toRaw(at, raw);
@@ -265,7 +265,7 @@
         at_ = localOf(fd_);
         ticket_ = net_.enter(fd_, *this, EPOLLIN | EPOLLET);
     }
-    ~EpollDatagrams() override {
+    ~EpollDatagramSocket() override {
         net_.leave(ticket_, fd_);
         ::close(fd_);
     }
@@ -424,8 +424,8 @@
     return std::make_unique<EpollListener>(*this, at, user);
 }
 
-std::unique_ptr<Datagrams> EpollNet::bind(const Endpoint& at, DatagramHandler& user) {
-    return std::make_unique<EpollDatagrams>(*this, at, user);
+std::unique_ptr<DatagramSocket> EpollNet::bind(const Endpoint& at, DatagramHandler& user) {
+    return std::make_unique<EpollDatagramSocket>(*this, at, user);
 }
 
 void EpollNet::onSignals(const std::vector<int>& signals, std::function<void(int)> heard) {
@@ -436,7 +436,7 @@
     Micros wait = atMost;
     now_ = clock();
     if (!again_.empty()) wait = 0;
-    if (const auto next = wheel_.next()) wait = std::min(wait, std::max<Micros>(0, *next - now_));
+    if (const auto next = wheel_.nextCheck()) wait = std::min(wait, std::max<Micros>(0, *next - now_));
     std::array<epoll_event, 256> events;
     const int count = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()),
                                    static_cast<int>((wait + 999) / 1000));
@@ -454,7 +454,7 @@
             slot.handler->happened(events[static_cast<std::size_t>(i)].events);
     }
     now_ = clock();
-    while (TimerNode* node = wheel_.due(now_)) Timer::fire(*node);
+    while (TimerNode* node = wheel_.popDue(now_)) Timer::fire(*node);
 }
 
 void EpollNet::run() {
--- a/src/net/epoll.hpp
+++ b/src/net/epoll.hpp
@@ -19,7 +19,7 @@
     TimerWheel& timerWheel() override { return wheel_; }
     std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) override;
     std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) override;
-    std::unique_ptr<Datagrams> bind(const Endpoint&, DatagramHandler&) override;
+    std::unique_ptr<DatagramSocket> bind(const Endpoint&, DatagramHandler&) override;
     std::uint64_t randomBits() override { return chance_(); }
 
     void run();                   // until stop()
@@ -31,7 +31,7 @@
   private:
     friend class EpollStream;
     friend class EpollListener;
-    friend class EpollDatagrams;
+    friend class EpollDatagramSocket;
     class Handler {
       public:
         virtual ~Handler() = default;
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -75,9 +75,9 @@
 };
 
 // Datagrams in and out of one place. What can't be sent now is lost, as any datagram may be.
-class Datagrams {
+class DatagramSocket {
   public:
-    virtual ~Datagrams() = default;
+    virtual ~DatagramSocket() = default;
     virtual Endpoint endpoint() const = 0;
     virtual void send(const Endpoint& to, std::string_view bytes) = 0;
     // How long the one that is being handed out lay unread, as far as is known.
@@ -94,8 +94,8 @@
     virtual std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) = 0;
     // Throws std::runtime_error, naming the address, if it can't be had.
     virtual std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) = 0;
-    virtual std::unique_ptr<Datagrams> bind(const Endpoint&,
-                                            DatagramHandler&) = 0;  // throws as listen() does
+    virtual std::unique_ptr<DatagramSocket> bind(const Endpoint&,
+                                                 DatagramHandler&) = 0;  // throws as listen() does
     virtual std::uint64_t randomBits() = 0;  // for ids; decisions have generators of their own
 };
 
--- a/src/net/timer_wheel.cpp
+++ b/src/net/timer_wheel.cpp
@@ -79,14 +79,14 @@
     return std::nullopt;
 }
 
-std::optional<Micros> TimerWheel::next() const {
+std::optional<Micros> TimerWheel::nextCheck() const {
     if (ready_.next != &ready_) return static_cast<Micros>(tick_ << kTickShift);
     const auto slot = first();
     if (!slot) return std::nullopt;
     return static_cast<Micros>(slot->tick << kTickShift);
 }
 
-TimerNode* TimerWheel::due(Micros now) {
+TimerNode* TimerWheel::popDue(Micros now) {
     const std::uint64_t until = static_cast<std::uint64_t>(now) >> kTickShift;
     for (;;) {
         if (ready_.next != &ready_) {
--- a/src/net/timer_wheel.hpp
+++ b/src/net/timer_wheel.hpp
@@ -29,10 +29,10 @@
     void remove(TimerNode&);          // nothing if it doesn't wait
 
     // When it is worth looking again: not later than the earliest timer, if there is one.
-    std::optional<Micros> next() const;
+    std::optional<Micros> nextCheck() const;
 
     // Takes out one timer that is due, or nothing. Timers of one tick come in the order they were added.
-    TimerNode* due(Micros now);
+    TimerNode* popDue(Micros now);
 
     std::size_t size() const { return size_; }
 
--- a/src/net/virtual.cpp
+++ b/src/net/virtual.cpp
@@ -8,7 +8,7 @@
 namespace valekeel::net {
 
 // One end of a stream. It outlives the Stream that the user holds as long as something is on its way.
-struct VirtualWorld::End {
+struct VirtualNetwork::End {
     VirtualNode* node = nullptr;
     Endpoint mine;
     StreamHandler* user = nullptr;
@@ -23,9 +23,9 @@
     std::size_t unread() const { return in.size() - taken; }
 };
 
-class VirtualWorld::StreamHere final : public Stream {
+class VirtualNetwork::StreamHere final : public Stream {
   public:
-    StreamHere(VirtualWorld& world, std::shared_ptr<End> end) : world_(world), end_(std::move(end)) {
+    StreamHere(VirtualNetwork& world, std::shared_ptr<End> end) : world_(world), end_(std::move(end)) {
         VirtualNode& node = *end_->node;
         node.mostStreams_ = std::max(node.mostStreams_, ++node.streams_);
     }
@@ -117,27 +117,27 @@
         else if (!end_->finished)
             tellEnd();
     }
-    VirtualWorld& world_;
+    VirtualNetwork& world_;
     std::shared_ptr<End> end_;
 };
 
-class VirtualWorld::ListenerHere final : public Listener {
+class VirtualNetwork::ListenerHere final : public Listener {
   public:
-    ListenerHere(VirtualWorld& world, VirtualNode& node, const Endpoint& at, ListenerHandler& user)
+    ListenerHere(VirtualNetwork& world, VirtualNode& node, const Endpoint& at, ListenerHandler& user)
         : world(world), node(node), place(at), user(user) {
         world.listeners_[at] = this;
     }
     ~ListenerHere() override { world.listeners_.erase(place); }
     Endpoint endpoint() const override { return place; }
-    VirtualWorld& world;
+    VirtualNetwork& world;
     VirtualNode& node;
     Endpoint place;
     ListenerHandler& user;
 };
 
-class VirtualWorld::DatagramsHere final : public Datagrams {
+class VirtualNetwork::DatagramsHere final : public DatagramSocket {
   public:
-    DatagramsHere(VirtualWorld& world, VirtualNode& node, const Endpoint& at, DatagramHandler& user)
+    DatagramsHere(VirtualNetwork& world, VirtualNode& node, const Endpoint& at, DatagramHandler& user)
         : world(world), node(node), place(at), user(user) {
         world.datagrams_[at] = this;
     }
@@ -148,7 +148,7 @@
         if (it == world.datagrams_.end()) return;
         VirtualNode& there = it->second->node;
         const std::vector<Micros> copies =
-            world.datagramWeather ? world.datagramWeather(node, there) : std::vector<Micros>{0};
+            world.datagramCopyDelays ? world.datagramCopyDelays(node, there) : std::vector<Micros>{0};
         for (const Micros late : copies)
             world.later(world.between(node, there) + late, there,
                         [&w = world, from = place, to, text = std::string(bytes)] {
@@ -156,7 +156,7 @@
                             if (who != w.datagrams_.end()) who->second->user.onDatagram(from, text);
                         });
     }
-    VirtualWorld& world;
+    VirtualNetwork& world;
     VirtualNode& node;
     Endpoint place;
     DatagramHandler& user;
@@ -164,7 +164,7 @@
 
 // ================= nodes =================
 
-VirtualNode::VirtualNode(VirtualWorld& world, std::string name, const IpAddress& ip, std::uint64_t seed)
+VirtualNode::VirtualNode(VirtualNetwork& world, std::string name, const IpAddress& ip, std::uint64_t seed)
     : world_(world), name_(std::move(name)), ip_(ip), wheel_(world.now()), chance_(seed) {}
 VirtualNode::~VirtualNode() = default;
 
@@ -184,8 +184,8 @@
 }
 
 std::unique_ptr<Stream> VirtualNode::connect(const Endpoint& to, StreamHandler& user) {
-    VirtualWorld& w = world_;
-    const auto mine = std::make_shared<VirtualWorld::End>();
+    VirtualNetwork& w = world_;
+    const auto mine = std::make_shared<VirtualNetwork::End>();
     mine->node = this;
     mine->user = &user;
     mine->peerAt = to;
@@ -205,7 +205,7 @@
             const auto listener = w.listeners_.find(to);
             if (!mine->open) return;
             if (listener == w.listeners_.end()) return refused(node);
-            const auto other = std::make_shared<VirtualWorld::End>();
+            const auto other = std::make_shared<VirtualNetwork::End>();
             other->node = &node;
             other->mine = to;
             other->peerAt = mine->mine;
@@ -220,37 +220,37 @@
                 mine->wantsToWrite = false;
                 mine->user->onConnected();
             });
-            listener->second->user.onAccepted(std::make_unique<VirtualWorld::StreamHere>(w, other));
+            listener->second->user.onAccepted(std::make_unique<VirtualNetwork::StreamHere>(w, other));
         });
     }
-    return std::make_unique<VirtualWorld::StreamHere>(w, mine);
+    return std::make_unique<VirtualNetwork::StreamHere>(w, mine);
 }
 
 std::unique_ptr<Listener> VirtualNode::listen(const Endpoint& at, ListenerHandler& user) {
     const Endpoint place = world_.placeFor(at);
     if (world_.listeners_.count(place))
         throw std::runtime_error(toString(place) + ": address already in use");
-    return std::make_unique<VirtualWorld::ListenerHere>(world_, *this, place, user);
+    return std::make_unique<VirtualNetwork::ListenerHere>(world_, *this, place, user);
 }
 
-std::unique_ptr<Datagrams> VirtualNode::bind(const Endpoint& at, DatagramHandler& user) {
+std::unique_ptr<DatagramSocket> VirtualNode::bind(const Endpoint& at, DatagramHandler& user) {
     const Endpoint place = world_.placeFor(at);
     if (world_.datagrams_.count(place))
         throw std::runtime_error(toString(place) + ": address already in use");
-    return std::make_unique<VirtualWorld::DatagramsHere>(world_, *this, place, user);
+    return std::make_unique<VirtualNetwork::DatagramsHere>(world_, *this, place, user);
 }
 
 // ================= the world =================
 
-VirtualWorld::VirtualWorld(std::uint64_t seed, Micros start) : now_(start), chance_(seed) {}
-VirtualWorld::~VirtualWorld() = default;
+VirtualNetwork::VirtualNetwork(std::uint64_t seed, Micros start) : now_(start), chance_(seed) {}
+VirtualNetwork::~VirtualNetwork() = default;
 
-VirtualNode& VirtualWorld::node(const std::string& name, const IpAddress& ip) {
+VirtualNode& VirtualNetwork::node(const std::string& name, const IpAddress& ip) {
     nodes_.push_back(std::make_unique<VirtualNode>(*this, name, ip, chance_()));
     return *nodes_.back();
 }
 
-Endpoint VirtualWorld::placeFor(const Endpoint& wanted) const {
+Endpoint VirtualNetwork::placeFor(const Endpoint& wanted) const {
     Endpoint out = wanted;
     // Each port once in a world: it has fewer than 40,000 listeners, and streams are known by their ends.
     if (out.port == 0) {
@@ -263,24 +263,24 @@
     return out;
 }
 
-void VirtualWorld::later(Micros wait, VirtualNode& node, std::function<void()> what) {
+void VirtualNetwork::later(Micros wait, VirtualNode& node, std::function<void()> what) {
     events_.push({now_ + wait, ++order_, &node, std::move(what)});
 }
 
 template <class What>
-void VirtualWorld::on(VirtualNode& node, What&& what) {
+void VirtualNetwork::on(VirtualNode& node, What&& what) {
     const auto from = std::chrono::steady_clock::now();
     what();
     node.busy_ += std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
 }
 
-bool VirtualWorld::step(Micros until) {
+bool VirtualNetwork::step(Micros until) {
     for (;;) {
         Micros timerAt = until + 1;
         VirtualNode* whose = nullptr;
         for (const auto& node : nodes_) {
             if (node->stands_) continue;
-            const auto next = node->wheel_.next();
+            const auto next = node->wheel_.nextCheck();
             if (!next || *next >= timerAt) continue;
             timerAt = *next;
             whose = node.get();
@@ -305,13 +305,13 @@
         now_ = std::max(now_, timerAt);
         bool fired = false;
         on(*whose, [&] {
-            if (TimerNode* node = whose->wheel_.due(now_)) {
+            if (TimerNode* node = whose->wheel_.popDue(now_)) {
                 Timer::fire(*node);
                 fired = true;
             }
         });
         if (fired) return true;
-        if (whose->wheel_.next() == timerAt) now_ += 1;  // else it would be looked at for ever
+        if (whose->wheel_.nextCheck() == timerAt) now_ += 1;  // else it would be looked at for ever
     }
 }
 
--- a/src/net/virtual.hpp
+++ b/src/net/virtual.hpp
@@ -21,11 +21,11 @@
 
 namespace valekeel::net {
 
-class VirtualWorld;
+class VirtualNetwork;
 
 class VirtualNode final : public Net {
   public:
-    VirtualNode(VirtualWorld&, std::string name, const IpAddress&, std::uint64_t seed);
+    VirtualNode(VirtualNetwork&, std::string name, const IpAddress&, std::uint64_t seed);
     ~VirtualNode() override;
 
     Micros now() const override;
@@ -33,7 +33,7 @@
     TimerWheel& timerWheel() override { return wheel_; }
     std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) override;
     std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) override;
-    std::unique_ptr<Datagrams> bind(const Endpoint&, DatagramHandler&) override;
+    std::unique_ptr<DatagramSocket> bind(const Endpoint&, DatagramHandler&) override;
     std::uint64_t randomBits() override { return chance_(); }
 
     const std::string& name() const { return name_; }
@@ -46,11 +46,11 @@
     Micros wallSkew = 0;  // of its wall clock
     // Real time spent in what happened to it: the cost of its code, where nothing else takes the CPU.
     double busySeconds() const { return busy_; }
-    std::size_t mostStreams() const { return mostStreams_; }  // that it held at once
+    std::size_t peakStreamCount() const { return mostStreams_; }  // that it held at once
 
   private:
-    friend class VirtualWorld;
-    VirtualWorld& world_;
+    friend class VirtualNetwork;
+    VirtualNetwork& world_;
     std::string name_;
     IpAddress ip_;
     TimerWheel wheel_;
@@ -61,11 +61,11 @@
     std::size_t streams_ = 0, mostStreams_ = 0;
 };
 
-class VirtualWorld {
+class VirtualNetwork {
   public:
     static constexpr std::size_t kBuffer = 256 * 1024;
-    explicit VirtualWorld(std::uint64_t seed, Micros start = 1'000 * kSecond);
-    ~VirtualWorld();
+    explicit VirtualNetwork(std::uint64_t seed, Micros start = 1'000 * kSecond);
+    ~VirtualNetwork();
 
     // Lives as long as the world. Each name and address once.
     VirtualNode& node(const std::string& name, const IpAddress&);
@@ -80,7 +80,7 @@
     std::function<Micros(const VirtualNode&, const VirtualNode&)> latency;
     // Of datagrams alone: how many copies arrive (0: lost), each with what it is late by. One copy, in time,
     // where nothing is set.
-    std::function<std::vector<Micros>(const VirtualNode&, const VirtualNode&)> datagramWeather;
+    std::function<std::vector<Micros>(const VirtualNode&, const VirtualNode&)> datagramCopyDelays;
 
   private:
     friend class VirtualNode;
--- a/src/simulation/environment.cpp
+++ b/src/simulation/environment.cpp
@@ -151,7 +151,7 @@
             10, static_cast<unsigned char>(b), static_cast<unsigned char>(c), static_cast<unsigned char>(d)});
     }
     std::string folder_;
-    net::VirtualWorld world_;
+    net::VirtualNetwork world_;
     net::VirtualNode& own_;
     std::map<int, net::VirtualNode*> members_;
 };
--- a/src/sip/message.cpp
+++ b/src/sip/message.cpp
@@ -107,9 +107,9 @@
     return out;
 }
 
-Parsed parse(std::string_view bytes, const SipLimits& limits) {
+ParseResult parse(std::string_view bytes, const SipLimits& limits) {
     prepare();
-    Parsed out;
+    ParseResult out;
     if (bytes.size() > limits.bytes) {
         out.status = 0;
         out.why = "longer than " + std::to_string(limits.bytes) + " bytes";
@@ -220,20 +220,20 @@
     }
     if (why.empty() && others > static_cast<int>(limits.headers)) why = "more headers than are read";
     if (why.empty()) {
-        out.got = std::move(m);
+        out.message = std::move(m);
         return out;
     }
     out.why = why;
     // An answer needs a way back and something to match it by; an ACK or an answer is never answered.
     if (m.request && m.method != "ACK" && !m.method.empty() && !m.vias.empty() && !m.callId.empty() &&
         raw->cseq && raw->from && raw->to)
-        out.enough = std::move(m);
+        out.partial = std::move(m);
     else
         out.status = 0;
     return out;
 }
 
-std::optional<Offer> readOffer(std::string_view sdp) {
+std::optional<Offer> parseOffer(std::string_view sdp) {
     prepare();
     sdp_message_t* raw = nullptr;
     if (sdp_message_init(&raw) != 0) return std::nullopt;
@@ -253,8 +253,8 @@
             (void)end;
             if (bad != std::errc{}) continue;
             const std::string name = lower(kind);
-            if (name == "tias") out.mostBits = number;
-            if (name == "as" && !out.mostBits && number < 1'000'000'000) out.mostBits = number * 1'000;
+            if (name == "tias") out.maxBitrate = number;
+            if (name == "as" && !out.maxBitrate && number < 1'000'000'000) out.maxBitrate = number * 1'000;
         }
     };
     bandwidth(-1);
--- a/src/sip/message.hpp
+++ b/src/sip/message.hpp
@@ -48,26 +48,26 @@
     std::size_t headers = 100;
 };
 
-struct Parsed {
-    std::optional<Message> got;
+struct ParseResult {
+    std::optional<Message> message;
     int status = 400;  // what a request that is broken is answered, if it can be answered
     std::string why;
-    std::optional<Message> enough;  // what could be read of a broken request: enough to answer it
+    std::optional<Message> partial;  // what could be read of a broken request: enough to answer it
 };
 // Of one whole message. A status of 0 means that silence is owed: nothing of it can be answered.
-Parsed parse(std::string_view bytes, const SipLimits& = {});
+ParseResult parse(std::string_view bytes, const SipLimits& = {});
 
 struct Offer {  // what a caller's SDP asks for
     std::string address;
     int videoPort = 0;
     bool hasVideo = false, wantsVideo = true;  // wantsVideo: not recvonly/inactive the wrong way about
     std::vector<std::string> formats;
-    std::optional<std::uint64_t> mostBits;  // b=TIAS, or b=AS as bits
+    std::optional<std::uint64_t> maxBitrate;  // b=TIAS, or b=AS as bits
     std::size_t medias = 0;
     std::vector<std::string> mediaLines;  // m= of each, to be refused where it is not the video's
     std::size_t videoAt = 0;
 };
-std::optional<Offer> readOffer(std::string_view sdp);
+std::optional<Offer> parseOffer(std::string_view sdp);
 // The answer of RFC 3264, section 6: the same media in the same order, all but the video refused by port 0.
 std::string writeAnswer(const Offer&, const net::Endpoint& media, std::uint64_t bits, std::uint64_t session,
                         std::uint64_t version);
--- a/src/sip/overload.cpp
+++ b/src/sip/overload.cpp
@@ -9,12 +9,12 @@
 RefusedRequests::RefusedRequests(std::size_t places)
     : places_(std::bit_ceil(std::max<std::size_t>(2, places))) {}
 
-void Overload::look(Micros now, double fill, Micros unread, std::uint64_t came, std::uint64_t served) {
+void Overload::update(Micros now, double fill, Micros unread, std::uint64_t came, std::uint64_t served) {
     const double span = seconds(std::max<Micros>(1, now - lookedAt_));
     lookedAt_ = now;
     ++sequence_;
     const double before = loss_;
-    const double late = seconds(unread) / std::max(1e-6, seconds(terms_.targetUnread));
+    const double late = seconds(unread) / std::max(1e-6, seconds(terms_.targetQueueingDelay));
     if (fill > terms_.targetFill || late > 1) {
         const double over = std::max((fill - terms_.targetFill) / std::max(0.05, 1 - terms_.targetFill),
                                      std::min(1.0, (late - 1) / 4));
@@ -22,7 +22,7 @@
         const double pass = 1 - loss_;
         const double was = came > 0 ? static_cast<double>(served) / static_cast<double>(came) : pass;
         const double less = was < pass ? pass + 0.5 * over * (was - pass) : pass * (1 - 0.1 * over);
-        loss_ = std::min(terms_.most, 1 - less);
+        loss_ = std::min(terms_.maxLoss, 1 - less);
     } else if (loss_ > 0) {
         // Back by parts of what passes, so that a tenfold flood is not let in again at a stroke; faster where
         // little comes.
@@ -34,7 +34,7 @@
     rate_ = loss_ > 0 ? std::max(1.0, rateServed * (loss_ > before ? 0.9 : 1.05)) : terms_.ratePerSecond;
 }
 
-bool Overload::shed(double draw, bool listens, bool emergency, double fill) const {
+bool Overload::shouldShed(double draw, bool listens, bool emergency, double fill) const {
     if (emergency) return false;
     if (fill >= 1) return true;
     if (listens) return fill > (1 + terms_.targetFill) / 2 && draw < loss_;
@@ -46,7 +46,7 @@
     const bool loss = algorithms.empty() || algorithms.find("loss") != std::string::npos;
     if (!rate && !loss) return "";
     // oc-seq grows with each look; RFC 7339 lets it be any number that does.
-    const std::string tail = ";oc-validity=" + std::to_string(loss_ > 0 ? terms_.validFor / 1000 : 0) +
+    const std::string tail = ";oc-validity=" + std::to_string(loss_ > 0 ? terms_.validity / 1000 : 0) +
                              ";oc-seq=" + std::to_string(sequence_) + ".0";
     if (loss) return ";oc=" + std::to_string(std::lround(loss_ * 100)) + ";oc-algo=\"loss\"" + tail;
     return ";oc=" + std::to_string(std::lround(rate_)) + ";oc-algo=\"rate\"" + tail;
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -4,7 +4,8 @@
 
 namespace valekeel::sip {
 
-Transactions::Transactions(net::Net& net, const SipTimes& times, std::size_t atMost, TransactionHandler& user)
+Transactions::Transactions(net::Net& net, const SipTimers& times, std::size_t atMost,
+                           TransactionHandler& user)
     : net_(net), times_(times), atMost_(atMost), user_(user) {}
 Transactions::~Transactions() = default;
 
@@ -37,7 +38,7 @@
     return RequestDisposition::New;
 }
 
-bool Transactions::answer(const std::string& key, int status, std::string bytes) {
+bool Transactions::respond(const std::string& key, int status, std::string bytes) {
     const auto it = all_.find(key);
     if (it == all_.end() || it->second.state != TransactionState::Proceeding) return false;
     One& one = it->second;
@@ -83,7 +84,7 @@
     return one.state != TransactionState::Accepted;
 }
 
-void Transactions::acknowledged(const std::string& key) {
+void Transactions::onAcknowledged(const std::string& key) {
     const auto it = all_.find(key);
     if (it == all_.end() || it->second.state != TransactionState::Accepted) return;
     if (it->second.again) it->second.again->cancel();
--- a/src/sip/transactions.hpp
+++ b/src/sip/transactions.hpp
@@ -17,7 +17,7 @@
 
 namespace valekeel::sip {
 
-struct SipTimes {  // section 17.1.1.1; longer ones are multiples
+struct SipTimers {  // section 17.1.1.1; longer ones are multiples
     Micros t1 = 500'000, t2 = 4'000'000, t4 = 5'000'000;
 };
 
@@ -41,7 +41,7 @@
 
 class Transactions {
   public:
-    Transactions(net::Net&, const SipTimes&, std::size_t atMost, TransactionHandler&);
+    Transactions(net::Net&, const SipTimers&, std::size_t atMost, TransactionHandler&);
     ~Transactions();
 
     // Matched as section 17.2.3 says: by branch, sent-by and method (an ACK's and a CANCEL's by the
@@ -49,15 +49,15 @@
     static std::string keyOf(const Message&);
 
     enum class RequestDisposition { New, Absorbed, Full };
-    // A request that is no ACK. New: the user owes it an answer by answer().
+    // A request that is no ACK. New: the user owes it an answer by respond().
     RequestDisposition request(const Message&, const ReplyRoute&);
     // An ACK to a failure is absorbed; one to a 200 is for the dialog, and tells so by false.
     bool ack(const Message&);
     // A provisional answer, or the final one. Each transaction takes one final answer; more are refused.
-    bool answer(const std::string& key, int status, std::string bytes);
+    bool respond(const std::string& key, int status, std::string bytes);
     // The dialog heard the ACK of its 200: it is sent no more.
-    void acknowledged(const std::string& key);
-    bool knows(const std::string& key) const { return all_.count(key) > 0; }
+    void onAcknowledged(const std::string& key);
+    bool contains(const std::string& key) const { return all_.count(key) > 0; }
     std::optional<TransactionState> stateOf(const std::string& key) const;
     std::size_t size() const { return all_.size(); }
     std::uint64_t absorbed() const { return absorbed_; }
@@ -74,7 +74,7 @@
     void repeat(const std::string& key);
     void over(const std::string& key);
     net::Net& net_;
-    SipTimes times_;
+    SipTimers times_;
     std::size_t atMost_;
     TransactionHandler& user_;
     std::map<std::string, One> all_;
--- a/src/upstream/join_client.cpp
+++ b/src/upstream/join_client.cpp
@@ -22,18 +22,18 @@
         RequestResult end = RequestResult::ErrorStatus;
         if (head_.status == 200) {
             auto read = hls::parseMultivariantPlaylist(body_, all_.limits_);
-            end = read.got && read.got->variants.size() >= all_.rungs_ ? RequestResult::Answered200
-                                                                       : RequestResult::BadAnswer;
+            end = read.playlist && read.playlist->variants.size() >= all_.rungs_ ? RequestResult::Answered200
+                                                                                 : RequestResult::BadAnswer;
             if (end == RequestResult::Answered200)
-                all_.answers_[id_] =
-                    JoinResponse{std::move(*read.got), path_, head_.fields.joined("CMSD-Static").value_or(""),
-                                 head_.fields.joined("CMSD-Dynamic").value_or(""), toHead_};
+                all_.answers_[id_] = JoinResponse{std::move(*read.playlist), path_,
+                                                  head_.fields.joined("CMSD-Static").value_or(""),
+                                                  head_.fields.joined("CMSD-Dynamic").value_or(""), toHead_};
         } else if (head_.status == 503) {
             end = RequestResult::TurnedAway;
             for (const auto& entry :
                  hints::parseCmsdDynamic(head_.fields.joined("CMSD-Dynamic").value_or(""))) {
-                const hints::Bare* unseen = entry.custom.find("org.valekeel-unseen");
-                if (unseen && *unseen == hints::Bare(true)) end = RequestResult::TurnedAwayUnseen;
+                const hints::BareItem* unseen = entry.custom.find("org.valekeel-unseen");
+                if (unseen && *unseen == hints::BareItem(true)) end = RequestResult::TurnedAwayUnseen;
             }
         }
         all_.ended(id_, joinNo_, end, load, all_.net_.now() - began_);
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -45,7 +45,7 @@
     void resume() override {
         if (conn_) conn_->resume();
     }
-    bool wroteAny() const override { return conn_ && conn_->wroteAny(); }
+    bool wroteAny() const override { return conn_ && conn_->hasWritten(); }
     RequestResult cancel() override {
         const bool out = wroteAny();
         letGo(false);
@@ -127,7 +127,7 @@
         conn_ = nullptr;
         const auto it = box_->conns.find(id_);
         if (it == box_->conns.end()) return;
-        if (kept && it->second.conn->idle()) {
+        if (kept && it->second.conn->isIdle()) {
             it->second.busy = false;
             box_->reuse.idle(all_.net_.now(), id_);
         } else {
@@ -254,7 +254,7 @@
         if (choice.what == What::Wait) return;
         if (choice.what == What::Use) {
             const auto it = box.conns.find(choice.conn);
-            if (it->second.conn->lost()) {  // closed by the box while it lay idle: seen in time
+            if (it->second.conn->isClosed()) {  // closed by the box while it lay idle: seen in time
                 box.reuse.closed(choice.conn, false);
                 box.conns.erase(it);
                 continue;
@@ -286,7 +286,7 @@
             box->conns.erase(*old);
         }
         for (auto it = box->conns.begin(); it != box->conns.end();) {
-            if (!it->second.busy && it->second.conn->lost()) {
+            if (!it->second.busy && it->second.conn->isClosed()) {
                 box->reuse.closed(it->first, false);
                 it = box->conns.erase(it);
             } else {
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -131,7 +131,7 @@
 }
 
 struct ChangeLogDay : testing::Test {
-    net::VirtualWorld world{11};
+    net::VirtualNetwork world{11};
     net::VirtualNode& front = world.node("front", place(1).ip);
     net::VirtualNode& there = world.node("log", place(2).ip);
     net::VirtualNode& elsewhere = world.node("other", place(3).ip);
@@ -396,7 +396,7 @@
 
 // All fronts lose the change log in the same moment, and must not all be back in the same one.
 TEST(ChangeLog, FrontsThatLoseItTogetherAskAgainApart) {
-    net::VirtualWorld world{3};
+    net::VirtualNetwork world{3};
     net::VirtualNode& there = world.node("log", place(2).ip);
     HandLog log(there, place(2));
     std::vector<std::unique_ptr<Heard>> heard;
@@ -531,7 +531,7 @@
 
 // A front node with two media servers and its change log; what was said to its viewers, by subscription.
 struct NodeListDay : testing::Test {
-    net::VirtualWorld world{5};
+    net::VirtualNetwork world{5};
     std::map<int, net::VirtualNode*> nodes;
     net::VirtualNode& machine(int n) {
         auto& node = nodes[n];
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -52,7 +52,7 @@
     }
 };
 struct World : net::ListenerHandler {
-    net::VirtualWorld world{1};
+    net::VirtualNetwork world{1};
     net::VirtualNode& a = world.node("a", net::parseEndpoint("10.0.0.1:0")->ip);
     net::VirtualNode& b = world.node("b", net::parseEndpoint("10.0.0.2:0")->ip);
     std::unique_ptr<net::Listener> listener = b.listen(*net::parseEndpoint("10.0.0.2:0"), *this);
@@ -96,7 +96,7 @@
     w.there.keep = false;
     const std::string much(300'000, 'x');
     const net::IoResult put = w.here.stream->write(much);
-    EXPECT_EQ(put.bytes, net::VirtualWorld::kBuffer);
+    EXPECT_EQ(put.bytes, net::VirtualNetwork::kBuffer);
     EXPECT_EQ(put.status, net::IoResult::Status::WouldBlock);
     w.run(10'000);
     EXPECT_EQ(w.here.writables, 0);
@@ -160,7 +160,7 @@
     const auto to = w.b.bind(*net::parseEndpoint("10.0.0.2:0"), ear);
     const auto from = w.a.bind(*net::parseEndpoint("10.0.0.1:0"), mouth);
     int n = 0;
-    w.world.datagramWeather = [&](const net::VirtualNode&, const net::VirtualNode&) {
+    w.world.datagramCopyDelays = [&](const net::VirtualNode&, const net::VirtualNode&) {
         ++n;
         return n == 1   ? std::vector<Micros>{}
                : n == 2 ? std::vector<Micros>{9'000, 0}
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -189,8 +189,9 @@
     EXPECT_EQ(rig.count("answer", 200), 7);
     EXPECT_EQ(rig.count("segment-lost"), 0);
     const auto& dropped = rig.front->httpFrontend().hintsDropped();
-    for (const auto why : {hints::DropReason::Malformed, hints::DropReason::Twice, hints::DropReason::TooLong,
-                           hints::DropReason::Contradicts, hints::DropReason::OutOfRange})
+    for (const auto why :
+         {hints::DropReason::Malformed, hints::DropReason::Duplicate, hints::DropReason::TooLong,
+          hints::DropReason::Contradictory, hints::DropReason::OutOfRange})
         EXPECT_GT(dropped[static_cast<std::size_t>(why)], 0u) << hints::nameOf(why);
     rig.expectRules();
 }
@@ -755,7 +756,7 @@
 
 // A caller of bare text, for what a well-behaved one never does.
 struct RawCaller : net::DatagramHandler {
-    std::unique_ptr<net::Datagrams> socket;
+    std::unique_ptr<net::DatagramSocket> socket;
     net::Endpoint front;
     std::vector<std::string> got;
     std::string toTag;
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -76,7 +76,7 @@
     h.header(1, "bl=21300,dl=18500,mtp=48100,nor=\"..%2F300kbps%2Ftrack.m4v\",nrr=\"12323-48763\",su");
     h.header(2, "cid=\"faec5fc2\",pr=1.08,sf=h,sid=\"6e2fb550\",st=v,com.example-x=\"y\",v=1");
     h.header(3, "bs,rtp=12000");
-    const Cmcd c = h.done();
+    const Cmcd c = h.finish();
     EXPECT_EQ(c.br, 3200);
     EXPECT_EQ(c.d, 4004);
     EXPECT_EQ(c.ot, "v");
@@ -93,8 +93,8 @@
     CmcdReader q, j;
     q.query(writeCmcdQuery(c));
     j.json(writeCmcdJson(c));
-    EXPECT_EQ(writeCmcdQuery(q.done()), writeCmcdQuery(plain));
-    EXPECT_EQ(writeCmcdQuery(j.done()), writeCmcdQuery(plain));
+    EXPECT_EQ(writeCmcdQuery(q.finish()), writeCmcdQuery(plain));
+    EXPECT_EQ(writeCmcdQuery(j.finish()), writeCmcdQuery(plain));
     // Alphabetical, and nothing that is default.
     plain.pr = Decimal{1000};
     plain.su = false;
@@ -108,11 +108,11 @@
     r.header(0, "ot=zz,br=1,br=2,tb=99999999999999999999");
     r.header(2, "sid=\"" + std::string(65, 's') + "\",cid=\"ok\",my-key=\"" + std::string(200, 'c') + "\"");
     r.header(3, "rtp=5," + std::string(5'000, ' '));
-    const Cmcd c = r.done();
+    const Cmcd c = r.finish();
     EXPECT_EQ(c.cid, "ok");
     EXPECT_EQ(c.br, 1);
     EXPECT_FALSE(c.sid || c.bl || c.dl || c.mtp || c.su || c.ot || c.tb || c.nor || c.rtp);
-    EXPECT_EQ(dropped(r, DropReason::Twice), 1u);
+    EXPECT_EQ(dropped(r, DropReason::Duplicate), 1u);
     EXPECT_GE(dropped(r, DropReason::WrongType), 2u);
     EXPECT_GE(dropped(r, DropReason::OutOfRange), 2u);
     EXPECT_EQ(dropped(r, DropReason::TooLong), 3u);
@@ -123,7 +123,7 @@
 TEST(Cmcd, QuotesHideCommasAndWrongHeadersStillCount) {
     CmcdReader r;
     r.header(3, "sid=\"a,b\\\"c\",bl=5");
-    const Cmcd c = r.done();
+    const Cmcd c = r.finish();
     EXPECT_EQ(c.sid, "a,b\"c");
     EXPECT_EQ(c.bl, 5);
     EXPECT_EQ(dropped(r, DropReason::WrongHeader), 2u);
@@ -132,26 +132,26 @@
 TEST(Cmcd, HintsThatContradictEachOtherGoBoth) {
     CmcdReader r;
     r.query("br=9000,tb=100,dl=900000,bl=20000,sid=\"s\"");
-    const Cmcd c = r.done();
+    const Cmcd c = r.finish();
     EXPECT_FALSE(c.br || c.tb || c.dl);
     EXPECT_EQ(c.sid, "s");
-    EXPECT_EQ(dropped(r, DropReason::Contradicts), 2u);
+    EXPECT_EQ(dropped(r, DropReason::Contradictory), 2u);
     CmcdReader later;
     later.query("v=2,sid=\"s\",bl=5");
-    EXPECT_FALSE(later.done().bl) << "a later version may mean another thing by it";
+    EXPECT_FALSE(later.finish().bl) << "a later version may mean another thing by it";
 }
 
 TEST(Cmcd, BrokenJsonIsDroppedWhole) {
     for (const char* bad : {"", "[", "[1]", "{\"sid\":", "{\"sid\":\"a\",}", "nul"}) {
         CmcdReader r;
         r.json(bad);
-        EXPECT_EQ(writeCmcdQuery(r.done()), "") << bad;
+        EXPECT_EQ(writeCmcdQuery(r.finish()), "") << bad;
         EXPECT_EQ(dropped(r, DropReason::Malformed), 1u) << bad;
     }
     CmcdReader r;
     r.json(R"({"sid":"a","sid":"b","bl":[1],"br":1.5,"d":1e300})");
-    r.done();
-    EXPECT_EQ(dropped(r, DropReason::Twice), 1u);
+    r.finish();
+    EXPECT_EQ(dropped(r, DropReason::Duplicate), 1u);
     EXPECT_EQ(dropped(r, DropReason::WrongType), 1u);
     EXPECT_EQ(dropped(r, DropReason::OutOfRange), 1u);
 }
@@ -162,11 +162,11 @@
         r.header(0, a);
         r.query(b);
         r.json(c);
-        const Cmcd out = r.done();
+        const Cmcd out = r.finish();
         // What was kept can be carried on, and reads back as itself.
         CmcdReader back;
         back.query(writeCmcdQuery(out));
-        RC_ASSERT(writeCmcdQuery(back.done()) == writeCmcdQuery(out));
+        RC_ASSERT(writeCmcdQuery(back.finish()) == writeCmcdQuery(out));
     });
 }
 
--- a/tests/hls_test.cpp
+++ b/tests/hls_test.cpp
@@ -16,9 +16,9 @@
         "#EXT-X-BYTERANGE:100@10\n#EXTINF:4.0,title\nall.mp4\n#EXT-X-UNKNOWN:x\n#EXT-X-BYTERANGE:50\n#EXTINF:"
         "2,\nall.mp4\n"
         "#EXT-X-DISCONTINUITY\n#EXTINF:1.5\nb.mp4\n#EXT-X-ENDLIST\n");
-    ASSERT_TRUE(read.got) << read.why;
-    const hls::MediaPlaylist& p = *read.got;
-    EXPECT_EQ(p.firstNo, 7u);
+    ASSERT_TRUE(read.playlist) << read.why;
+    const hls::MediaPlaylist& p = *read.playlist;
+    EXPECT_EQ(p.mediaSequence, 7u);
     ASSERT_EQ(p.segments.size(), 3u);
     EXPECT_EQ(p.segments[1].range, (hls::Range{50, 110}));
     EXPECT_EQ(p.maps[0].uri, "i,1.mp4");
@@ -26,8 +26,8 @@
     EXPECT_TRUE(p.segments[2].discontinuity);
     EXPECT_TRUE(p.ended);
     const auto back = hls::parseMediaPlaylist(hls::write(p));
-    ASSERT_TRUE(back.got) << back.why;
-    EXPECT_EQ(*back.got, p);
+    ASSERT_TRUE(back.playlist) << back.why;
+    EXPECT_EQ(*back.playlist, p);
 }
 
 TEST(Hls, RefusesBrokenPlaylistsWithTheLine) {
@@ -43,8 +43,8 @@
     hls::PlaylistLimits small{100, 1};
     EXPECT_FALSE(
         hls::parseMediaPlaylist("#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\na\n#EXTINF:1,\nb\n", small)
-            .got);
-    EXPECT_FALSE(hls::parseMediaPlaylist("#EXTM3U\n" + std::string(200, '\n'), small).got);
+            .playlist);
+    EXPECT_FALSE(hls::parseMediaPlaylist("#EXTM3U\n" + std::string(200, '\n'), small).playlist);
 }
 
 TEST(Hls, ReferencesStayOnTheBox) {
@@ -71,10 +71,10 @@
             const int rung = pick(0, 3);
             window.extend(played, rung, durations);
             const hls::MediaPlaylist p = window.playlist(durations);
-            ASSERT_GE(p.firstNo, lastFirst);
-            lastFirst = p.firstNo;
+            ASSERT_GE(p.mediaSequence, lastFirst);
+            lastFirst = p.mediaSequence;
             for (std::size_t i = 0; i < p.segments.size(); ++i) {
-                const std::uint64_t no = p.firstNo + i;
+                const std::uint64_t no = p.mediaSequence + i;
                 const auto* one = window.find(no);
                 ASSERT_TRUE(one);
                 const auto [it, fresh] = listed.try_emplace(no, one->rung);
@@ -93,11 +93,11 @@
             }
             // A viewer that lags: what it has not fetched yet stays listed.
             if (!p.segments.empty() && pick(0, 1)) {
-                fetched = std::min(p.firstNo + p.segments.size() - 1,
+                fetched = std::min(p.mediaSequence + p.segments.size() - 1,
                                    fetched + static_cast<std::uint64_t>(pick(0, 2)));
                 window.fetched(fetched);
             }
-            ASSERT_LE(p.firstNo, fetched);
+            ASSERT_LE(p.mediaSequence, fetched);
             played += pick(0, 1'500) * 1'000;
         }
         EXPECT_EQ(window.playlist(durations).ended, window.next() == durations.size());
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -146,8 +146,8 @@
 
 TEST(HttpServer, SlowSendersAndIdleOnesAreCutOff) {
     Rig rig;
-    rig.limits.headWithin = 60'000;
-    rig.limits.idleFor = 120'000;
+    rig.limits.headTimeout = 60'000;
+    rig.limits.idleTimeout = 120'000;
     rig.serve();
     auto slow = rig.raw(), idle = rig.raw();
     slow->stream->write("GET / HT");
@@ -160,7 +160,7 @@
 
 TEST(HttpServer, AReaderThatTakesNothingIsCutOff) {
     Rig rig;
-    rig.limits.stalledFor = 100'000;
+    rig.limits.stallTimeout = 100'000;
     rig.echo.big = 20'000'000;
     rig.serve();
     auto r = rig.raw();
@@ -226,7 +226,7 @@
     conn.fetch(http::requestBytes("GET", "/2", rig.server->endpoint(), {}), false, b);
     ASSERT_TRUE(rig.until([&] { return b.done; }));
     EXPECT_EQ(b.body.size(), 5'000'000u);
-    EXPECT_TRUE(conn.used());
+    EXPECT_TRUE(conn.isReused());
 }
 
 TEST(HttpClient, PausedReadersMakeThePeerWait) {
--- a/tests/manual_net.hpp
+++ b/tests/manual_net.hpp
@@ -22,15 +22,15 @@
     std::unique_ptr<net::Listener> listen(const net::Endpoint&, net::ListenerHandler&) override {
         return nullptr;
     }
-    std::unique_ptr<net::Datagrams> bind(const net::Endpoint&, net::DatagramHandler&) override {
+    std::unique_ptr<net::DatagramSocket> bind(const net::Endpoint&, net::DatagramHandler&) override {
         return nullptr;
     }
     std::uint64_t randomBits() override { return chance(); }
     void advance(Micros wait) {
         const Micros end = time + wait;
         while (time < end) {
-            time = std::min(end, std::max(time + 1, wheel_.next().value_or(end)));
-            while (net::TimerNode* node = wheel_.due(time)) net::Timer::fire(*node);
+            time = std::min(end, std::max(time + 1, wheel_.nextCheck().value_or(end)));
+            while (net::TimerNode* node = wheel_.popDue(time)) net::Timer::fire(*node);
         }
     }
 };
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -41,7 +41,7 @@
                 wheel.remove(node);
                 plain.erase(&node);
             } else {
-                const auto next = wheel.next();
+                const auto next = wheel.nextCheck();
                 ASSERT_EQ(next.has_value() || plain.empty(), true);
                 Micros earliest = -1;
                 for (const auto& [n, at] : plain) earliest = earliest < 0 ? at : std::min(earliest, at);
@@ -49,7 +49,7 @@
                     ASSERT_LE(*next, earliest + 1024) << "it would sleep past a timer";
                 }
                 now += pick(0, 3) == 0 ? pick(0, Micros{1} << pick(10, 41)) : pick(0, 5'000);
-                while (net::TimerNode* due = wheel.due(now)) {
+                while (net::TimerNode* due = wheel.popDue(now)) {
                     ASSERT_EQ(plain.count(due), 1u) << "fired, and was not waiting";
                     ASSERT_LE(plain[due], now) << "fired early";
                     plain.erase(due);
@@ -65,8 +65,8 @@
     std::vector<net::TimerNode> nodes(5);
     net::TimerWheel wheel(0);
     for (auto& n : nodes) wheel.add(n, 700'000);
-    for (auto& n : nodes) EXPECT_EQ(wheel.due(800'000), &n);
-    EXPECT_EQ(wheel.due(800'000), nullptr);
+    for (auto& n : nodes) EXPECT_EQ(wheel.popDue(800'000), &n);
+    EXPECT_EQ(wheel.popDue(800'000), nullptr);
 }
 
 TEST(Timer, OneThatCancelsAnotherIsObeyed) {
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -148,7 +148,7 @@
     day.run(kSecond);
     for (int n = 1; n <= 10; ++n) EXPECT_EQ(day.said(n), "+") << n;
     EXPECT_TRUE(day.servers[0]->setups.empty());
-    EXPECT_LE(day.nodes[11]->mostStreams(), 256u / 2 + 256 / 3 + 2);
+    EXPECT_LE(day.nodes[11]->peakStreamCount(), 256u / 2 + 256 / 3 + 2);
 }
 
 // A process that had no turn for a while comes to its timers before it reads what has come meanwhile.
@@ -309,7 +309,7 @@
         void line(std::string_view) override {}
         void gone(node::DisconnectReason) override {}
     } nobody;
-    net::VirtualWorld world{5};
+    net::VirtualNetwork world{5};
     net::VirtualNode& here = world.node("here", Virtual::place(0).ip);
     std::vector<std::unique_ptr<node::LineConnection>> wires;
     for (int i = 0; i < 10; ++i) {
@@ -317,7 +317,7 @@
             here, Virtual::place(1), kSecond, node::LineConnection::Limits{100, 100, kSecond}, nobody));
         wires.back()->close();
     }
-    EXPECT_EQ(here.mostStreams(), 1u);
+    EXPECT_EQ(here.peakStreamCount(), 1u);
     world.runUntil(world.now() + kSecond);
 }
 
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -30,8 +30,8 @@
     const auto p = sip::parse(
         invite("Session-Expires: 90;refresher=uac\r\nMin-SE: 30\r\nSupported: timer, 100rel\r\n"
                "Allow: INVITE, ACK, UPDATE\r\nExpires: 12\r\nRecord-Route: <sip:p@127.0.0.1;lr>\r\n"));
-    ASSERT_TRUE(p.got) << p.why;
-    const Message& m = *p.got;
+    ASSERT_TRUE(p.message) << p.why;
+    const Message& m = *p.message;
     EXPECT_EQ(m.user, "keynote");
     EXPECT_EQ(m.uriParams.at("room"), "paid");
     EXPECT_EQ(m.vias[0].branch, "z9hG4bKa1");
@@ -53,10 +53,10 @@
         ";tag=q\r\n"
         "t: <sip:t@h>\r\ni: 9@x\r\nCSeq: 0009\r\n  INVITE\r\nm: <sip:a@b>\r\nx: 60\r\nk: timer\r\nl: "
         "0\r\n\r\n");
-    ASSERT_TRUE(p.got) << p.why;
-    EXPECT_EQ(p.got->from.tag, "q");
-    EXPECT_EQ(p.got->cseq, 9u);
-    EXPECT_EQ(p.got->sessionExpires, 60);
+    ASSERT_TRUE(p.message) << p.why;
+    EXPECT_EQ(p.message->from.tag, "q");
+    EXPECT_EQ(p.message->cseq, 9u);
+    EXPECT_EQ(p.message->sessionExpires, 60);
 }
 
 TEST(SipMessage, BrokenOnesAreAnsweredWhereAnAnswerIsOwed) {
@@ -67,7 +67,7 @@
     };
     struct Case {
         const char* section;
-        sip::Parsed parsed;
+        sip::ParseResult parsed;
         int status;
     } cases[] = {
         {"3.1.2.4 overlarge CSeq", with("CSeq: 7 ", "CSeq: 36893488147419103232 "), 400},
@@ -88,35 +88,35 @@
     };
     for (const Case& c : cases) {
         if (c.section[0] == '3' && std::string(c.section).find("ACK") != std::string::npos) {
-            EXPECT_TRUE(c.parsed.got) << c.section;
+            EXPECT_TRUE(c.parsed.message) << c.section;
             continue;
         }
-        EXPECT_FALSE(c.parsed.got) << c.section;
+        EXPECT_FALSE(c.parsed.message) << c.section;
         EXPECT_EQ(c.parsed.status, c.status) << c.section << ": " << c.parsed.why;
-        EXPECT_EQ(c.parsed.enough.has_value(), c.status != 0) << c.section;
+        EXPECT_EQ(c.parsed.partial.has_value(), c.status != 0) << c.section;
     }
     EXPECT_EQ(sip::parse(invite("X: " + std::string(70'000, 'a') + "\r\n")).status, 0);
     EXPECT_EQ(sip::parse(std::string("INVITE \0 SIP/2.0\r\n\r\n", 20)).status, 0);
     // Broken UTF-8 in a display name is carried back as it came, and harms nobody (3.1.1.2 has it
     // well-formed).
-    EXPECT_TRUE(with("\"A\"", "\"\xff\xfe\"").got);
+    EXPECT_TRUE(with("\"A\"", "\"\xff\xfe\"").message);
 }
 
 TEST(SipMessage, AnswersCopyWhatTheyMustAndNothingEndsALine) {
     const auto p = sip::parse(invite("Record-Route: <sip:p@127.0.0.1;lr>\r\n"));
-    ASSERT_TRUE(p.got);
+    ASSERT_TRUE(p.message);
     const auto peer = *net::parseEndpoint("127.0.0.9:6000");
-    const std::string text = sip::response(*p.got, 503, "tt", {{"Retry-After", "3\r\nX: y"}}, "", &peer);
+    const std::string text = sip::response(*p.message, 503, "tt", {{"Retry-After", "3\r\nX: y"}}, "", &peer);
     EXPECT_NE(text.find("received=127.0.0.9"), std::string::npos);
     EXPECT_NE(text.find("rport=6000"), std::string::npos);
     EXPECT_NE(text.find(";tag=tt\r\n"), std::string::npos);
     EXPECT_EQ(text.find("\r\nX: y"), std::string::npos);
     const auto back = sip::parse(text);
-    ASSERT_TRUE(back.got) << back.why;
-    EXPECT_EQ(back.got->status, 503);
-    EXPECT_EQ(back.got->method, "INVITE");
-    EXPECT_EQ(back.got->recordRoutes.size(), 1u);
-    EXPECT_EQ(sip::response(*p.got, 100, "tt", {}).find("tag=tt"), std::string::npos);
+    ASSERT_TRUE(back.message) << back.why;
+    EXPECT_EQ(back.message->status, 503);
+    EXPECT_EQ(back.message->method, "INVITE");
+    EXPECT_EQ(back.message->recordRoutes.size(), 1u);
+    EXPECT_EQ(sip::response(*p.message, 100, "tt", {}).find("tag=tt"), std::string::npos);
 }
 
 TEST(Sdp, TheVideoIsTakenAndAllElseRefusedInItsPlace) {
@@ -124,18 +124,18 @@
         "v=0\r\no=a 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nb=AS:900\r\nt=0 0\r\nm=audio 4000 "
         "RTP/AVP 0\r\n"
         "m=video 4002 RTP/AVP 96 97\r\nb=TIAS:700000\r\na=recvonly\r\n";
-    const auto read = sip::readOffer(offer);
+    const auto read = sip::parseOffer(offer);
     ASSERT_TRUE(read);
     EXPECT_TRUE(read->hasVideo && read->wantsVideo);
-    EXPECT_EQ(read->mostBits, 700'000u);
+    EXPECT_EQ(read->maxBitrate, 700'000u);
     EXPECT_EQ(read->videoPort, 4002);
     const std::string answer = sip::writeAnswer(*read, *net::parseEndpoint("127.0.0.1:9001"), 224'000, 5, 1);
     EXPECT_NE(answer.find("m=audio 0 RTP/AVP 0\r\n"), std::string::npos);
     EXPECT_NE(answer.find("m=video 9001 RTP/AVP 96 97\r\nb=AS:224\r\nb=TIAS:224000\r\na=sendonly\r\n"),
               std::string::npos);
     EXPECT_LT(answer.find("m=audio"), answer.find("m=video"));
-    EXPECT_FALSE(sip::readOffer("nonsense"));
-    const auto silent = sip::readOffer(
+    EXPECT_FALSE(sip::parseOffer("nonsense"));
+    const auto silent = sip::parseOffer(
         "v=0\r\no=a 1 1 IN IP4 1.2.3.4\r\ns=-\r\nc=IN IP4 1.2.3.4\r\nt=0 0\r\nm=video 5 RTP/AVP "
         "9\r\na=sendonly\r\n");
     ASSERT_TRUE(silent);
@@ -178,8 +178,8 @@
     Sends user;
     sip::Transactions all{net, {}, 3, user};
     sip::ReplyRoute way{false, 0, *net::parseEndpoint("127.0.0.1:5071")};
-    Message ask = *sip::parse(invite()).got;
-    Message ack = *sip::parse(invite("", "", "z9hG4bKa1", "ACK")).got;
+    Message ask = *sip::parse(invite()).message;
+    Message ack = *sip::parse(invite("", "", "z9hG4bKa1", "ACK")).message;
     std::string key = sip::Transactions::keyOf(ask);
 };
 
@@ -189,11 +189,11 @@
     EXPECT_EQ(rig.all.request(rig.ask, rig.way), RequestDisposition::New);
     EXPECT_EQ(rig.all.request(rig.ask, rig.way), RequestDisposition::Absorbed);
     EXPECT_TRUE(rig.user.sent.empty()) << "nothing was answered yet";
-    rig.all.answer(rig.key, 100, "trying");
+    rig.all.respond(rig.key, 100, "trying");
     rig.all.request(rig.ask, rig.way);
     EXPECT_EQ(rig.user.sent, (std::vector<std::string>{"trying", "trying"}));
-    EXPECT_TRUE(rig.all.answer(rig.key, 503, "busy"));
-    EXPECT_FALSE(rig.all.answer(rig.key, 200, "ok")) << "one final answer";
+    EXPECT_TRUE(rig.all.respond(rig.key, 503, "busy"));
+    EXPECT_FALSE(rig.all.respond(rig.key, 200, "ok")) << "one final answer";
     rig.net.advance(502'000);
     EXPECT_EQ(rig.user.sent.back(), "busy");
     EXPECT_EQ(rig.user.sent.size(), 4u) << "timer G";
@@ -209,7 +209,7 @@
 TEST(Transactions, A200ThatIsNeverAcknowledgedIsTold) {
     TransactionRig rig;
     rig.all.request(rig.ask, rig.way);
-    rig.all.answer(rig.key, 200, "ok");
+    rig.all.respond(rig.key, 200, "ok");
     EXPECT_FALSE(rig.all.ack(rig.ack)) << "the ACK of a 200 is the dialog's";
     rig.net.advance(33 * kSecond);
     EXPECT_EQ(rig.user.unheard, std::vector<std::string>{rig.key});
@@ -221,8 +221,8 @@
 TEST(Transactions, AnAcknowledged200IsSentNoMore) {
     TransactionRig rig;
     rig.all.request(rig.ask, rig.way);
-    rig.all.answer(rig.key, 200, "ok");
-    rig.all.acknowledged(rig.key);
+    rig.all.respond(rig.key, 200, "ok");
+    rig.all.onAcknowledged(rig.key);
     rig.net.advance(40 * kSecond);
     EXPECT_EQ(rig.user.sent.size(), 1u);
     EXPECT_TRUE(rig.user.unheard.empty());
@@ -231,10 +231,11 @@
 TEST(Transactions, AreBoundedAndToldApart) {
     TransactionRig rig;
     for (int i = 0; i < 3; ++i)
-        EXPECT_EQ(rig.all.request(*sip::parse(invite("", "", "z9hG4bK" + std::to_string(i))).got, rig.way),
-                  sip::Transactions::RequestDisposition::New);
+        EXPECT_EQ(
+            rig.all.request(*sip::parse(invite("", "", "z9hG4bK" + std::to_string(i))).message, rig.way),
+            sip::Transactions::RequestDisposition::New);
     EXPECT_EQ(rig.all.request(rig.ask, rig.way), sip::Transactions::RequestDisposition::Full);
-    Message cancel = *sip::parse(invite("", "", "z9hG4bKa1", "CANCEL")).got;
+    Message cancel = *sip::parse(invite("", "", "z9hG4bKa1", "CANCEL")).message;
     EXPECT_NE(sip::Transactions::keyOf(cancel), rig.key) << "a CANCEL is a transaction of its own";
     Message old = rig.ask;
     old.vias[0].branch = "1";
@@ -257,7 +258,7 @@
         int came = 0;
         for (int i = 0; i < offered; ++i) {
             const double fill = static_cast<double>(waiting) / room;
-            if (control.shed(draw(chance), false, false, fill)) {
+            if (control.shouldShed(draw(chance), false, false, fill)) {
                 ++shedAll;
                 continue;
             }
@@ -267,9 +268,9 @@
         const int served = std::min(waiting, servedEach);
         waiting -= served;
         servedAll += served;
-        now += terms.every;
-        control.look(now, static_cast<double>(waiting) / room, 0, static_cast<std::uint64_t>(came),
-                     static_cast<std::uint64_t>(served));
+        now += terms.updateInterval;
+        control.update(now, static_cast<double>(waiting) / room, 0, static_cast<std::uint64_t>(came),
+                       static_cast<std::uint64_t>(served));
         if (step > 20 && step < 100) worst = std::max(worst, std::abs(control.loss() - 0.9));
         ASSERT_LE(waiting, room);
     }
@@ -279,7 +280,7 @@
     EXPECT_EQ(control.viaParameters("loss"), ";oc=0;oc-algo=\"loss\";oc-validity=0;oc-seq=200.0");
     EXPECT_EQ(control.viaParameters("rate").substr(0, 8), ";oc=1000");
     EXPECT_EQ(control.viaParameters("other"), "");
-    EXPECT_FALSE(control.shed(0, false, true, 5)) << "an emergency is never shed";
+    EXPECT_FALSE(control.shouldShed(0, false, true, 5)) << "an emergency is never shed";
 }
 
 TEST(PrefilteredRequest, SeesWhatTheWholeReaderSeesOrNothing) {
@@ -293,19 +294,19 @@
         if (!g) continue;
         ++seen;
         const auto p = sip::parse(text);
-        if (!p.got || p.got->vias.empty())
+        if (!p.message || p.message->vias.empty())
             continue;  // what is broken elsewhere may be turned away without a look at it
-        EXPECT_EQ(g->method, p.got->method);
-        EXPECT_EQ(g->branch, p.got->vias.front().branch) << text;
-        EXPECT_EQ(g->callId, p.got->callId) << text;
-        EXPECT_EQ(g->toHasTag, !p.got->to.tag.empty()) << text;
-        EXPECT_EQ(g->inviteKey(), sip::Transactions::keyOf(*p.got)) << text;
+        EXPECT_EQ(g->method, p.message->method);
+        EXPECT_EQ(g->branch, p.message->vias.front().branch) << text;
+        EXPECT_EQ(g->callId, p.message->callId) << text;
+        EXPECT_EQ(g->toHasTag, !p.message->to.tag.empty()) << text;
+        EXPECT_EQ(g->inviteKey(), sip::Transactions::keyOf(*p.message)) << text;
         const auto peer = *net::parseEndpoint("127.0.0.9:6000");
         const auto back = sip::parse(sip::refusal(*g, "503 Service Unavailable", "tt", ";oc=5", 3, peer));
-        ASSERT_TRUE(back.got) << back.why;
-        EXPECT_EQ(back.got->status, 503);
-        EXPECT_EQ(back.got->vias.front().branch, p.got->vias.front().branch);
-        EXPECT_EQ(back.got->callId, p.got->callId);
+        ASSERT_TRUE(back.message) << back.why;
+        EXPECT_EQ(back.message->status, 503);
+        EXPECT_EQ(back.message->vias.front().branch, p.message->vias.front().branch);
+        EXPECT_EQ(back.message->callId, p.message->callId);
     }
     EXPECT_GT(seen, 1'000);
 }
@@ -322,12 +323,12 @@
 
 TEST(Refused, RemembersWhatItTurnedAwayInABoundedTable) {
     sip::RefusedRequests refused(100);
-    for (std::uint64_t i = 1; i <= 128; ++i) refused.remember(i * 0x9e3779b97f4a7c15ull);
-    EXPECT_TRUE(refused.knows(128 * 0x9e3779b97f4a7c15ull));
-    EXPECT_FALSE(refused.knows(12'345));
-    EXPECT_FALSE(refused.knows(0));
+    for (std::uint64_t i = 1; i <= 128; ++i) refused.insert(i * 0x9e3779b97f4a7c15ull);
+    EXPECT_TRUE(refused.contains(128 * 0x9e3779b97f4a7c15ull));
+    EXPECT_FALSE(refused.contains(12'345));
+    EXPECT_FALSE(refused.contains(0));
     int kept = 0;
-    for (std::uint64_t i = 1; i <= 128; ++i) kept += refused.knows(i * 0x9e3779b97f4a7c15ull);
+    for (std::uint64_t i = 1; i <= 128; ++i) kept += refused.contains(i * 0x9e3779b97f4a7c15ull);
     EXPECT_GT(kept, 64) << "most stay while no more than the table holds have come";
     EXPECT_LE(kept, 128);
 }
