--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -131,7 +131,7 @@
 }
 
 struct ChangeLogDay : testing::Test {
-    net::VirtualWorld world{11};
+    net::VirtualNetwork world{11};
     net::VirtualNode& front = world.node("front", place(1).ip);
     net::VirtualNode& there = world.node("log", place(2).ip);
     net::VirtualNode& elsewhere = world.node("other", place(3).ip);
@@ -531,7 +531,7 @@
 
 // A front node with two media servers and its change log; what was said to its viewers, by subscription.
 struct NodeListDay : testing::Test {
-    net::VirtualWorld world{5};
+    net::VirtualNetwork world{5};
     std::map<int, net::VirtualNode*> nodes;
     net::VirtualNode& machine(int n) {
         auto& node = nodes[n];
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -149,7 +149,7 @@
     day.run(kSecond);
     for (int n = 1; n <= 10; ++n) EXPECT_EQ(day.said(n), "+") << n;
     EXPECT_TRUE(day.servers[0]->setups.empty());
-    EXPECT_LE(day.nodes[11]->mostStreams(), 256u / 2 + 256 / 3 + 2);
+    EXPECT_LE(day.nodes[11]->peakStreamCount(), 256u / 2 + 256 / 3 + 2);
 }
 
 // A process that had no turn for a while comes to its timers before it reads what has come meanwhile.
@@ -319,7 +319,7 @@
                                                    node::LineConnection::Limits{100, 100, kSecond}, nobody));
         wires.back()->close();
     }
-    EXPECT_EQ(here.mostStreams(), 1u);
+    EXPECT_EQ(here.peakStreamCount(), 1u);
     world.runUntil(world.now() + kSecond);
 }
 
