--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -157,10 +157,10 @@
             box.id = static_cast<int>(node.numbers("a box's number", 0, 1e9).front());
             box.at = node.text("at", "");
             box.standing = node.choice("standing", {"on", "fading", "off"}, "on");
-            box.cell = static_cast<int>(node.whole("cell", 0, 1'000'000, 0));
+            box.cell = static_cast<int>(node.integer("cell", 0, 1'000'000, 0));
             box.kind = node.text("kind", "");
             box.size = node.number("size", 0.001, 1e6, 1);
-            box.launchedWall = node.whole("launched-us", 0, 4'000'000'000'000'000, 0);
+            box.launchedWall = node.integer("launched-us", 0, 4'000'000'000'000'000, 0);
             node.rejectUnread();
             all.push_back(box);
         }
@@ -346,7 +346,7 @@
 }
 
 Micros timeArgument(const std::string& text) {
-    const auto t = settings::timeOf(text);
+    const auto t = settings::parseDuration(text);
     if (!t) throw std::invalid_argument("'" + text + "' is no time: 500ms, 20s and 5min are");
     return *t;
 }
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -69,7 +69,7 @@
                             : standing == "fading" ? ServerState::Draining
                                                    : ServerState::Off;
         if (line.sfu.standing != ServerState::Off || box.has("at")) line.at = box.address("at");
-        line.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
+        line.sfu.cell = Cell{static_cast<std::uint32_t>(box.integer("cell", 0, 1'000'000, 0))};
         line.sfu.size = box.number("size", 0.001, 1'000'000, 1);
         if (!names.kinds.empty())
             line.sfu.kind = MachineKindId{placeOf(box, "kind", names.kinds, "a kind of machine")};
@@ -80,7 +80,7 @@
             if (!at) box.failProperty("launched", "a time in UTC is expected, as \"2026-12-01T09:00:00Z\"");
             line.sfu.launched = *at;
         }
-        if (box.has("launched-us")) line.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
+        if (box.has("launched-us")) line.sfu.launched = box.integer("launched-us", 0, 4'000'000'000'000'000);
         box.rejectUnread();
         out.boxes.push_back(line);
     }
--- a/src/evidence/evidence_file.cpp
+++ b/src/evidence/evidence_file.cpp
@@ -20,7 +20,7 @@
     settings::NodeReader head = top.requiredChild("learnt");
     const auto version = head.numbers("the version", 0, 1e9);
     if (version.size() != 1 || version[0] != 1) head.fail("version 1 is expected");
-    out.savedAt = head.whole("saved-us", 0, 4'000'000'000'000'000);
+    out.savedAt = head.integer("saved-us", 0, 4'000'000'000'000'000);
     head.rejectUnread();
     std::set<std::uint32_t> seen;
     for (settings::NodeReader& box : top.childrenNamed("box")) {
@@ -31,10 +31,10 @@
             box.fail("'box' is followed by one whole number of its own");
         EvidenceEntry one;
         one.what.id = SfuId{static_cast<std::uint32_t>(id[0])};
-        one.launched = box.whole("launched-us", 0, 4'000'000'000'000'000, 0);
+        one.launched = box.integer("launched-us", 0, 4'000'000'000'000'000, 0);
         one.what.evidence = box.number("evidence", -100, 100, 0);
         if (box.has("link-use")) one.what.linkUse = box.number("link-use", 0, 100);
-        one.what.age = box.time("age", 0, kDay, 0);
+        one.what.age = box.duration("age", 0, kDay, 0);
         box.rejectUnread();
         out.boxes.push_back(one);
     }
--- a/src/experiment/plan.cpp
+++ b/src/experiment/plan.cpp
@@ -20,7 +20,7 @@
     for (NodeReader& one : node.childrenNamed("level")) {
         Level level;
         level.name = one.text("as", "");
-        level.values = one.asWritten();
+        level.values = one.argumentsAsText();
         if (level.values.size() != f.sets.size())
             one.fail("as many values are expected as the factor has settings: " +
                      std::to_string(f.sets.size()));
@@ -41,7 +41,7 @@
     NodeReader head = top.requiredChild("experiment");
     p.name = head.argument("its name");
     if (p.name.empty() || p.name.find('/') != std::string::npos) head.fail("a name without '/' is expected");
-    p.atOnce = static_cast<int>(head.whole("at-once", 1, 64, 1));
+    p.atOnce = static_cast<int>(head.integer("at-once", 1, 64, 1));
     p.real = head.flag("real", false);
     p.decisions = head.choice("decisions", {"", "random", "least-load"}, "");
     head.rejectUnread();
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -60,42 +60,44 @@
     if (auto node = top.optionalChild("http")) {
         t.http = node->address("listen");
         http::HttpLimits& w = t.wire;
-        w.headBytes = static_cast<std::uint32_t>(node->whole("head-bytes", 1'024, 1'000'000, w.headBytes));
-        w.fields = static_cast<std::uint32_t>(node->whole("fields", 8, 10'000, w.fields));
-        w.targetBytes = static_cast<std::uint32_t>(node->whole("target-bytes", 128, 100'000, w.targetBytes));
-        w.bodyBytes = static_cast<std::uint64_t>(node->whole("body-bytes", 0, 100'000'000, 65'536));
-        w.outBytes = static_cast<std::uint32_t>(node->whole("out-bytes", 4'096, 100'000'000, w.outBytes));
-        w.headWithin = node->time("head-within", 10'000, kHour, w.headWithin);
-        w.idleFor = node->time("idle-for", 100'000, kHour, w.idleFor);
-        w.stalledFor = node->time("stalled-for", 100'000, kHour, w.stalledFor);
-        w.connections = static_cast<std::uint32_t>(node->whole("connections", 1, 10'000'000, w.connections));
+        w.headBytes = static_cast<std::uint32_t>(node->integer("head-bytes", 1'024, 1'000'000, w.headBytes));
+        w.fields = static_cast<std::uint32_t>(node->integer("fields", 8, 10'000, w.fields));
+        w.targetBytes =
+            static_cast<std::uint32_t>(node->integer("target-bytes", 128, 100'000, w.targetBytes));
+        w.bodyBytes = static_cast<std::uint64_t>(node->integer("body-bytes", 0, 100'000'000, 65'536));
+        w.outBytes = static_cast<std::uint32_t>(node->integer("out-bytes", 4'096, 100'000'000, w.outBytes));
+        w.headWithin = node->duration("head-within", 10'000, kHour, w.headWithin);
+        w.idleFor = node->duration("idle-for", 100'000, kHour, w.idleFor);
+        w.stalledFor = node->duration("stalled-for", 100'000, kHour, w.stalledFor);
+        w.connections =
+            static_cast<std::uint32_t>(node->integer("connections", 1, 10'000'000, w.connections));
         node->rejectUnread();
     } else {
         top.fail("a node 'http' is expected: http listen=\"127.0.0.1:8080\"");
     }
     {
         NodeReader node = top.childOrDefaults("hints");
-        t.hints.fieldBytes = static_cast<std::size_t>(node.whole("field-bytes", 64, 100'000, 4'096));
-        t.hints.keys = static_cast<std::size_t>(node.whole("keys", 1, 1'000, 64));
-        t.hints.customBytes = static_cast<std::size_t>(node.whole("custom-bytes", 1, 10'000, 128));
+        t.hints.fieldBytes = static_cast<std::size_t>(node.integer("field-bytes", 64, 100'000, 4'096));
+        t.hints.keys = static_cast<std::size_t>(node.integer("keys", 1, 1'000, 64));
+        t.hints.customBytes = static_cast<std::size_t>(node.integer("custom-bytes", 1, 10'000, 128));
         node.rejectUnread();
     }
     {
         NodeReader node = top.childOrDefaults("viewers");
         frontends::HttpFrontendSettings& v = t.terms;
-        v.window.ahead = node.time("ahead", 0, kHour, v.window.ahead);
-        v.window.behind = node.time("behind", 0, kHour, v.window.behind);
-        v.silentAfter = node.time("silent-after", 100'000, kHour, v.silentAfter);
-        v.closedAfter = node.time("closed-after", 0, kHour, v.closedAfter);
-        v.pausedAfter = node.time("paused-after", 100'000, kHour, v.pausedAfter);
-        v.segmentWithin = node.time("segment-within", 100'000, kHour, v.segmentWithin);
-        v.fetchesEach = static_cast<std::size_t>(node.whole("fetches-each", 1, 100, 4));
-        v.relayBytes = static_cast<std::size_t>(node.whole("relay-bytes", 4'096, 100'000'000, 131'072));
-        v.cachedPlaylists = static_cast<std::size_t>(node.whole("cached-playlists", 1, 1'000'000, 512));
-        v.retryWhenFull = node.time("retry-when-full", kSecond, kHour, v.retryWhenFull);
-        t.core.subs = static_cast<std::size_t>(node.whole("at-most", 1, 10'000'000, 100'000));
-        t.core.answerMargin = node.time("answer-margin", 1'000, kSecond, t.core.answerMargin);
-        t.deliveryWindow = node.time("delivery-window", 100'000, 60 * kSecond, t.deliveryWindow);
+        v.window.ahead = node.duration("ahead", 0, kHour, v.window.ahead);
+        v.window.behind = node.duration("behind", 0, kHour, v.window.behind);
+        v.silentAfter = node.duration("silent-after", 100'000, kHour, v.silentAfter);
+        v.closedAfter = node.duration("closed-after", 0, kHour, v.closedAfter);
+        v.pausedAfter = node.duration("paused-after", 100'000, kHour, v.pausedAfter);
+        v.segmentWithin = node.duration("segment-within", 100'000, kHour, v.segmentWithin);
+        v.fetchesEach = static_cast<std::size_t>(node.integer("fetches-each", 1, 100, 4));
+        v.relayBytes = static_cast<std::size_t>(node.integer("relay-bytes", 4'096, 100'000'000, 131'072));
+        v.cachedPlaylists = static_cast<std::size_t>(node.integer("cached-playlists", 1, 1'000'000, 512));
+        v.retryWhenFull = node.duration("retry-when-full", kSecond, kHour, v.retryWhenFull);
+        t.core.subs = static_cast<std::size_t>(node.integer("at-most", 1, 10'000'000, 100'000));
+        t.core.answerMargin = node.duration("answer-margin", 1'000, kSecond, t.core.answerMargin);
+        t.deliveryWindow = node.duration("delivery-window", 100'000, 60 * kSecond, t.deliveryWindow);
         node.rejectUnread();
     }
     for (const Micros timeout : t.rooms.clientTimeouts)
@@ -104,13 +106,13 @@
     {
         NodeReader node = top.childOrDefaults("boxes");
         upstream::UpstreamLimits& b = t.boxes;
-        b.connections = static_cast<std::size_t>(node.whole("connections", 1, 100'000, 256));
-        b.waiting = static_cast<std::size_t>(node.whole("waiting", 0, 1'000'000, 1'024));
-        b.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, b.connectWithin);
-        b.keepIdle = node.time("keep-idle", 0, kHour, b.keepIdle);
-        b.sureFor = node.time("sure-for", 0, kHour, b.sureFor);
-        b.releases = static_cast<std::size_t>(node.whole("releases", 1, 10'000'000, b.releases));
-        b.releaseTries = static_cast<int>(node.whole("release-tries", 1, 100, b.releaseTries));
+        b.connections = static_cast<std::size_t>(node.integer("connections", 1, 100'000, 256));
+        b.waiting = static_cast<std::size_t>(node.integer("waiting", 0, 1'000'000, 1'024));
+        b.connectWithin = node.duration("connect-within", 1'000, 60 * kSecond, b.connectWithin);
+        b.keepIdle = node.duration("keep-idle", 0, kHour, b.keepIdle);
+        b.sureFor = node.duration("sure-for", 0, kHour, b.sureFor);
+        b.releases = static_cast<std::size_t>(node.integer("releases", 1, 10'000'000, b.releases));
+        b.releaseTries = static_cast<int>(node.integer("release-tries", 1, 100, b.releaseTries));
         node.rejectUnread();
     }
     t.core.reportEvery = t.tidings.every;
@@ -121,25 +123,25 @@
     if (!node) return;
     t.sip = node->address("listen");
     frontends::SipFrontendSettings& s = t.sipTerms;
-    s.limits.bytes = static_cast<std::size_t>(node->whole("message-bytes", 1'024, 65'535, 65'535));
-    s.limits.headers = static_cast<std::size_t>(node->whole("headers", 16, 10'000, 100));
-    s.transactions = static_cast<std::size_t>(node->whole("transactions", 1, 10'000'000, 20'000));
-    s.calls = static_cast<std::size_t>(node->whole("calls", 1, 10'000'000, 20'000));
-    s.streams = static_cast<std::size_t>(node->whole("streams", 0, 1'000'000, 2'000));
-    s.times.t1 = node->time("t1", 1'000, 10 * kSecond, s.times.t1);
-    s.times.t2 = node->time("t2", s.times.t1, 60 * kSecond, std::max(s.times.t1, s.times.t2));
-    s.times.t4 = node->time("t4", 1'000, 60 * kSecond, s.times.t4);
-    s.minSe = node->time("min-session", kSecond, kHour, s.minSe);
-    s.sessionExpires = node->time("session", s.minSe, 24 * kHour, std::max(s.minSe, s.sessionExpires));
-    s.holdEvery = node->time("hold-every", 100'000, kHour, s.holdEvery);
-    s.holdWithin = node->time("hold-within", 100'000, kHour, s.holdWithin);
-    s.streamIdle = node->time("stream-idle", kSecond, kHour, s.streamIdle);
-    s.retryWhenFull = node->time("retry-when-full", kSecond, kHour, s.retryWhenFull);
-    s.refusedKept = static_cast<std::size_t>(node->whole("refused-kept", 2, 10'000'000, 65'536));
+    s.limits.bytes = static_cast<std::size_t>(node->integer("message-bytes", 1'024, 65'535, 65'535));
+    s.limits.headers = static_cast<std::size_t>(node->integer("headers", 16, 10'000, 100));
+    s.transactions = static_cast<std::size_t>(node->integer("transactions", 1, 10'000'000, 20'000));
+    s.calls = static_cast<std::size_t>(node->integer("calls", 1, 10'000'000, 20'000));
+    s.streams = static_cast<std::size_t>(node->integer("streams", 0, 1'000'000, 2'000));
+    s.times.t1 = node->duration("t1", 1'000, 10 * kSecond, s.times.t1);
+    s.times.t2 = node->duration("t2", s.times.t1, 60 * kSecond, std::max(s.times.t1, s.times.t2));
+    s.times.t4 = node->duration("t4", 1'000, 60 * kSecond, s.times.t4);
+    s.minSe = node->duration("min-session", kSecond, kHour, s.minSe);
+    s.sessionExpires = node->duration("session", s.minSe, 24 * kHour, std::max(s.minSe, s.sessionExpires));
+    s.holdEvery = node->duration("hold-every", 100'000, kHour, s.holdEvery);
+    s.holdWithin = node->duration("hold-within", 100'000, kHour, s.holdWithin);
+    s.streamIdle = node->duration("stream-idle", kSecond, kHour, s.streamIdle);
+    s.retryWhenFull = node->duration("retry-when-full", kSecond, kHour, s.retryWhenFull);
+    s.refusedKept = static_cast<std::size_t>(node->integer("refused-kept", 2, 10'000'000, 65'536));
     s.shed = node->flag("shed", true);
     s.overload.targetFill = node->number("target-fill", 0.05, 0.95, s.overload.targetFill);
-    s.overload.targetUnread = node->time("target-unread", 1'000, 10 * kSecond, s.overload.targetUnread);
-    s.overload.every = node->time("look-every", 10'000, 10 * kSecond, s.overload.every);
+    s.overload.targetUnread = node->duration("target-unread", 1'000, 10 * kSecond, s.overload.targetUnread);
+    s.overload.every = node->duration("look-every", 10'000, 10 * kSecond, s.overload.every);
     s.overload.ratePerSecond = node->number("rate", 1, 1e6, s.overload.ratePerSecond);
     node->rejectUnread();
 }
@@ -152,31 +154,32 @@
     if (t.listFile.empty() == !t.listAt)
         node.fail("'list' is expected to have either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\"");
     t.listKept = node.text("keep", "");
-    t.listTimes.lookEvery = node.time("look-every", 1'000, kHour, t.listTimes.lookEvery);
-    t.listTimes.connectWithin = node.time("connect-within", 1'000, 60 * kSecond, t.listTimes.connectWithin);
-    t.listTimes.silentFor = node.time("silent-for", 100'000, kHour, t.listTimes.silentFor);
-    t.listLimits.boxes = static_cast<std::size_t>(node.whole("boxes", 1, 1'000'000, 4'096));
-    t.listLimits.bytes = static_cast<std::size_t>(node.whole("bytes", 1'024, 100'000'000, 1'000'000));
+    t.listTimes.lookEvery = node.duration("look-every", 1'000, kHour, t.listTimes.lookEvery);
+    t.listTimes.connectWithin =
+        node.duration("connect-within", 1'000, 60 * kSecond, t.listTimes.connectWithin);
+    t.listTimes.silentFor = node.duration("silent-for", 100'000, kHour, t.listTimes.silentFor);
+    t.listLimits.boxes = static_cast<std::size_t>(node.integer("boxes", 1, 1'000'000, 4'096));
+    t.listLimits.bytes = static_cast<std::size_t>(node.integer("bytes", 1'024, 100'000'000, 1'000'000));
     node.rejectUnread();
 }
 
 void readAdmission(NodeReader& top, Told& t) {
     NodeReader node = top.childOrDefaults("admission");
-    t.gateBound.most = static_cast<std::size_t>(node.whole("waiting", 1, 1'000'000, 1'000));
-    t.gateBound.least = static_cast<std::size_t>(node.whole("waiting-least", 1, 1'000'000, 64));
-    t.gateBound.target = node.time("target-wait", 0, kHour, t.gateBound.target);
+    t.gateBound.most = static_cast<std::size_t>(node.integer("waiting", 1, 1'000'000, 1'000));
+    t.gateBound.least = static_cast<std::size_t>(node.integer("waiting-least", 1, 1'000'000, 64));
+    t.gateBound.target = node.duration("target-wait", 0, kHour, t.gateBound.target);
     admission::RetryLimiterSettings& r = t.gateReturns;
-    r.most = node.time("come-back-most", 0, kHour, r.most);
+    r.most = node.duration("come-back-most", 0, kHour, r.most);
     r.over = node.number("returns-for-each", 0.1, 100, r.over);
     r.asksForEach = node.number("asks-for-each", 1, 1e6, r.asksForEach);
     r.least = node.number("asks-least", 1, 1e6, r.least);
     admission::PathCapacitySettings& w = t.gateWays;
     w.on = node.flag("narrow-ways", true);
     w.enough = node.number("way-enough", 0.1, 1, w.enough);
-    w.window = node.time("way-window", 100'000, kHour, w.window);
-    t.gateConnections = static_cast<std::size_t>(node.whole("connections-each", 1, 1'000'000, 2'000));
-    t.prefix4 = static_cast<int>(node.whole("prefix4", 1, 32, 24));
-    t.prefix6 = static_cast<int>(node.whole("prefix6", 1, 128, 56));
+    w.window = node.duration("way-window", 100'000, kHour, w.window);
+    t.gateConnections = static_cast<std::size_t>(node.integer("connections-each", 1, 1'000'000, 2'000));
+    t.prefix4 = static_cast<int>(node.integer("prefix4", 1, 32, 24));
+    t.prefix6 = static_cast<int>(node.integer("prefix6", 1, 128, 56));
     for (NodeReader& network : node.childrenNamed("network")) {
         const std::string text = network.argument("its prefix");
         const auto prefix = admission::prefixOf(text);
@@ -199,8 +202,8 @@
         t.name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
             std::string::npos)
         front.fail("a front's name is of letters, digits, '-' and '_', 64 at most");
-    t.fronts = static_cast<int>(front.whole("fronts", 1, 100'000, 1));
-    t.stopWithin = front.time("stop-within", 0, kHour, t.stopWithin);
+    t.fronts = static_cast<int>(front.integer("fronts", 1, 100'000, 1));
+    t.stopWithin = front.duration("stop-within", 0, kHour, t.stopWithin);
     t.ladder = settings::readLadder(top);
     t.rooms = settings::readRoomTypes(top, t.ladder);
     t.machines = settings::readMachines(top);
@@ -220,14 +223,14 @@
     {
         NodeReader node = top.childOrDefaults("learnt");
         t.learntFile = node.text("file", "");
-        t.learntEvery = node.time("every", 100'000, kHour, t.learntEvery);
-        t.learntFor = node.time("keep-for", 0, kHour, t.learntFor);
+        t.learntEvery = node.duration("every", 100'000, kHour, t.learntEvery);
+        t.learntFor = node.duration("keep-for", 0, kHour, t.learntFor);
         node.rejectUnread();
     }
     NodeReader log = top.childOrDefaults("log");
     t.logFile = log.text("file", "-");
     t.logLevel = logging::parseLevel(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
-    t.logWarnings = static_cast<int>(log.whole("warnings-a-second", 1, 100'000, 20));
+    t.logWarnings = static_cast<int>(log.integer("warnings-a-second", 1, 100'000, 20));
     log.rejectUnread();
     top.rejectUnread();
     return t;
--- a/src/settings/document.cpp
+++ b/src/settings/document.cpp
@@ -32,9 +32,9 @@
 }
 
 std::string kindOf(const Value& v) {
-    if (std::holds_alternative<Null>(v.is)) return "null";
-    if (std::holds_alternative<bool>(v.is)) return "true or false";
-    if (std::holds_alternative<Number>(v.is)) return "a number";
+    if (std::holds_alternative<Null>(v.data)) return "null";
+    if (std::holds_alternative<bool>(v.data)) return "true or false";
+    if (std::holds_alternative<Number>(v.data)) return "a number";
     return "a string";
 }
 
@@ -61,7 +61,7 @@
     return near.empty() ? "" : "; did you mean '" + near + "'?";
 }
 
-std::optional<Micros> timeOf(std::string_view text) {
+std::optional<Micros> parseDuration(std::string_view text) {
     double value = 0;
     const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (bad != std::errc{} || !std::isfinite(value)) return std::nullopt;
@@ -171,12 +171,12 @@
     return NodeReader(*document_, node);
 }
 
-void NodeReader::defaulted(std::string_view name, decltype(Value::is) is) const {
+void NodeReader::defaulted(std::string_view name, decltype(Value::data) data) const {
     if (!node_) return;
     auto& all = document_->taken_->defaults[node_];
     for (const auto& [known, value] : all)
         if (known == name) return;
-    all.emplace_back(name, Value{std::nullopt, std::move(is), {}});
+    all.emplace_back(name, Value{std::nullopt, std::move(data), {}});
 }
 
 NodeReader NodeReader::requiredChild(std::string_view name) {
@@ -208,7 +208,7 @@
 
 std::string NodeReader::text(std::string_view name) {
     const Value& v = needed(name);
-    const auto* s = std::get_if<std::string>(&v.is);
+    const auto* s = std::get_if<std::string>(&v.data);
     if (!s) document_->fail(v.at, std::string(name) + " is expected to be a string, and is " + kindOf(v));
     return *s;
 }
@@ -220,7 +220,7 @@
 
 double NodeReader::number(std::string_view name, double least, double most) {
     const Value& v = needed(name);
-    const auto* n = std::get_if<Number>(&v.is);
+    const auto* n = std::get_if<Number>(&v.data);
     if (!n) document_->fail(v.at, std::string(name) + " is expected to be a number, and is " + kindOf(v));
     if (!(n->value >= least && n->value <= most))
         document_->fail(v.at,
@@ -233,18 +233,18 @@
     return otherwise;
 }
 
-std::int64_t NodeReader::whole(std::string_view name, std::int64_t least, std::int64_t most) {
+std::int64_t NodeReader::integer(std::string_view name, std::int64_t least, std::int64_t most) {
     const Value& v = needed(name);
-    const auto* n = std::get_if<Number>(&v.is);
+    const auto* n = std::get_if<Number>(&v.data);
     if (!n || !n->whole) document_->fail(v.at, std::string(name) + " is expected to be a whole number");
     if (*n->whole < least || *n->whole > most)
         document_->fail(v.at, std::string(name) + " is expected between " + std::to_string(least) + " and " +
                                   std::to_string(most));
     return *n->whole;
 }
-std::int64_t NodeReader::whole(std::string_view name, std::int64_t least, std::int64_t most,
-                               std::int64_t otherwise) {
-    if (find(name)) return whole(name, least, most);
+std::int64_t NodeReader::integer(std::string_view name, std::int64_t least, std::int64_t most,
+                                 std::int64_t otherwise) {
+    if (find(name)) return integer(name, least, most);
     defaulted(name, Number{std::to_string(otherwise), static_cast<double>(otherwise), otherwise});
     return otherwise;
 }
@@ -255,15 +255,15 @@
         defaulted(name, otherwise);
         return otherwise;
     }
-    const bool* b = std::get_if<bool>(&v->is);
+    const bool* b = std::get_if<bool>(&v->data);
     if (!b) document_->fail(v->at, std::string(name) + " is expected to be #true or #false");
     return *b;
 }
 
-Micros NodeReader::time(std::string_view name, Micros least, Micros most) {
+Micros NodeReader::duration(std::string_view name, Micros least, Micros most) {
     const Value& v = needed(name);
-    const auto* s = std::get_if<std::string>(&v.is);
-    const auto t = s ? timeOf(*s) : std::nullopt;
+    const auto* s = std::get_if<std::string>(&v.data);
+    const auto t = s ? parseDuration(*s) : std::nullopt;
     if (!t)
         document_->fail(
             v.at,
@@ -273,15 +273,15 @@
             v.at, std::string(name) + " is expected between " + shownTime(least) + " and " + shownTime(most));
     return *t;
 }
-Micros NodeReader::time(std::string_view name, Micros least, Micros most, Micros otherwise) {
-    if (find(name)) return time(name, least, most);
+Micros NodeReader::duration(std::string_view name, Micros least, Micros most, Micros otherwise) {
+    if (find(name)) return duration(name, least, most);
     defaulted(name, shownTime(otherwise));
     return otherwise;
 }
 
 net::Endpoint NodeReader::address(std::string_view name) {
     const Value& v = needed(name);
-    const auto* s = std::get_if<std::string>(&v.is);
+    const auto* s = std::get_if<std::string>(&v.data);
     const auto at = s ? net::parseEndpoint(*s) : std::nullopt;
     if (!at)
         document_->fail(
@@ -319,7 +319,7 @@
     askedArguments_ = true;
     if (!node_ || node_->arguments.size() != 1)
         fail("'" + name() + "' is followed by one value: " + std::string(what));
-    const auto* s = std::get_if<std::string>(&node_->arguments[0].is);
+    const auto* s = std::get_if<std::string>(&node_->arguments[0].data);
     if (!s) document_->fail(node_->arguments[0].at, std::string(what) + " is expected to be a string");
     return *s;
 }
@@ -330,7 +330,7 @@
     if (!node_ || node_->arguments.empty())
         fail("'" + name() + "' is followed by numbers: " + std::string(what));
     for (const Value& v : node_->arguments) {
-        const auto* n = std::get_if<Number>(&v.is);
+        const auto* n = std::get_if<Number>(&v.data);
         if (!n || !(n->value >= least && n->value <= most))
             document_->fail(v.at, std::string(what) + " are expected to be numbers between " + plain(least) +
                                       " and " + plain(most));
@@ -344,19 +344,19 @@
     std::vector<std::string> out;
     if (!node_) return out;
     for (const Value& v : node_->arguments) {
-        const auto* s = std::get_if<std::string>(&v.is);
+        const auto* s = std::get_if<std::string>(&v.data);
         if (!s) document_->fail(v.at, std::string(what) + " are expected to be strings");
         out.push_back(*s);
     }
     return out;
 }
 
-std::vector<std::string> NodeReader::asWritten() {
+std::vector<std::string> NodeReader::argumentsAsText() {
     askedArguments_ = true;
     std::vector<std::string> out;
     if (!node_) return out;
     for (const Value& v : node_->arguments) {
-        const auto* s = std::get_if<std::string>(&v.is);
+        const auto* s = std::get_if<std::string>(&v.data);
         out.push_back(s ? *s : formatValue(v));
     }
     return out;
--- a/src/settings/document.hpp
+++ b/src/settings/document.hpp
@@ -64,12 +64,13 @@
     std::string text(std::string_view name, std::string otherwise);
     double number(std::string_view name, double least, double most);
     double number(std::string_view name, double least, double most, double otherwise);
-    std::int64_t whole(std::string_view name, std::int64_t least, std::int64_t most);
-    std::int64_t whole(std::string_view name, std::int64_t least, std::int64_t most, std::int64_t otherwise);
+    std::int64_t integer(std::string_view name, std::int64_t least, std::int64_t most);
+    std::int64_t integer(std::string_view name, std::int64_t least, std::int64_t most,
+                         std::int64_t otherwise);
     bool flag(std::string_view name, bool otherwise);
     // A time, written as a string with its unit: "250ms", "2s", "5min"; whole microseconds.
-    Micros time(std::string_view name, Micros least, Micros most);
-    Micros time(std::string_view name, Micros least, Micros most, Micros otherwise);
+    Micros duration(std::string_view name, Micros least, Micros most);
+    Micros duration(std::string_view name, Micros least, Micros most, Micros otherwise);
     net::Endpoint address(std::string_view name);
     bool has(std::string_view property) const;
     std::string choice(std::string_view name, const std::vector<std::string>& among,
@@ -83,7 +84,8 @@
     std::string argument(std::string_view what);
     std::vector<double> numbers(std::string_view what, double least, double most);
     std::vector<std::string> texts(std::string_view what);
-    std::vector<std::string> asWritten();  // of any kind: strings as they are, others as they are written
+    std::vector<std::string>
+    argumentsAsText();  // of any kind: strings as they are, others as they are written
 
     void rejectUnread();
     [[noreturn]] void fail(const std::string& what) const;
@@ -92,7 +94,7 @@
     const std::string& name() const;
 
   private:
-    void defaulted(std::string_view name, decltype(Value::is)) const;
+    void defaulted(std::string_view name, decltype(Value::data)) const;
     const Value* find(std::string_view name);
     const Value& needed(std::string_view name);
     const std::vector<Node>& children() const;
@@ -108,6 +110,6 @@
 std::string suggestionFor(std::string_view to, const std::set<std::string, std::less<>>& among);
 
 // "1500us", "20ms", "2s", "1.5min", "1h". Nothing if it is none.
-std::optional<Micros> timeOf(std::string_view text);
+std::optional<Micros> parseDuration(std::string_view text);
 
 }  // namespace valekeel::settings
--- a/src/settings/kdl.cpp
+++ b/src/settings/kdl.cpp
@@ -341,7 +341,7 @@
         } else if (numberAhead()) {
             number(out);
         } else if (stringAhead()) {
-            out.is = string();
+            out.data = string();
         } else {
             wrong("a value was expected here, not " + shown());
         }
@@ -358,17 +358,17 @@
         step(word.size());
         if (!atEnd() && identifierRune(peek())) wrongAt(at, "this is no keyword of KDL");
         if (word == "#true")
-            out.is = true;
+            out.data = true;
         else if (word == "#false")
-            out.is = false;
+            out.data = false;
         else if (word == "#null")
-            out.is = Null{};
+            out.data = Null{};
         else if (word == "#inf")
-            out.is = Number{"#inf", std::numeric_limits<double>::infinity(), {}};
+            out.data = Number{"#inf", std::numeric_limits<double>::infinity(), {}};
         else if (word == "#-inf")
-            out.is = Number{"#-inf", -std::numeric_limits<double>::infinity(), {}};
+            out.data = Number{"#-inf", -std::numeric_limits<double>::infinity(), {}};
         else if (word == "#nan")
-            out.is = Number{"#nan", std::numeric_limits<double>::quiet_NaN(), {}};
+            out.data = Number{"#nan", std::numeric_limits<double>::quiet_NaN(), {}};
         else
             wrongAt(at, "this is no keyword of KDL: #true, #false, #null, #inf, #-inf and #nan are");
     }
@@ -451,7 +451,7 @@
         if (!atEnd() && identifierRune(peek()))
             wrongAt(at, "this begins like a number and does not end like one");
         n.written = std::string(text_.substr(start, pos_ - start));
-        out.is = std::move(n);
+        out.data = std::move(n);
     }
 
     // ---- strings ----
@@ -740,10 +740,10 @@
 
 std::string formatValue(const Value& v) {
     std::string out = v.type ? "(" + word(*v.type) + ")" : "";
-    if (std::holds_alternative<Null>(v.is)) return out + "#null";
-    if (const bool* b = std::get_if<bool>(&v.is)) return out + (*b ? "#true" : "#false");
-    if (const Number* n = std::get_if<Number>(&v.is)) return out + n->written;
-    return out + word(std::get<std::string>(v.is));
+    if (std::holds_alternative<Null>(v.data)) return out + "#null";
+    if (const bool* b = std::get_if<bool>(&v.data)) return out + (*b ? "#true" : "#false");
+    if (const Number* n = std::get_if<Number>(&v.data)) return out + n->written;
+    return out + word(std::get<std::string>(v.data));
 }
 
 std::string printKdl(const std::vector<Node>& nodes) {
--- a/src/settings/kdl.hpp
+++ b/src/settings/kdl.hpp
@@ -30,7 +30,7 @@
 
 struct Value {
     std::optional<std::string> type;
-    std::variant<Null, bool, Number, std::string> is;
+    std::variant<Null, bool, Number, std::string> data;
     SourcePosition at;
 };
 
--- a/src/settings/site_settings.cpp
+++ b/src/settings/site_settings.cpp
@@ -13,7 +13,7 @@
     NodeReader node = top.requiredChild("ladder");
     Ladder ladder;
     ladder.stallLoss = node.number("stall-loss", 0, 1'000, 5);
-    ladder.switchSeconds = seconds(node.time("switch", 0, 60 * kSecond, 500'000));
+    ladder.switchSeconds = seconds(node.duration("switch", 0, 60 * kSecond, 500'000));
     ladder.joinPart = node.number("join", 0, 1, 1);
     for (NodeReader& rung : node.childrenNamed("rung")) {
         const double kb = rung.number("kb", 0.01, 1e7), worth = rung.number("worth", 0, 1);
@@ -44,19 +44,19 @@
         RoomType room;
         room.name = node.argument("its name");
         if (room.name.empty() || out.find(room.name)) node.fail("a room type needs a name of its own");
-        const Micros timeout = node.time("client-timeout", 100'000, kLong);
-        room.joinObjective = node.time("join-objective", 10'000, kLong);
+        const Micros timeout = node.duration("client-timeout", 100'000, kLong);
+        room.joinObjective = node.duration("join-objective", 10'000, kLong);
         if (room.joinObjective > timeout)
             node.failProperty("join-objective", "the join objective is expected within the client timeout");
         room.benefit = node.number("benefit", 0.0001, 1e6, 1);
         const std::string repeat = node.choice("set-up", {"free", "paid", "keyed"}, "free");
         room.paid = repeat == "paid";
         room.keyed = repeat == "keyed";
-        if (room.keyed) room.repeatWithin = node.time("repeat-within", 0, kLong, timeout);
+        if (room.keyed) room.repeatWithin = node.duration("repeat-within", 0, kLong, timeout);
         room.rateFactor = node.number("rate-factor", 0.01, 100, 1);
-        room.floor = static_cast<int>(node.whole("floor", 0, last, 0));
-        room.top = static_cast<int>(node.whole("top", room.floor, last, last));
-        room.seats = static_cast<int>(node.whole("seats", 0, 1'000'000, 0));
+        room.floor = static_cast<int>(node.integer("floor", 0, last, 0));
+        room.top = static_cast<int>(node.integer("top", room.floor, last, last));
+        room.seats = static_cast<int>(node.integer("seats", 0, 1'000'000, 0));
         room.live = node.flag("live", false);
         node.rejectUnread();
         out.types.push_back(std::move(room));
@@ -70,8 +70,8 @@
     Machines out;
     NodeReader node = top.requiredChild("fleet");
     Fleet& fleet = out.fleet;
-    fleet.cells = static_cast<int>(node.whole("cells", 1, 100'000));
-    fleet.racks = static_cast<int>(node.whole("racks", 1, 10'000, 1));
+    fleet.cells = static_cast<int>(node.integer("cells", 1, 100'000));
+    fleet.racks = static_cast<int>(node.integer("racks", 1, 10'000, 1));
     fleet.linksKb = node.number("links-kb", 0, 1e12);
     fleet.linkKbPerSize = node.number("link-kb-per-size", 0, 1e9, 0);
     fleet.uplinkKb = node.number("uplink-kb", 0, 1e12, 0);
@@ -88,7 +88,7 @@
     }
     for (NodeReader& kind : node.childrenNamed("kind")) {
         out.kinds.push_back(kind.argument("its name"));
-        fleet.places.push_back(static_cast<int>(kind.whole("places", 1, 1'000'000)));
+        fleet.places.push_back(static_cast<int>(kind.integer("places", 1, 1'000'000)));
         kind.rejectUnread();
     }
     if (out.kinds.empty())
@@ -101,10 +101,10 @@
     ColdStartLimits out;
     auto node = top.optionalChild("cold");
     if (!node) return out;
-    out.warmUp = node->time("warm-up", 0, kLong);
+    out.warmUp = node->duration("warm-up", 0, kLong);
     out.firstShare = node->number("first-share", 0.01, 1);
     out.fallMultiple = node->number("fall-multiple", 0.1, 100);
-    out.tipAfter = node->time("tip-after", 1'000, kLong);
+    out.tipAfter = node->duration("tip-after", 1'000, kLong);
     node->rejectUnread();
     return out;
 }
@@ -115,7 +115,7 @@
     JoinBudget out;
     out.free = node->number("free", 0, 1e6);
     out.share = node->number("share", 0, 10);
-    out.window = node->time("window", 100'000, kLong);
+    out.window = node->duration("window", 100'000, kLong);
     node->rejectUnread();
     return out;
 }
@@ -125,8 +125,8 @@
     NodeReader node = top.childOrDefaults("tidings");
     out.late = 100'000;
     out.every = kSecond;
-    out.late = node.time("late", 0, 60 * kSecond, out.late);
-    out.every = node.time("every", 0, 60 * kSecond, out.every);
+    out.late = node.duration("late", 0, 60 * kSecond, out.late);
+    out.every = node.duration("every", 0, 60 * kSecond, out.every);
     if (out.every > 0 && out.every < 100'000)
         node.failProperty("every", "\"0s\" (boxes tell no figures) or at least \"100ms\" is expected");
     node.rejectUnread();
@@ -147,8 +147,8 @@
     out.retryAfter = true;
     out.maxRetryAfter = 2 * kSecond;
     NodeReader node = top.childOrDefaults("allowed");
-    out.maxJoins = static_cast<int>(node.whole("joins", 1, 100, out.maxJoins));
-    out.maxRetryAfter = node.time("come-back-at-most", 0, kLong, out.maxRetryAfter);
+    out.maxJoins = static_cast<int>(node.integer("joins", 1, 100, out.maxJoins));
+    out.maxRetryAfter = node.duration("come-back-at-most", 0, kLong, out.maxRetryAfter);
     out.retryAfter = out.maxRetryAfter > 0;
     node.rejectUnread();
     return out;
@@ -161,8 +161,8 @@
         if (name.empty() || name.find('/') != std::string::npos || out.count(name))
             node.fail("a talk needs a title of its own, without '/'");
         Talk talk;
-        talk.firstCell = Cell{static_cast<std::uint32_t>(node.whole("first-cell", 0, fleet.cells - 1, 0))};
-        talk.holders = static_cast<int>(node.whole("holders", 1, fleet.cells, fleet.cells));
+        talk.firstCell = Cell{static_cast<std::uint32_t>(node.integer("first-cell", 0, fleet.cells - 1, 0))};
+        talk.holders = static_cast<int>(node.integer("holders", 1, fleet.cells, fleet.cells));
         node.rejectUnread();
         out.emplace(name, talk);
     }
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -104,24 +104,24 @@
 
 Audience readAudience(NodeReader& node, const Scenario& day, const settings::Talks& talks) {
     Audience a;
-    node.asWritten();  // a name, for who changes its settings
+    node.argumentsAsText();  // a name, for who changes its settings
     const double rate = node.number("rate", 0, 1e6), swing = node.number("swing", 0, 1, 0);
-    const Micros from = node.time("at", 0, kDay, 0);
-    const Micros until = node.time("until", from, kDay, day.length);
-    const Micros period = node.time("period", kSecond, kDay, std::max<Micros>(kSecond, until - from));
-    a.watchMedian = node.time("watch", 1, kDay);
+    const Micros from = node.duration("at", 0, kDay, 0);
+    const Micros until = node.duration("until", from, kDay, day.length);
+    const Micros period = node.duration("period", kSecond, kDay, std::max<Micros>(kSecond, until - from));
+    a.watchMedian = node.duration("watch", 1, kDay);
     a.watchSigma = node.number("watch-sigma", 0, 5, 0.6);
-    a.patience = node.time("patience", 100'000, kDay, 5 * kSecond);
+    a.patience = node.duration("patience", 100'000, kDay, 5 * kSecond);
     a.stallWeight = node.number("stall-weight", 0, 100, 1);
-    a.returns = static_cast<int>(node.whole("returns", 0, 1'000, 1));
-    a.back = node.time("back", 0, kDay, 500'000);
+    a.returns = static_cast<int>(node.integer("returns", 0, 1'000, 1));
+    a.back = node.duration("back", 0, kDay, 500'000);
     a.honours = node.number("honours", 0, 1, 1);
     a.atOnce = node.number("at-once", 0, 1, 0);
     a.badHints = node.number("bad-hints", 0, 1, 0);
     a.smallScreens = node.number("small-screens", 0, 1, 0);
     a.ownAbr = node.number("own-abr", 0, 1, 0);
-    a.startWith = node.time("start-with", 0, kDay, kSecond);
-    a.bufferMost = node.time("buffer", kSecond, kDay, 8 * kSecond);
+    a.startWith = node.duration("start-with", 0, kDay, kSecond);
+    a.bufferMost = node.duration("buffer", kSecond, kDay, 8 * kSecond);
     const double zipf = node.number("zipf", 0, 5, 0.8), hot = node.number("hot", 0, 1, 0);
     a.wanted = workload::Zipf(talks.size(), zipf, hot);
     if (node.has("member")) a.member = memberNamed(node, day);
@@ -129,15 +129,16 @@
     for (const auto& [title, talk] : talks) a.titles.push_back(title);
     std::vector<workload::Flash> flashes;
     for (NodeReader& one : node.childrenNamed("flash")) {
-        flashes.push_back({one.time("at", 0, kDay), one.time("for", 1, kDay), one.number("times", 0, 1e4)});
+        flashes.push_back(
+            {one.duration("at", 0, kDay), one.duration("for", 1, kDay), one.number("times", 0, 1e4)});
         one.rejectUnread();
     }
     a.stream = workload::Arrivals(rate, from, until, swing, period, std::move(flashes));
     for (NodeReader& one : node.childrenNamed("train")) {
         Audience::Train t;
-        t.viewers = static_cast<int>(one.whole("viewers", 0, 1'000'000));
-        t.at = one.time("at", 0, kDay);
-        t.over = one.time("over", 0, kDay, kSecond);
+        t.viewers = static_cast<int>(one.integer("viewers", 0, 1'000'000));
+        t.at = one.duration("at", 0, kDay);
+        t.over = one.duration("over", 0, kDay, kSecond);
         t.member = memberNamed(one, day);
         one.rejectUnread();
         a.trains.push_back(t);
@@ -156,12 +157,12 @@
         if (at == std::string::npos || at == 0 || at + 1 == path.size())
             throw std::invalid_argument("'" + path + "': a setting is named as NODE/NODE@PROPERTY");
         settings::Value now;
-        const auto read = settings::timeOf(value) ? std::vector<settings::Node>{}
-                                                  : settings::parseKdl("a value", "v " + value);
+        const auto read = settings::parseDuration(value) ? std::vector<settings::Node>{}
+                                                         : settings::parseKdl("a value", "v " + value);
         if (read.size() == 1 && read[0].arguments.size() == 1)
             now = read[0].arguments[0];
         else
-            now.is = value;
+            now.data = value;
         std::vector<settings::Node*> here;
         for (settings::Node& n : nodes) here.push_back(&n);
         std::string rest = path.substr(0, at);
@@ -177,7 +178,7 @@
                 if (n->name != name) return true;
                 if (!only) return false;
                 const auto* text =
-                    n->arguments.empty() ? nullptr : std::get_if<std::string>(&n->arguments.front().is);
+                    n->arguments.empty() ? nullptr : std::get_if<std::string>(&n->arguments.front().data);
                 return !text || *text != *only;
             });
             if (slash == std::string::npos) break;
@@ -206,10 +207,10 @@
     NodeReader top(document);
     NodeReader head = top.requiredChild("day");
     day.name = head.argument("its name");
-    day.length = head.time("length", kSecond, kDay);
-    day.seed = static_cast<std::uint64_t>(head.whole("seed", 0, 1'000'000'000, 1));
-    day.fronts = static_cast<int>(head.whole("fronts", 1, 64, 1));
-    day.boxes = static_cast<int>(head.whole("boxes", 1, 10'000));
+    day.length = head.duration("length", kSecond, kDay);
+    day.seed = static_cast<std::uint64_t>(head.integer("seed", 0, 1'000'000'000, 1));
+    day.fronts = static_cast<int>(head.integer("fronts", 1, 64, 1));
+    day.boxes = static_cast<int>(head.integer("boxes", 1, 10'000));
     day.linkKb = head.number("link-kb", 0.1, 1e9);
     head.rejectUnread();
 
@@ -229,11 +230,11 @@
 
     fakes::BoxConfig& make = day.make;
     if (auto node = top.optionalChild("box-make")) {
-        make.segment = node->time("segment", 100'000, 60 * kSecond, kSecond);
-        make.segments = static_cast<int>(node->whole("segments", 1, 100'000, 600));
-        make.setUp = node->time("set-up", 0, 60 * kSecond, 60'000);
-        make.setUpsAtOnce = static_cast<int>(node->whole("set-ups-at-once", 1, 10'000, 8));
-        make.forgetAfter = node->time("forget-after", kSecond, kDay, make.forgetAfter);
+        make.segment = node->duration("segment", 100'000, 60 * kSecond, kSecond);
+        make.segments = static_cast<int>(node->integer("segments", 1, 100'000, 600));
+        make.setUp = node->duration("set-up", 0, 60 * kSecond, 60'000);
+        make.setUpsAtOnce = static_cast<int>(node->integer("set-ups-at-once", 1, 10'000, 8));
+        make.forgetAfter = node->duration("forget-after", kSecond, kDay, make.forgetAfter);
         make.byteRanges = node->flag("byte-ranges", false);
         node->rejectUnread();
     }
@@ -259,15 +260,15 @@
 
     for (NodeReader& node : top.childrenNamed("crowd")) {
         Crowd crowd;
-        crowd.players = static_cast<int>(node.whole("players", 0, 1'000'000));
-        crowd.at = node.time("at", 0, kDay, 0);
-        crowd.over = node.time("over", 1, kDay);
-        crowd.watchLeast = node.time("watch-least", 0, kDay);
-        crowd.watchMost = node.time("watch-most", crowd.watchLeast, kDay);
+        crowd.players = static_cast<int>(node.integer("players", 0, 1'000'000));
+        crowd.at = node.duration("at", 0, kDay, 0);
+        crowd.over = node.duration("over", 1, kDay);
+        crowd.watchLeast = node.duration("watch-least", 0, kDay);
+        crowd.watchMost = node.duration("watch-most", crowd.watchLeast, kDay);
         crowd.badHints = node.number("bad-hints", 0, 1, 0);
         crowd.smallScreens = node.number("small-screens", 0, 1, 0);
         crowd.honours = node.number("honours", 0, 1, 1);
-        crowd.returns = static_cast<int>(node.whole("returns", 0, 1'000, 1));
+        crowd.returns = static_cast<int>(node.integer("returns", 0, 1'000, 1));
         crowd.rooms = roomsOf(node, day);
         crowd.titles = titlesOf(node, talks);
         node.rejectUnread();
@@ -290,16 +291,16 @@
 
     for (NodeReader& node : top.childrenNamed("callers")) {
         Callers c;
-        c.callers = static_cast<int>(node.whole("callers", 0, 1'000'000));
-        c.at = node.time("at", 0, kDay, 0);
-        c.over = node.time("over", 1, kDay);
-        c.talkLeast = node.time("talk-least", 0, kDay);
-        c.talkMost = node.time("talk-most", c.talkLeast, kDay);
-        c.t1 = node.time("t1", 10'000, kSecond, 500'000);
+        c.callers = static_cast<int>(node.integer("callers", 0, 1'000'000));
+        c.at = node.duration("at", 0, kDay, 0);
+        c.over = node.duration("over", 1, kDay);
+        c.talkLeast = node.duration("talk-least", 0, kDay);
+        c.talkMost = node.duration("talk-most", c.talkLeast, kDay);
+        c.t1 = node.duration("t1", 10'000, kSecond, 500'000);
         c.cancels = node.number("cancels", 0, 1, 0);
         c.weather.lose = node.number("lose", 0, 1, 0);
         c.weather.twice = node.number("twice", 0, 1, 0);
-        c.weather.delayMost = node.time("delay", 0, 10 * kSecond, 0);
+        c.weather.delayMost = node.duration("delay", 0, 10 * kSecond, 0);
         c.rooms = roomsOf(node, day);
         c.titles = titlesOf(node, talks);
         node.rejectUnread();
@@ -313,10 +314,10 @@
         t.kind = node.argument("its kind");
         if (!names.count(t.kind))
             node.fail("'" + t.kind + "' is no kind of trouble" + settings::suggestionFor(t.kind, names));
-        t.at = node.time("at", 0, day.length);
-        t.lasts = node.time("for", 0, kDay, 0);
+        t.at = node.duration("at", 0, day.length);
+        t.lasts = node.duration("for", 0, kDay, 0);
         t.size = node.number("size", 0, 1e6, 1);
-        t.time = node.time("time", 0, kDay, 0);
+        t.time = node.duration("time", 0, kDay, 0);
         for (const int box : numbersOf(node, "box", day.boxes)) t.boxes.push_back(box);
         for (const int rack : numbersOf(node, "rack", day.machines.fleet.racks)) t.boxes.push_back(rack);
         for (const int front : numbersOf(node, "front", day.fronts)) t.boxes.push_back(front);
--- a/tests/kdl_test.cpp
+++ b/tests/kdl_test.cpp
@@ -29,7 +29,7 @@
     EXPECT_EQ(again("a #\"raw \\n\"# ##\"with \"# in\"##"), "a \"raw \\\\n\" \"with \\\"# in\"\n");
     EXPECT_EQ(again("(t)a (u8)1 p=(date)\"x\""), "(t)a (u8)1 p=(date)x\n");
     EXPECT_EQ(again("a \"one \\\n   two\""), "a \"one two\"\n");
-    const auto number = std::get<Number>(parseKdl("t", "a -0x10")[0].arguments[0].is);
+    const auto number = std::get<Number>(parseKdl("t", "a -0x10")[0].arguments[0].data);
     EXPECT_EQ(number.whole, -16);
     EXPECT_DOUBLE_EQ(number.value, -16);
 }
@@ -108,7 +108,7 @@
         const auto back = parseKdl("t", once);
         RC_ASSERT(back[0].arguments.size() == node.arguments.size());
         for (std::size_t i = 0; i < node.arguments.size(); ++i)
-            RC_ASSERT(back[0].arguments[i].is == node.arguments[i].is);
+            RC_ASSERT(back[0].arguments[i].data == node.arguments[i].data);
     });
 }
 
@@ -212,9 +212,10 @@
 }
 
 TEST(Settings, TimesNeedTheirUnits) {
-    EXPECT_EQ(timeOf("1500us"), 1500);
-    EXPECT_EQ(timeOf("1.5min"), 90 * kSecond);
-    for (const char* bad : {"", "5", "s", "5 s", "5sec", "nans", "1e30h"}) EXPECT_FALSE(timeOf(bad)) << bad;
+    EXPECT_EQ(parseDuration("1500us"), 1500);
+    EXPECT_EQ(parseDuration("1.5min"), 90 * kSecond);
+    for (const char* bad : {"", "5", "s", "5 s", "5sec", "nans", "1e30h"})
+        EXPECT_FALSE(parseDuration(bad)) << bad;
 }
 
 }  // namespace
