--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -80,7 +80,7 @@
             if (!at) box.failProperty("launched", "a time in UTC is expected, as \"2026-12-01T09:00:00Z\"");
             line.sfu.launched = *at;
         }
-        if (box.has("launched-us")) line.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
+        if (box.has("launched-us")) line.sfu.launched = box.integer("launched-us", 0, 4'000'000'000'000'000);
         box.rejectUnread();
         out.servers.push_back(line);
     }
