--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -66,9 +66,9 @@
             static_cast<std::uint32_t>(node->integer("target-bytes", 128, 100'000, w.targetBytes));
         w.bodyBytes = static_cast<std::uint64_t>(node->integer("body-bytes", 0, 100'000'000, 65'536));
         w.outBytes = static_cast<std::uint32_t>(node->integer("out-bytes", 4'096, 100'000'000, w.outBytes));
-        w.headWithin = node->duration("head-within", 10'000, kHour, w.headWithin);
-        w.idleFor = node->duration("idle-for", 100'000, kHour, w.idleFor);
-        w.stalledFor = node->duration("stalled-for", 100'000, kHour, w.stalledFor);
+        w.headTimeout = node->duration("head-within", 10'000, kHour, w.headTimeout);
+        w.idleTimeout = node->duration("idle-for", 100'000, kHour, w.idleTimeout);
+        w.stallTimeout = node->duration("stalled-for", 100'000, kHour, w.stallTimeout);
         w.connections =
             static_cast<std::uint32_t>(node->integer("connections", 1, 10'000'000, w.connections));
         node->rejectUnread();
@@ -95,7 +95,7 @@
         v.relayBytes = static_cast<std::size_t>(node.integer("relay-bytes", 4'096, 100'000'000, 131'072));
         v.cachedPlaylists = static_cast<std::size_t>(node.integer("cached-playlists", 1, 1'000'000, 512));
         v.retryWhenFull = node.duration("retry-when-full", kSecond, kHour, v.retryWhenFull);
-        t.core.subs = static_cast<std::size_t>(node.integer("at-most", 1, 10'000'000, 100'000));
+        t.core.subscriptions = static_cast<std::size_t>(node.integer("at-most", 1, 10'000'000, 100'000));
         t.core.answerMargin = node.duration("answer-margin", 1'000, kSecond, t.core.answerMargin);
         t.deliveryWindow = node.duration("delivery-window", 100'000, 60 * kSecond, t.deliveryWindow);
         node.rejectUnread();
@@ -107,12 +107,12 @@
         NodeReader node = top.childOrDefaults("boxes");
         upstream::UpstreamLimits& b = t.boxes;
         b.connections = static_cast<std::size_t>(node.integer("connections", 1, 100'000, 256));
-        b.waiting = static_cast<std::size_t>(node.integer("waiting", 0, 1'000'000, 1'024));
-        b.connectWithin = node.duration("connect-within", 1'000, 60 * kSecond, b.connectWithin);
-        b.keepIdle = node.duration("keep-idle", 0, kHour, b.keepIdle);
-        b.sureFor = node.duration("sure-for", 0, kHour, b.sureFor);
+        b.pendingRequests = static_cast<std::size_t>(node.integer("waiting", 0, 1'000'000, 1'024));
+        b.connectTimeout = node.duration("connect-within", 1'000, 60 * kSecond, b.connectTimeout);
+        b.idleTimeout = node.duration("keep-idle", 0, kHour, b.idleTimeout);
+        b.recentUse = node.duration("sure-for", 0, kHour, b.recentUse);
         b.releases = static_cast<std::size_t>(node.integer("releases", 1, 10'000'000, b.releases));
-        b.releaseTries = static_cast<int>(node.integer("release-tries", 1, 100, b.releaseTries));
+        b.releaseAttempts = static_cast<int>(node.integer("release-tries", 1, 100, b.releaseAttempts));
         node.rejectUnread();
     }
     t.core.reportInterval = t.tidings.every;
@@ -140,8 +140,9 @@
     s.refusedKept = static_cast<std::size_t>(node->integer("refused-kept", 2, 10'000'000, 65'536));
     s.shed = node->flag("shed", true);
     s.overload.targetFill = node->number("target-fill", 0.05, 0.95, s.overload.targetFill);
-    s.overload.targetUnread = node->duration("target-unread", 1'000, 10 * kSecond, s.overload.targetUnread);
-    s.overload.every = node->duration("look-every", 10'000, 10 * kSecond, s.overload.every);
+    s.overload.targetQueueingDelay =
+        node->duration("target-unread", 1'000, 10 * kSecond, s.overload.targetQueueingDelay);
+    s.overload.updateInterval = node->duration("look-every", 10'000, 10 * kSecond, s.overload.updateInterval);
     s.overload.ratePerSecond = node->number("rate", 1, 1e6, s.overload.ratePerSecond);
     node->rejectUnread();
 }
@@ -154,10 +155,10 @@
     if (t.listFile.empty() == !t.listAt)
         node.fail("'list' is expected to have either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\"");
     t.listKept = node.text("keep", "");
-    t.listTimes.lookEvery = node.duration("look-every", 1'000, kHour, t.listTimes.lookEvery);
-    t.listTimes.connectWithin =
-        node.duration("connect-within", 1'000, 60 * kSecond, t.listTimes.connectWithin);
-    t.listTimes.silentFor = node.duration("silent-for", 100'000, kHour, t.listTimes.silentFor);
+    t.listTimes.pollInterval = node.duration("look-every", 1'000, kHour, t.listTimes.pollInterval);
+    t.listTimes.connectTimeout =
+        node.duration("connect-within", 1'000, 60 * kSecond, t.listTimes.connectTimeout);
+    t.listTimes.silenceTimeout = node.duration("silent-for", 100'000, kHour, t.listTimes.silenceTimeout);
     t.listLimits.boxes = static_cast<std::size_t>(node.integer("boxes", 1, 1'000'000, 4'096));
     t.listLimits.bytes = static_cast<std::size_t>(node.integer("bytes", 1'024, 100'000'000, 1'000'000));
     node.rejectUnread();
@@ -165,17 +166,17 @@
 
 void readAdmission(NodeReader& top, Told& t) {
     NodeReader node = top.childOrDefaults("admission");
-    t.gateBound.most = static_cast<std::size_t>(node.integer("waiting", 1, 1'000'000, 1'000));
-    t.gateBound.least = static_cast<std::size_t>(node.integer("waiting-least", 1, 1'000'000, 64));
-    t.gateBound.target = node.duration("target-wait", 0, kHour, t.gateBound.target);
+    t.gateBound.maxLimit = static_cast<std::size_t>(node.integer("waiting", 1, 1'000'000, 1'000));
+    t.gateBound.minLimit = static_cast<std::size_t>(node.integer("waiting-least", 1, 1'000'000, 64));
+    t.gateBound.targetWait = node.duration("target-wait", 0, kHour, t.gateBound.targetWait);
     admission::RetryLimiterSettings& r = t.gateReturns;
-    r.most = node.duration("come-back-most", 0, kHour, r.most);
-    r.over = node.number("returns-for-each", 0.1, 100, r.over);
-    r.asksForEach = node.number("asks-for-each", 1, 1e6, r.asksForEach);
-    r.least = node.number("asks-least", 1, 1e6, r.least);
+    r.maxRetryAfter = node.duration("come-back-most", 0, kHour, r.maxRetryAfter);
+    r.retriesPerPlacement = node.number("returns-for-each", 0.1, 100, r.retriesPerPlacement);
+    r.attemptsPerPlacement = node.number("asks-for-each", 1, 1e6, r.attemptsPerPlacement);
+    r.minAttemptsPerSecond = node.number("asks-least", 1, 1e6, r.minAttemptsPerSecond);
     admission::PathCapacitySettings& w = t.gateWays;
-    w.on = node.flag("narrow-ways", true);
-    w.enough = node.number("way-enough", 0.1, 1, w.enough);
+    w.enabled = node.flag("narrow-ways", true);
+    w.sufficientShare = node.number("way-enough", 0.1, 1, w.sufficientShare);
     w.window = node.duration("way-window", 100'000, kHour, w.window);
     t.gateConnections = static_cast<std::size_t>(node.integer("connections-each", 1, 1'000'000, 2'000));
     t.prefix4 = static_cast<int>(node.integer("prefix4", 1, 32, 24));
@@ -397,10 +398,10 @@
             const auto same =
                 std::find_if(held.servers.begin(), held.servers.end(),
                              [&](const discovery::ServerListEntry& b) { return b.sfu.id == one.sfu.id; });
-            if (same == held.boxes.end())
-                held.boxes.push_back(one);
+            if (same == held.servers.end())
+                held.servers.push_back(one);
             else if (one.sfu.state == ServerState::Off)
-                held.boxes.erase(same);
+                held.servers.erase(same);
             else
                 *same = one;
         }
--- a/src/node/changelog.cpp
+++ b/src/node/changelog.cpp
@@ -46,10 +46,10 @@
         for (const setup::Json& instance : setup::array(fleet, "instances", where)) {
             discovery::ServerListEntry entry;
             entry.sfu.id = SfuId{parseServerId(setup::text(instance, "instanceId", where), where)};
-            entry.sfu.standing = parseServerState(setup::text(instance, "lifecycle", where), where);
+            entry.sfu.state = parseServerState(setup::text(instance, "lifecycle", where), where);
             if (const auto endpoint = net::parseEndpoint(setup::textOr(instance, "hostPort", "", where)))
-                entry.at = *endpoint;
-            else if (entry.sfu.standing != ServerState::Off)
+                entry.endpoint = *endpoint;
+            else if (entry.sfu.state != ServerState::Off)
                 setup::throwInvalid(where, "'hostPort' is not an address and a port");
             if (setup::find(instance, "zone"))
                 entry.sfu.zone =
@@ -93,12 +93,12 @@
             if (state > 2 || zone >= std::max<std::size_t>(1, zoneCount_) || machineKind >= kindCount_)
                 return false;
             entry.sfu.id = SfuId{static_cast<std::uint32_t>(readBigEndian(data, 4))};
-            entry.at.ip = net::IpAddress(
+            entry.endpoint.ip = net::IpAddress(
                 boost::asio::ip::address_v4(static_cast<std::uint32_t>(readBigEndian(data + 4, 4))));
-            entry.at.port = static_cast<std::uint16_t>(readBigEndian(data + 8, 2));
-            entry.sfu.standing = state == 0   ? ServerState::On
-                                 : state == 1 ? ServerState::Draining
-                                              : ServerState::Off;
+            entry.endpoint.port = static_cast<std::uint16_t>(readBigEndian(data + 8, 2));
+            entry.sfu.state = state == 0   ? ServerState::On
+                              : state == 1 ? ServerState::Draining
+                                           : ServerState::Off;
             entry.sfu.zone = ZoneId{static_cast<std::uint32_t>(zone)};
             entry.sfu.kind = MachineKindId{static_cast<std::uint32_t>(machineKind)};
             entry.sfu.cell = Cell{static_cast<std::uint32_t>(readBigEndian(data + 13, 2))};
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -201,10 +201,10 @@
                 isListed && started == it->second.started ? it->second.entry.launched : toMonotonic(started);
             entries.push_back(entry);
             present.insert(entry.id);
-            if (entry.standing != ServerState::Off && !servers.isKnown(entry.id))
-                servers.setAddress(entry.id, listEntry.at);
+            if (entry.state != ServerState::Off && !servers.isKnown(entry.id))
+                servers.setAddress(entry.id, listEntry.endpoint);
             if (isListed && started > it->second.started) restarted.emplace_back(entry.id, entry.launched);
-            if (entry.standing == ServerState::Off)
+            if (entry.state == ServerState::Off)
                 listed.erase(entry.id);
             else
                 listed[entry.id] = {entry, started};
@@ -220,19 +220,19 @@
         }
         // After the core: joins that are withdrawn here are placed again at once, by the new list.
         for (const discovery::ServerListEntry& listEntry : event.entries)
-            if (listEntry.sfu.standing != ServerState::Off)
-                servers.setAddress(listEntry.sfu.id, listEntry.at);
+            if (listEntry.sfu.state != ServerState::Off)
+                servers.setAddress(listEntry.sfu.id, listEntry.endpoint);
         for (const auto& [id, launched] : restarted) servers.onRestarted(id, launched);
         for (const SfuEntry& entry : entries) {
-            if (entry.standing == ServerState::Off) removed.push_back(entry.id);
-            if (entry.standing == ServerState::Draining) servers.onDraining(entry.id);
+            if (entry.state == ServerState::Off) removed.push_back(entry.id);
+            if (entry.state == ServerState::Draining) servers.onDraining(entry.id);
         }
         for (const SfuId id : removed) servers.remove(id);
     }
     void onChange(const ChangeEvent& event) override {
         nlohmann::ordered_json fields{{"number", event.sequenceNumber}, {"whole", event.isFullList}};
         for (const discovery::ServerListEntry& listEntry : event.entries)
-            fields["boxes"].push_back({listEntry.sfu.id.v, static_cast<int>(listEntry.sfu.standing)});
+            fields["boxes"].push_back({listEntry.sfu.id.v, static_cast<int>(listEntry.sfu.state)});
         writeLog(logging::Level::Info, "list", std::move(fields));
         applyEvent(event, false);
     }
@@ -271,8 +271,8 @@
                 {{"sub", id.v}, {"no", joinNo}, {"at", server.v}, {"rung", rung}, {"time_out", timeOut}});
     }
     void onJoinEnded(SubId id, int joinNo, SfuId server, const core::JoinOutcome& outcome) override {
-        ++joinResults[static_cast<std::size_t>(outcome.end)];
-        if (outcome.end != JoinResult::Played && log.isEnabled(logging::Level::Debug))
+        ++joinResults[static_cast<std::size_t>(outcome.result)];
+        if (outcome.result != JoinResult::Played && log.isEnabled(logging::Level::Debug))
             writeLog(logging::Level::Debug, "join ended",
                      {{"sub", id.v},
                       {"no", joinNo},
@@ -297,14 +297,14 @@
                   {"out", servers.pendingJoinCount()},
                   {"standing", servers.playingCount()},
                   {"boxes", listed.size()},
-                  {"asked", c.asked},
+                  {"asked", c.requested},
                   {"played", c.played},
                   {"throttled", c.throttled},
                   {"terminated", c.terminated},
                   {"left", c.left},
-                  {"broke", c.broke},
+                  {"broke", c.lost},
                   {"joins", c.joins},
-                  {"guarded", c.guarded},
+                  {"guarded", c.guardAnswers},
                   {"chosen", placements},
                   {"fits", withScore},
                   {"among", placements ? candidateTotal / static_cast<double>(placements) : 0},
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -323,9 +323,9 @@
         outcome.why = nameOf(reason);
         // What the local kernel never took was not read by the server.
         outcome.neverRan = !session->second.isSent || writtenBytes <= session->second.streamOffset;
-        outcome.end = reason == DisconnectReason::OutOfDescriptors ? JoinResult::NeverSent
-                      : outcome.neverRan                           ? JoinResult::NoConnection
-                                                                   : JoinResult::Reset;
+        outcome.result = reason == DisconnectReason::OutOfDescriptors ? JoinResult::NeverSent
+                         : outcome.neverRan                           ? JoinResult::NoConnection
+                                                                      : JoinResult::Reset;
         finishJoin(id, outcome);
     }
 }
--- a/src/settings/site_settings.cpp
+++ b/src/settings/site_settings.cpp
@@ -14,7 +14,7 @@
     Ladder ladder;
     ladder.stallLoss = node.number("stall-loss", 0, 1'000, 5);
     ladder.switchSeconds = seconds(node.duration("switch", 0, 60 * kSecond, 500'000));
-    ladder.joinPart = node.number("join", 0, 1, 1);
+    ladder.sharedRateFraction = node.number("join", 0, 1, 1);
     for (NodeReader& rung : node.childrenNamed("rung")) {
         const double kb = rung.number("kb", 0.01, 1e7), worth = rung.number("worth", 0, 1);
         if (!ladder.kb.empty() && kb <= ladder.kb.back())
--- a/src/upstream/join_client.cpp
+++ b/src/upstream/join_client.cpp
@@ -32,8 +32,8 @@
             end = RequestResult::Rejected;
             for (const auto& entry :
                  hints::parseCmsdDynamic(head_.fields.joined("CMSD-Dynamic").value_or(""))) {
-                const hints::Bare* unseen = entry.custom.find("org.valekeel-unseen");
-                if (unseen && *unseen == hints::Bare(true)) end = RequestResult::RejectedUnseen;
+                const hints::BareItem* unseen = entry.custom.find("org.valekeel-unseen");
+                if (unseen && *unseen == hints::BareItem(true)) end = RequestResult::RejectedUnseen;
             }
         }
         all_.ended(id_, joinNo_, end, load, all_.net_.now() - began_);
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -396,7 +396,7 @@
 
 // All fronts lose the change log in the same moment, and must not all be back in the same one.
 TEST(ChangeLogClient, FrontsThatLoseItTogetherAskAgainApart) {
-    net::VirtualWorld world{3};
+    net::VirtualNetwork world{3};
     net::VirtualNode& there = world.node("log", place(2).ip);
     HandLog log(there, place(2));
     std::vector<std::unique_ptr<Heard>> heard;
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -64,7 +64,7 @@
 using nodetest::idOf;
 
 // A front node with its media servers, change log and one client connection, in a virtual world.
-struct Deployment : nodetest::Virtual {
+struct Deployment : nodetest::VirtualMachines {
     Json settings;
     std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
     std::unique_ptr<fakes::PlatformChangeLog> log;
@@ -96,14 +96,14 @@
     void subscribe(int n, std::size_t room = 0, int left = 0) {
         const Json& requestClass = settings["request_classes"][room];
         if (left == 0) left = static_cast<int>(requestClass["deadline"].get<double>() * 1000);
-        viewers->say({{"verb", "START"},
-                      {"tag", idOf(n)},
-                      {"opts",
-                       {{"class", requestClass["name"]},
-                        {"left", std::to_string(left)},
-                        {"key", "t" + std::to_string(n)},
-                        {"extras", "home:0;copies:4;top:2"}}},
-                      {"blob", "offer"}});
+        viewers->send({{"verb", "START"},
+                       {"tag", idOf(n)},
+                       {"opts",
+                        {{"class", requestClass["name"]},
+                         {"left", std::to_string(left)},
+                         {"key", "t" + std::to_string(n)},
+                         {"extras", "home:0;copies:4;top:2"}}},
+                       {"blob", "offer"}});
     }
     // Returns the messages on a subscription in order: "+" for "plays", the cause code for a release.
     std::string messages(int n) {
@@ -145,8 +145,8 @@
 TEST(Deployments, LoadReportIsParsedByNameInAnyOrder) {
     const auto load = [](const char* report) {
         node::Message m;
-        m.opts["load"] = report;
-        return node::loadOf(m);
+        m.options["load"] = report;
+        return node::parseLoadReport(m);
     };
     const LoadReport utilization = load("throughput:9;errors_per_s:0;outstanding:12;utilization:0.4");
     EXPECT_EQ(utilization.linkUse, 0.4);
@@ -176,7 +176,8 @@
 // A limit of one attempt holds even if the first was rejected and is proven not to have run.
 TEST(Deployments, LimitOfOneAttemptHolds) {
     Deployment deployment(pierSettings());
-    for (const auto& s : deployment.servers) s->does = [](const std::string&) { return SetupReaction::Full; };
+    for (const auto& s : deployment.servers)
+        s->reaction = [](const std::string&) { return SetupReaction::RefuseFull; };
     deployment.subscribe(1);
     deployment.run(kSecond);
     std::size_t sent = 0;
@@ -212,7 +213,7 @@
     Deployment deployment(pierSettings(), 1);
     deployment.subscribe(1);
     deployment.run(kSecond);
-    deployment.servers[0]->resetAll();
+    deployment.servers[0]->resetConnections();
     deployment.run(3 * kSecond);
     EXPECT_EQ(deployment.messages(1), "+");
     deployment.servers[0]->end(idOf(1), 16);
@@ -228,7 +229,7 @@
         deployment.subscribe(1);
         deployment.run(kSecond);
         ASSERT_EQ(deployment.messages(1), "+");
-        deployment.servers[0]->note(idOf(1), "link_use", 0.2);
+        deployment.servers[0]->sendNotice(idOf(1), "link_use", 0.2);
         deployment.run(20'000);
         const Micros lostAt = deployment.world.now();
         deployment.nodes[0]->pause();
@@ -254,7 +255,7 @@
         deployment.world.latency = nullptr;
         deployment.run(kSecond);
         EXPECT_EQ(deployment.messages(1), "+") << site["allowed"]["connect_timeout"];
-        EXPECT_EQ(deployment.servers[0]->standing.size(), 1u);
+        EXPECT_EQ(deployment.servers[0]->playing.size(), 1u);
     }
 }
 
@@ -267,7 +268,7 @@
         for (const Json& room : site["request_classes"])
             longest = std::max(longest, room["deadline"].get<double>());
         for (const auto& s : deployment.servers)
-            s->does = [](const std::string&) { return SetupReaction::Nothing; };
+            s->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
         const std::size_t rooms = site["request_classes"].size();
         for (std::size_t i = 0; i < rooms; ++i) deployment.subscribe(static_cast<int>(i) + 1, i);
         deployment.run(100'000);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -44,7 +44,7 @@
     ASSERT_EQ(read.servers.size(), 2u);
     EXPECT_EQ(read.servers[0].sfu.launched, 1796115600250000);
     EXPECT_EQ(read.servers[0].sfu.kind.v, 1u);
-    EXPECT_EQ(read.servers[1].sfu.standing, ServerState::Off);
+    EXPECT_EQ(read.servers[1].sfu.state, ServerState::Off);
     const ServerList back = parseServerList("t", formatServerList(read, kKinds), kKinds, {});
     EXPECT_EQ(back.version, 3);
     EXPECT_EQ(back.servers[0].sfu.launched, read.servers[0].sfu.launched);
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -126,7 +126,7 @@
 };
 
 struct VirtualMachines {
-    net::VirtualWorld world{5};
+    net::VirtualNetwork world{5};
     std::map<int, net::VirtualNode*> nodes;
     net::Net& machine(int n) {
         auto& node = nodes[n];
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -83,7 +83,7 @@
     int arrived = 0;
     for (int n = 1; n <= 24; ++n) arrived += day.setupsOf(n);
     EXPECT_GE(arrived, 15);
-    EXPECT_LE(arrived * 15'000, static_cast<int>(net::VirtualWorld::kBuffer) + 15'000);
+    EXPECT_LE(arrived * 15'000, static_cast<int>(net::VirtualNetwork::kBuffer) + 15'000);
     EXPECT_EQ(day.servers[0]->playing.size(), 1u);  // the first alone
 }
 
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -310,7 +310,7 @@
         void onLine(std::string_view) override {}
         void onDisconnect(node::DisconnectReason) override {}
     } nobody;
-    net::VirtualWorld world{5};
+    net::VirtualNetwork world{5};
     net::VirtualNode& here = world.node("here", VirtualMachines::place(0).ip);
     std::vector<std::unique_ptr<node::LineConnection>> wires;
     for (int i = 0; i < 10; ++i) {
