--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -237,7 +237,7 @@
 }
 void Core::onServerListChange(std::span<const SfuEntry> changed) {
     for (const SfuEntry& entry : changed)
-        if (entry.standing == ServerState::Off) lastLoadReportAt_.erase(entry.id);
+        if (entry.state == ServerState::Off) lastLoadReportAt_.erase(entry.id);
     callModule([&] { module_->onServerListChange(net_.now(), changed); });
 }
 std::vector<ServerEvidence> Core::serverEvidence() const {
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -65,11 +65,11 @@
         if (!seen.insert(line.sfu.id.v).second)
             box.fail("box " + std::to_string(line.sfu.id.v) + " stands here a second time");
         const std::string standing = box.choice("standing", {"on", "fading", "off"}, "on");
-        line.sfu.standing = standing == "on"       ? ServerState::On
-                            : standing == "fading" ? ServerState::Draining
-                                                   : ServerState::Off;
-        if (line.sfu.standing != ServerState::Off || box.has("at")) line.endpoint = box.address("at");
-        line.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
+        line.sfu.state = standing == "on"       ? ServerState::On
+                         : standing == "fading" ? ServerState::Draining
+                                                : ServerState::Off;
+        if (line.sfu.state != ServerState::Off || box.has("at")) line.endpoint = box.address("at");
+        line.sfu.cell = Cell{static_cast<std::uint32_t>(box.integer("cell", 0, 1'000'000, 0))};
         line.sfu.size = box.number("size", 0.001, 1'000'000, 1);
         if (!names.kinds.empty())
             line.sfu.kind = MachineKindId{placeOf(box, "kind", names.kinds, "a kind of machine")};
@@ -107,9 +107,9 @@
             box.properties.emplace_back(name, std::move(v));
         };
         if (line.endpoint.port != 0) put("at", text(net::toString(line.endpoint)));
-        put("standing", text(line.sfu.standing == ServerState::On         ? "on"
-                             : line.sfu.standing == ServerState::Draining ? "fading"
-                                                                          : "off"));
+        put("standing", text(line.sfu.state == ServerState::On         ? "on"
+                             : line.sfu.state == ServerState::Draining ? "fading"
+                                                                       : "off"));
         put("cell", number(line.sfu.cell.v));
         if (line.sfu.kind.v < names.kinds.size()) put("kind", text(names.kinds[line.sfu.kind.v]));
         if (line.sfu.zone.v < names.zones.size()) put("zone", text(names.zones[line.sfu.zone.v]));
--- a/src/evidence/evidence_file.cpp
+++ b/src/evidence/evidence_file.cpp
@@ -31,10 +31,10 @@
             box.fail("'box' is followed by one whole number of its own");
         EvidenceEntry one;
         one.evidence.id = SfuId{static_cast<std::uint32_t>(id[0])};
-        one.launched = box.whole("launched-us", 0, 4'000'000'000'000'000, 0);
+        one.launched = box.integer("launched-us", 0, 4'000'000'000'000'000, 0);
         one.evidence.evidence = box.number("evidence", -100, 100, 0);
         if (box.has("link-use")) one.evidence.linkUse = box.number("link-use", 0, 100);
-        one.evidence.age = box.time("age", 0, kDay, 0);
+        one.evidence.age = box.duration("age", 0, kDay, 0);
         box.rejectUnread();
         out.servers.push_back(one);
     }
