--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -33,17 +33,18 @@
     // failure.
     virtual void followList() = 0;
     virtual void log(const std::string&) = 0;  // for operators
-    // Called just before a join, for logs: the score that decided it, lowest of `among` candidates. No score:
-    // no rung fits, and the least loaded candidate gets the lowest rung.
-    virtual void recordPlacement(SubId, SfuId, const double* /*score*/, int /*among*/) {}
+    // Called just before a join, for logs: the score that decided it, the lowest of `candidateCount`. No
+    // score: no rung fits, and the least loaded candidate gets the lowest rung. The pointer is valid during
+    // the call.
+    virtual void recordPlacement(SubId, SfuId, const double* /*score*/, int /*candidateCount*/) {}
 };
 
 // The decisions of one front. Each method reports one event; `now` never decreases. The host must outlive the
 // module; all other arguments are copied.
 class Logic {
   public:
-    // `fronts`: number of fronts at the site, as fronts share no state. `budget`: null if joins are
-    // unlimited.
+    // `fronts`: number of fronts at the site, as fronts share no state. `budget`: null if only
+    // SubscriptionLimits limits joins.
     Logic(Host&, Micros now, std::uint64_t seed, int fronts, const Ladder&, const std::vector<RoomType>&,
           const Fleet&, const ColdStartLimits&, const JoinBudget* budget, const ReportTiming&,
           const SubscriptionLimits&, const ServingCosts& = {});
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -334,7 +334,7 @@
 }
 
 TEST(NoLoadReports, RungsStepUpAfterATimeWithoutShortDelivery) {
-    int soon = 0, later = 0;
+    int before = 0, after = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
         LogicFixture front(SiteConfig{.sfus = 2, .fronts = 1, .every = 0, .seed = seed});
         for (unsigned id = 1; id <= 8; ++id) {
@@ -344,18 +344,18 @@
             front.logic->onRungInForce(front.now, SubId{id}, 0);
             front.rungs[SubId{id}] = 0;
         }
-        const auto risen = [&] {
+        const auto steppedUpCount = [&] {
             int n = 0;
             for (const auto& [id, rung] : front.rungs) n += rung > 0;
             return n;
         };
         front.run(12 * kSecond);
-        soon += risen();
+        before += steppedUpCount();
         front.run(40 * kSecond);
-        later += risen();
+        after += steppedUpCount();
     }
-    EXPECT_EQ(soon, 0) << "rungs stepped up before the required time without short delivery";
-    EXPECT_GT(later, 10);
+    EXPECT_EQ(before, 0) << "rungs stepped up before the required time without short delivery";
+    EXPECT_GT(after, 10);
 }
 
 // Without reports all fronts make the same estimate, which must not make one rack the first choice of all.
@@ -372,7 +372,7 @@
 }
 
 TEST(NoLoadReports, ServerThatAnsweredFullIsNotTheNextFirstChoice) {
-    int again = 0;
+    int sameServerCount = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
         LogicFixture front(SiteConfig{.sfus = 3, .fronts = 50, .every = 0, .seed = seed, .fullThreshold = 1});
         front.subscribe(1);
@@ -382,15 +382,15 @@
         front.run(1'500'000);
         front.subscribe(2);
         front.run(kSecond / 10);
-        again += front.lastJoin(2).server == first;
+        sameServerCount += front.lastJoin(2).server == first;
     }
-    EXPECT_LE(again, 2);
+    EXPECT_LE(sameServerCount, 2);
 }
 
 // Short delivery from one server beside one that delivers in full, without reports on either: the link is the
 // likelier cause, and the sessions on the other must not step down.
 TEST(NoLoadReports, OneShortServerDoesNotStepDownItsNeighbourInTheRack) {
-    int there = 0, neighbour = 0;
+    int shortServerDrops = 0, neighbourDrops = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
         LogicFixture front(SiteConfig{.sfus = 4, .fronts = 50, .every = 0, .seed = seed});
         std::map<SfuId, unsigned> subAt;
@@ -411,11 +411,11 @@
             front.logic->onShareDelivered(front.now, SubId{subAt[SfuId{102}]}, SfuId{102}, .7);
             front.run(kSecond);
         }
-        there += front.rungs[SubId{subAt[SfuId{102}]}] < 2;
-        neighbour += front.rungs[SubId{subAt[SfuId{100}]}] < 2;
+        shortServerDrops += front.rungs[SubId{subAt[SfuId{102}]}] < 2;
+        neighbourDrops += front.rungs[SubId{subAt[SfuId{100}]}] < 2;
     }
-    EXPECT_GT(there, 10);
-    EXPECT_EQ(neighbour, 0);
+    EXPECT_GT(shortServerDrops, 10);
+    EXPECT_EQ(neighbourDrops, 0);
 }
 
 // A request that cannot be served is answered at once, so that its viewer has time to retry.
@@ -429,14 +429,14 @@
 }
 
 TEST(Zones, AnotherZoneIsUsedOnlyWhereItsCapacityIsWorthTheCost) {
-    int across = 0;
+    int otherZoneCount = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
         LogicFixture front(SiteConfig{.sfus = 8, .fronts = 20, .seed = seed, .crossZone = .04});
         front.subscribe(1);
         front.run(kSecond / 10);
-        across += front.lastJoin(1).server.v % 2;
+        otherZoneCount += front.lastJoin(1).server.v % 2;
     }
-    EXPECT_EQ(across, 0);
+    EXPECT_EQ(otherZoneCount, 0);
     LogicFixture front(SiteConfig{.sfus = 8, .fronts = 20, .crossZone = .04});
     std::vector<SfuEntry> off;
     for (int i = 0; i < 8; i += 2) off.push_back(LogicFixture::entry(i, ServerState::Off));
@@ -463,7 +463,7 @@
     }
     const auto stored = first.logic->serverEvidence(first.now);
     for (const bool restarted : {false, true}) {
-        int there = 0;
+        int joinsOfFailingServer = 0;
         for (unsigned seed = 1; seed <= 20; ++seed) {
             LogicFixture next(SiteConfig{.sfus = 2, .fronts = 1, .seed = seed});
             next.logic->restoreServerEvidence(next.now, stored);
@@ -472,12 +472,12 @@
                                                std::vector{LogicFixture::entry(0, ServerState::On, 1)});
             next.subscribe(1);
             next.run(kSecond / 10);
-            there += next.lastJoin(1).server == SfuId{100};
+            joinsOfFailingServer += next.lastJoin(1).server == SfuId{100};
         }
         if (restarted) {
-            EXPECT_GT(there, 3);
+            EXPECT_GT(joinsOfFailingServer, 3);
         } else {
-            EXPECT_EQ(there, 0);
+            EXPECT_EQ(joinsOfFailingServer, 0);
         }
     }
     LogicFixture other(SiteConfig{.sfus = 2});
