--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -5,48 +5,48 @@
 namespace valekeel::admission {
 
 void AdmissionController::addNamedNetwork(const Prefix& network, const std::string& name) {
-    const auto [it, fresh] = names_.try_emplace(name, static_cast<std::uint32_t>(networks_.size()));
-    if (fresh) networks_.push_back({name, 0, 0, true, network});
-    told_.insert(network, it->second);
+    const auto [it, inserted] = names_.try_emplace(name, static_cast<std::uint32_t>(networks_.size()));
+    if (inserted) networks_.push_back({name, 0, 0, true, network});
+    namedPrefixes_.insert(network, it->second);
 }
 
-Prefix AdmissionController::prefixOf(const net::IpAddress& ip) const {
-    const bool four = ip.is_v4() || ip.to_v6().is_v4_mapped();
-    return truncated(hostPrefix(ip), four ? 96 + prefix4_ : prefix6_);
+Prefix AdmissionController::groupPrefixOf(const net::IpAddress& ip) const {
+    const bool isV4 = ip.is_v4() || ip.to_v6().is_v4_mapped();
+    return truncated(hostPrefix(ip), isV4 ? 96 + prefix4_ : prefix6_);
 }
 
-std::optional<std::uint32_t> AdmissionController::known(const net::IpAddress& ip) const {
-    if (const auto told = told_.find(hostPrefix(ip))) return *told;
-    const auto it = untold_.find(prefixOf(ip));
-    return it == untold_.end() ? std::nullopt : std::optional(it->second);
+std::optional<std::uint32_t> AdmissionController::findNetwork(const net::IpAddress& ip) const {
+    if (const auto named = namedPrefixes_.find(hostPrefix(ip))) return *named;
+    const auto it = groups_.find(groupPrefixOf(ip));
+    return it == groups_.end() ? std::nullopt : std::optional(it->second);
 }
 
 std::uint32_t AdmissionController::networkOf(const net::IpAddress& ip) {
-    if (const auto network = known(ip)) return *network;
-    const Prefix prefix = prefixOf(ip);
+    if (const auto network = findNetwork(ip)) return *network;
+    const Prefix prefix = groupPrefixOf(ip);
     std::uint32_t id;
-    if (free_.empty()) {
+    if (freeIds_.empty()) {
         id = static_cast<std::uint32_t>(networks_.size());
         networks_.emplace_back();
     } else {
-        id = free_.back();
-        free_.pop_back();
+        id = freeIds_.back();
+        freeIds_.pop_back();
     }
     networks_[id] = {toString(prefix), 0, 0, false, prefix};
-    untold_[prefix] = id;
+    groups_[prefix] = id;
     return id;
 }
 
-// What nobody told of and nobody uses is forgotten: an attacker's many prefixes must not stay.
+// Unnamed networks that are not in use are forgotten: the many prefixes of an attacker must not pile up.
 void AdmissionController::forgetIfIdle(std::uint32_t id) {
     Network& n = networks_[id];
-    if (n.told || n.waiting > 0 || n.connections > 0) return;
-    if (untold_.erase(n.prefix)) free_.push_back(id);
+    if (n.named || n.pending > 0 || n.connections > 0) return;
+    if (groups_.erase(n.prefix)) freeIds_.push_back(id);
 }
 
 bool AdmissionController::openConnection(std::uint32_t network) {
     Network& n = networks_[network];
-    if (n.connections >= connectionsEach_) return false;
+    if (n.connections >= maxConnections_) return false;
     ++n.connections;
     return true;
 }
@@ -56,55 +56,57 @@
     forgetIfIdle(network);
 }
 
-AdmissionController::Decision AdmissionController::letFor(std::size_t ofIt) const {
-    const std::size_t waiting = limit();
-    if (held_ >= waiting) return Decision::Full;
-    const std::size_t sharers = holding_ + (ofIt == 0 ? 1 : 0) + 1;
-    const std::size_t share = std::max<std::size_t>(1, waiting / sharers);
-    if (held_ >= waiting / 2 && ofIt >= share) return Decision::OverFairShare;
-    const std::size_t kept = waiting / 10;
-    if (held_ + kept >= waiting && ofIt >= std::max<std::size_t>(1, kept / 4)) return Decision::OverFairShare;
+AdmissionController::Decision AdmissionController::checkLimits(std::size_t pendingOfNetwork) const {
+    const std::size_t bound = limit();
+    if (pending_ >= bound) return Decision::Full;
+    // The networks with pending requests, this one included, and one for the next newcomer.
+    const std::size_t sharers = activeNetworks_ + (pendingOfNetwork == 0 ? 1 : 0) + 1;
+    const std::size_t share = std::max<std::size_t>(1, bound / sharers);
+    if (pending_ >= bound / 2 && pendingOfNetwork >= share) return Decision::OverFairShare;
+    const std::size_t reserved = bound / 10;
+    if (pending_ + reserved >= bound && pendingOfNetwork >= std::max<std::size_t>(1, reserved / 4))
+        return Decision::OverFairShare;
     return Decision::Admitted;
 }
 
 AdmissionController::Decision AdmissionController::admit(Micros now, std::uint32_t network) {
     Network& n = networks_[network];
-    Decision let = letFor(n.waiting);
-    if (let == Decision::Admitted && !ways_.mayAdmit(now, network)) let = Decision::PathSaturated;
-    if (let == Decision::Admitted && !returns_.mayAttempt(now)) let = Decision::TooManyRetries;
-    if (let != Decision::Admitted) {
+    Decision decision = checkLimits(n.pending);
+    if (decision == Decision::Admitted && !paths_.mayAdmit(now, network)) decision = Decision::PathSaturated;
+    if (decision == Decision::Admitted && !retries_.mayAttempt(now)) decision = Decision::TooManyRetries;
+    if (decision != Decision::Admitted) {
         forgetIfIdle(network);
-        return let;
+        return decision;
     }
-    if (n.waiting++ == 0) ++holding_;
-    ++held_;
+    if (n.pending++ == 0) ++activeNetworks_;
+    ++pending_;
     return Decision::Admitted;
 }
 
-const char* AdmissionController::reasonText(Decision let) {
-    switch (let) {
+const char* AdmissionController::reasonText(Decision decision) {
+    switch (decision) {
         case Decision::Admitted:
-            return "let in";
+            return "admitted";
         case Decision::Full:
         case Decision::OverFairShare:
-            return "too many ask at once";
+            return "too many requests at once";
         case Decision::PathSaturated:
-            return "the way to your network is full";
+            return "the path to your network is saturated";
         case Decision::TooManyRetries:
-            return "no room for it now";
+            return "no capacity at present";
     }
     return "";
 }
 
 bool AdmissionController::wouldAdmit(const net::IpAddress& ip) const {
-    const auto network = known(ip);
-    return letFor(network ? networks_[*network].waiting : 0) == Decision::Admitted;
+    const auto network = findNetwork(ip);
+    return checkLimits(network ? networks_[*network].pending : 0) == Decision::Admitted;
 }
 
 void AdmissionController::onAnswered(std::uint32_t network) {
     Network& n = networks_[network];
-    if (--n.waiting == 0) --holding_;
-    --held_;
+    if (--n.pending == 0) --activeNetworks_;
+    --pending_;
     forgetIfIdle(network);
 }
 
--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -1,9 +1,11 @@
-// Who is let in when many come at once: how many requests may wait for the module together, and how many of
-// them from one network. Decides only: no I/O, no clock.
+// Admission control for new subscriptions: limits how many requests may wait for the decision module at once,
+// in total and per network, and combines that with the retry limiter and the path capacity check. Pure logic:
+// no I/O, no clock of its own.
 //
-// Under half of the bound everybody is let in, so a quiet front refuses nobody. Over it, a network may hold
-// no more than the bound shared by the networks that now hold something, and one more for whoever comes next.
-// The last tenth is kept for networks that hold little: a flood from one member leaves room for all others.
+// Below half of the limit every request is admitted, so a quiet front refuses nobody. Above it, a network may
+// have at most its fair share pending: the limit divided by the number of networks with pending requests plus
+// one for the next newcomer. The last tenth is reserved for networks with few pending requests, so a flood
+// from one network leaves room for all others.
 #pragma once
 
 #include <cstdint>
@@ -22,78 +24,86 @@
 
 class AdmissionController {
   public:
-    // Requests that may wait at once by `bound`; `connections`: open at once from one network.
-    AdmissionController(const ConcurrencyLimitSettings& bound, std::size_t connectionsEach, int prefix4,
-                        int prefix6, const RetryLimiterSettings& returns = {},
-                        const PathCapacitySettings& ways = {})
-        : bound_(bound),
-          connectionsEach_(connectionsEach),
+    // `maxConnections`: open at once from one network. `prefix4`, `prefix6`: lengths of the IPv4 and IPv6
+    // prefixes by which addresses outside the named networks are grouped.
+    AdmissionController(const ConcurrencyLimitSettings& limit, std::size_t maxConnections, int prefix4,
+                        int prefix6, const RetryLimiterSettings& retries = {},
+                        const PathCapacitySettings& paths = {})
+        : limit_(limit),
+          maxConnections_(maxConnections),
           prefix4_(prefix4),
           prefix6_(prefix6),
-          returns_(returns),
-          ways_(ways) {}
+          retries_(retries),
+          paths_(paths) {}
 
-    // Networks of members, told in the settings; other addresses are grouped by the prefix lengths above.
+    // Adds a prefix of a member's network, as configured. Prefixes of one name form one network.
     void addNamedNetwork(const Prefix& network, const std::string& name);
-    // Addresses of one name, or of one prefix, share one share.
+    // Returns the network of an address, registering its prefix as a new one if there is none yet. Valid
+    // until the network has neither connections nor pending requests, unless it is a named one.
     std::uint32_t networkOf(const net::IpAddress&);
     const std::string& nameOf(std::uint32_t network) const { return networks_[network].name; }
 
-    bool openConnection(std::uint32_t network);  // false: turned away
+    // Counts a connection; false if the network has too many open already.
+    bool openConnection(std::uint32_t network);
     void closeConnection(std::uint32_t network);
 
     enum class Decision {
         Admitted,
-        Full,
-        OverFairShare,
-        PathSaturated,   // the network's own way is short: one more would only take from those who watch
-        TooManyRetries,  // nearly all asks come to nothing, and enough of them have been put to the module
+        Full,            // the limit is reached
+        OverFairShare,   // the network has its fair share of the limit pending
+        PathSaturated,   // the network's own path is saturated: one more viewer would only take from the
+                         // others
+        TooManyRetries,  // nearly all attempts fail, and enough of them have reached the module
     };
+    // An admitted request counts as pending until onAnswered().
     Decision admit(Micros now, std::uint32_t network);
+    // Text for the viewer.
     static const char* reasonText(Decision);
-    // When whoever is turned away now should come again, from now; not before `least`.
-    Micros retryAfter(Micros now, Micros least) { return returns_.retryAfter(now, least); }
-    void onPlaced(Micros now) { returns_.onPlaced(now); }
-    void onThrottled(Micros now) { returns_.onThrottled(now); }
-    bool isLimitedToLowestRung(std::uint32_t network) const { return ways_.isLimitedToLowestRung(network); }
-    // A segment reached a viewer of that network whole: see Ways.
+    // Time from now after which a viewer who is refused now should retry; at least `least`.
+    Micros retryAfter(Micros now, Micros least) { return retries_.retryAfter(now, least); }
+    void onPlaced(Micros now) { retries_.onPlaced(now); }
+    void onThrottled(Micros now) { retries_.onThrottled(now); }
+    bool isLimitedToLowestRung(std::uint32_t network) const { return paths_.isLimitedToLowestRung(network); }
+    // A complete segment reached a viewer of the network; see PathCapacity::onDelivered.
     void onDelivered(Micros now, std::uint32_t network, double share, bool lowest) {
-        ways_.onDelivered(now, network, share, lowest);
+        paths_.onDelivered(now, network, share, lowest);
     }
-    // What admit() would say to a request from there, now; nothing is kept of it.
+    // Whether the limit and the fair share would admit a request from the address now. Changes no state and
+    // leaves out the checks of the path and of retries.
     bool wouldAdmit(const net::IpAddress&) const;
+    // An admitted request has been answered, or its viewer has left.
     void onAnswered(std::uint32_t network);
-    // How long a placement took, or a set-up that came to nothing: what the bound is found from.
-    void onAnswerTime(Micros now, Micros time) { bound_.onAnswered(now, time, held_); }
+    // How long a placement, or a set-up that failed, took: the input of the concurrency limit.
+    void onAnswerTime(Micros now, Micros time) { limit_.onAnswered(now, time, pending_); }
 
-    std::size_t pendingCount() const { return held_; }
-    std::size_t limit() const { return bound_.now(); }
-    double fillRatio() const { return static_cast<double>(held_) / static_cast<double>(limit()); }
-    std::size_t holding() const { return holding_; }  // networks that hold something
-    std::size_t networks() const { return networks_.size(); }
+    std::size_t pendingCount() const { return pending_; }
+    std::size_t limit() const { return limit_.current(); }
+    double fillRatio() const { return static_cast<double>(pending_) / static_cast<double>(limit()); }
+    std::size_t activeNetworks() const { return activeNetworks_; }  // with pending requests
+    std::size_t networkCount() const { return networks_.size(); }   // slots of forgotten networks included
 
   private:
     struct Network {
         std::string name;
-        std::size_t waiting = 0, connections = 0;
-        bool told = false;
+        std::size_t pending = 0, connections = 0;
+        bool named = false;
         Prefix prefix;
     };
-    Prefix prefixOf(const net::IpAddress&) const;  // the group of an address that nobody told of
-    std::optional<std::uint32_t> known(const net::IpAddress&) const;
+    Prefix groupPrefixOf(const net::IpAddress&) const;  // for an address outside the named networks
+    std::optional<std::uint32_t> findNetwork(const net::IpAddress&) const;
     void forgetIfIdle(std::uint32_t);
-    Decision letFor(std::size_t waitingOfIt) const;
-    ConcurrencyLimit bound_;
-    std::size_t connectionsEach_;
+    Decision checkLimits(std::size_t pendingOfNetwork) const;
+    ConcurrencyLimit limit_;
+    std::size_t maxConnections_;
     int prefix4_, prefix6_;
-    RetryLimiter returns_;
-    PathCapacity ways_;
-    PrefixTrie told_;
+    RetryLimiter retries_;
+    PathCapacity paths_;
+    PrefixTrie namedPrefixes_;
     std::map<std::string, std::uint32_t> names_;
-    std::map<Prefix, std::uint32_t> untold_;
+    std::map<Prefix, std::uint32_t> groups_;  // networks that are not named
     std::vector<Network> networks_;
-    std::vector<std::uint32_t> free_;
-    std::size_t held_ = 0, holding_ = 0;
+    std::vector<std::uint32_t> freeIds_;
+    std::size_t pending_ = 0, activeNetworks_ = 0;
 };
 
 }  // namespace valekeel::admission
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -1,10 +1,10 @@
-// How many requests may wait for an answer at once, found from how long answers take: as many as keep the
-// median wait at the target. Decides only: no I/O, no clock.
+// Adaptive concurrency limit: how many requests may wait for an answer at once, adjusted so that the median
+// answer time stays at a target. Pure logic: no I/O, no clock of its own.
 //
-// More waiting than media servers can set up in time costs their work twice over: what is given up on or sent
-// again runs there all the same. So the bound falls while answers take longer than they should, and rises
-// again while it is reached and they don't. What is slow without a crowd is no reason to turn anybody away:
-// the target is never under twice the median that was seen while few waited.
+// More pending requests than media servers can set up in time waste their work: joins that time out or are
+// repeated run there all the same. So the limit falls while answers take longer than the target, and rises
+// again while it is nearly reached and they do not. Slow answers without load are no reason to refuse anyone:
+// the effective target is at least twice the median that was measured while few requests were pending.
 #pragma once
 
 #include <cstddef>
@@ -15,25 +15,29 @@
 namespace valekeel::admission {
 
 struct ConcurrencyLimitSettings {
-    std::size_t minLimit = 64, maxLimit = 1'000;  // each decision looks at all that wait: more cost more each
-    Micros targetWait = 300'000;                  // 0: the bound stays at `most`
-    Micros interval = 200'000;                    // between looks
+    // Each decision of the module scans all pending requests, so a higher limit makes each one dearer.
+    std::size_t minLimit = 64, maxLimit = 1'000;
+    Micros targetWait = 300'000;  // median answer time; 0: the limit stays at `maxLimit`
+    Micros interval = 200'000;    // between adjustments
 };
 
+// Starts at `maxLimit` and stays between `minLimit` and `maxLimit`.
 class ConcurrencyLimit {
   public:
-    explicit ConcurrencyLimit(const ConcurrencyLimitSettings& terms);
-    // One was answered by a placement, or its set-up came to nothing. `held`: those that wait now.
-    void onAnswered(Micros now, Micros took, std::size_t held);
-    std::size_t now() const { return bound_; }
+    explicit ConcurrencyLimit(const ConcurrencyLimitSettings&);
+    // A request was answered by a placement, or its set-up failed, after `answerTime`. `pending`: requests
+    // that wait now.
+    void onAnswered(Micros now, Micros answerTime, std::size_t pending);
+    std::size_t current() const { return limit_; }
 
   private:
-    void look(Micros now, std::size_t held);
-    static constexpr std::size_t kSeen = 512;  // of a look: enough for a median
-    ConcurrencyLimitSettings terms_;
-    std::size_t bound_;
-    std::vector<Micros> seen_;
-    Micros lookedAt_ = 0, quiet_ = 0;
+    void adjust(Micros now, std::size_t pending);
+    static constexpr std::size_t kMaxSamples = 512;  // per interval: enough for a median
+    ConcurrencyLimitSettings settings_;
+    std::size_t limit_;
+    std::vector<Micros> answerTimes_;  // of this interval
+    // `baselineMedian_`: smoothed median answer time with few requests pending, 0 until measured.
+    Micros adjustedAt_ = 0, baselineMedian_ = 0;
 };
 
 }  // namespace valekeel::admission
--- a/src/admission/path_capacity.cpp
+++ b/src/admission/path_capacity.cpp
@@ -4,88 +4,89 @@
 
 namespace valekeel::admission {
 
-void PathCapacity::look(Micros now, Way& way) {
-    if (now - way.begun < terms_.window) return;
-    const Seen seen = way.seen;
-    way.seen = {};
-    way.begun = now;
-    if (seen.of < terms_.minSegments) {
-        // Nobody watches there any more, so nothing can be told: a few are let in to see.
-        if (way.narrow && now - way.heardAt >= 3 * terms_.window) {
-            way.narrow = false;
-            way.opening = true;
-            way.perSecond = terms_.initialAdmitsPerSecond;
+void PathCapacity::update(Micros now, Path& path) {
+    if (now - path.windowStart < settings_.window) return;
+    const ShareStats stats = path.stats;
+    path.stats = {};
+    path.windowStart = now;
+    if (stats.count < settings_.minSegments) {
+        // Nobody watches there any more, so nothing can be measured: a few viewers are admitted to find out.
+        if (path.saturated && now - path.lastSegmentAt >= 3 * settings_.window) {
+            path.saturated = false;
+            path.recovering = true;
+            path.admitsPerSecond = settings_.initialAdmitsPerSecond;
         }
         return;
     }
-    // The others, without its own part.
-    Seen others = allBefore_;
-    others.sum = std::max(0.0, others.sum - seen.sum);
-    others.of -= std::min(others.of, seen.of);
-    const bool alone = others.of < terms_.minSegments || others.mean() > seen.mean() + 0.1 ||
-                       others.mean() >= terms_.sufficientShare;
-    const bool lowest = seen.lowest * 4 >= seen.of * 3;
-    const bool starved =
-        seen.mean() < terms_.sufficientShare / 2;  // no rung would be low enough, whichever plays now
-    if (((seen.mean() < terms_.sufficientShare && lowest) || starved) && alone) {
-        way.narrow = true;
-        way.opening = false;
-    } else if (way.narrow && seen.mean() >= terms_.sufficientShare) {
-        way.narrow = false;
-        way.opening = true;
-        way.perSecond = terms_.initialAdmitsPerSecond;
-        way.tokens = 0;
-    } else if (way.opening && seen.mean() >= terms_.sufficientShare) {
-        way.perSecond *= 2;
-        if (way.perSecond > 64) way.opening = false;
+    // All other networks, without this one.
+    ShareStats others = allPrevious_;
+    others.sum = std::max(0.0, others.sum - stats.sum);
+    others.count -= std::min(others.count, stats.count);
+    const bool onlyHere = others.count < settings_.minSegments || others.mean() > stats.mean() + 0.1 ||
+                          others.mean() >= settings_.sufficientShare;
+    const bool lowest = stats.lowest * 4 >= stats.count * 3;
+    // No rung would be low enough, whichever ones play now.
+    const bool starved = stats.mean() < settings_.sufficientShare / 2;
+    if (((stats.mean() < settings_.sufficientShare && lowest) || starved) && onlyHere) {
+        path.saturated = true;
+        path.recovering = false;
+    } else if (path.saturated && stats.mean() >= settings_.sufficientShare) {
+        path.saturated = false;
+        path.recovering = true;
+        path.admitsPerSecond = settings_.initialAdmitsPerSecond;
+        path.tokens = 0;
+    } else if (path.recovering && stats.mean() >= settings_.sufficientShare) {
+        path.admitsPerSecond *= 2;
+        if (path.admitsPerSecond > 64) path.recovering = false;
     }
 }
 
 void PathCapacity::onDelivered(Micros now, std::uint32_t network, double share, bool lowest) {
-    if (!terms_.enabled) return;
-    if (now - allBegun_ >= terms_.window) {
-        allBefore_ = all_;
+    if (!settings_.enabled) return;
+    if (now - allWindowStart_ >= settings_.window) {
+        allPrevious_ = all_;
         all_ = {};
-        allBegun_ = now;
+        allWindowStart_ = now;
     }
-    Way& way = ways_[network];
-    way.heardAt = now;
-    for (Seen* seen : {&way.seen, &all_}) {
-        seen->sum += std::clamp(share, 0.0, 1.0);
-        ++seen->of;
-        seen->lowest += lowest;
+    Path& path = paths_[network];
+    path.lastSegmentAt = now;
+    for (ShareStats* stats : {&path.stats, &all_}) {
+        stats->sum += std::clamp(share, 0.0, 1.0);
+        ++stats->count;
+        stats->lowest += lowest;
     }
-    look(now, way);
-    // What was not heard of for long says nothing any more.
-    if (now - tidied_ < 30 * terms_.window) return;
-    tidied_ = now;
-    std::erase_if(ways_, [&](const auto& w) { return now - w.second.heardAt > 30 * terms_.window; });
+    update(now, path);
+    // Paths over which no segment has come for long are forgotten.
+    if (now - cleanedUpAt_ < 30 * settings_.window) return;
+    cleanedUpAt_ = now;
+    std::erase_if(
+        paths_, [&](const auto& entry) { return now - entry.second.lastSegmentAt > 30 * settings_.window; });
 }
 
 bool PathCapacity::mayAdmit(Micros now, std::uint32_t network) {
-    if (!terms_.enabled) return true;
-    const auto it = ways_.find(network);
-    if (it == ways_.end()) return true;
-    Way& way = it->second;
-    look(now, way);
-    if (way.narrow) return false;
-    if (!way.opening) return true;
-    way.tokens =
-        std::min(std::max(1.0, way.perSecond), way.tokens + way.perSecond * seconds(now - way.filledAt));
-    way.filledAt = now;
-    if (way.tokens < 1) return false;
-    way.tokens -= 1;
+    if (!settings_.enabled) return true;
+    const auto it = paths_.find(network);
+    if (it == paths_.end()) return true;
+    Path& path = it->second;
+    update(now, path);
+    if (path.saturated) return false;
+    if (!path.recovering) return true;
+    path.tokens = std::min(std::max(1.0, path.admitsPerSecond),
+                           path.tokens + path.admitsPerSecond * seconds(now - path.refilledAt));
+    path.refilledAt = now;
+    if (path.tokens < 1) return false;
+    path.tokens -= 1;
     return true;
 }
 
 bool PathCapacity::isLimitedToLowestRung(std::uint32_t network) const {
-    const auto it = ways_.find(network);
-    return it != ways_.end() && (it->second.narrow || it->second.opening);
+    const auto it = paths_.find(network);
+    return it != paths_.end() && (it->second.saturated || it->second.recovering);
 }
 
-bool PathCapacity::narrow(std::uint32_t network) const {
-    const auto it = ways_.find(network);
-    return it != ways_.end() && it->second.narrow;
+bool PathCapacity::isSaturated(std::uint32_t network) const {
+    const auto it = paths_.find(network);
+    return it != paths_.end() && it->second.saturated;
 }
 
 }  // namespace valekeel::admission
--- a/src/admission/path_capacity.hpp
+++ b/src/admission/path_capacity.hpp
@@ -1,10 +1,10 @@
-// Members whose own way to the media servers is short: all that watch there get less than their rungs ask
-// for, even the lowest. No choice of server or rung helps then; one viewer more only takes from those who
-// watch. So while a network's way is short, nobody new is let in over it, and then a few at a time. Decides
-// only: no I/O, no clock.
+// Detects networks whose own path to the media servers is saturated: all viewers there get less than the rate
+// of their rungs, even of the lowest one. No choice of server or rung helps then; another viewer would only
+// take bandwidth from the present ones. So no new viewer is admitted from such a network until the path has
+// recovered, and then only a few at a time. Pure logic: no I/O, no clock of its own.
 //
-// A network's own way is told from a media server that is short by the others: servers that do well
-// elsewhere, and badly for one network alone, are not what is short.
+// A saturated path is told from an overloaded media server by comparison: if all other networks together get
+// their rates while one network alone does not, the servers are not the bottleneck.
 #pragma once
 
 #include <cstdint>
@@ -16,43 +16,43 @@
 namespace valekeel::admission {
 
 struct PathCapacitySettings {
-    double sufficientShare = 0.95;  // of what the rung asks for
-    Micros window = 2'000'000;      // over which shares are averaged
-    std::size_t minSegments = 4;    // segments in a window that say something
-    double initialAdmitsPerSecond =
-        1;  // let in a second, first, once it is wide enough again; doubles a window
+    double sufficientShare = 0.95;      // of the rung's rate
+    Micros window = 2'000'000;          // over which shares are averaged
+    std::size_t minSegments = 4;        // in a window, for its mean to count
+    double initialAdmitsPerSecond = 1;  // once the path has recovered; doubles every window
     bool enabled = true;
 };
 
+// Networks are numbered by the caller (AdmissionController::networkOf).
 class PathCapacity {
   public:
-    explicit PathCapacity(const PathCapacitySettings& terms) : terms_(terms) {}
-    // A segment came whole: its share of what its rung asks for, 1 at most; `lowest`: no lower rung is
-    // allowed.
+    explicit PathCapacity(const PathCapacitySettings& settings) : settings_(settings) {}
+    // A segment arrived completely. `share`: delivered rate over the rung's rate, clamped to 0 to 1;
+    // `lowest`: no lower rung is allowed.
     void onDelivered(Micros now, std::uint32_t network, double share, bool lowest);
-    // Whether one more from there may watch. What it says true to is counted as let in.
+    // Whether one more viewer may be admitted from the network. Each true uses up one admission.
     bool mayAdmit(Micros now, std::uint32_t network);
-    bool narrow(std::uint32_t network) const;
-    // While it is narrow, and while it opens again: the lowest rung is all that one more may ask for.
+    bool isSaturated(std::uint32_t network) const;
+    // True while the path is saturated or recovering: new viewers may then request the lowest rung only.
     bool isLimitedToLowestRung(std::uint32_t network) const;
 
   private:
-    struct Seen {
+    struct ShareStats {
         double sum = 0;
-        std::size_t of = 0, lowest = 0;
-        double mean() const { return of ? sum / static_cast<double>(of) : 1; }
+        std::size_t count = 0, lowest = 0;  // segments; those at the lowest rung
+        double mean() const { return count ? sum / static_cast<double>(count) : 1; }
     };
-    struct Way {
-        Seen seen;
-        Micros begun = 0, filledAt = 0, heardAt = 0;
-        bool narrow = false, opening = false;
-        double perSecond = 0, tokens = 0;
+    struct Path {
+        ShareStats stats;  // of this window
+        Micros windowStart = 0, refilledAt = 0, lastSegmentAt = 0;
+        bool saturated = false, recovering = false;
+        double admitsPerSecond = 0, tokens = 0;  // while recovering
     };
-    void look(Micros now, Way&);
-    PathCapacitySettings terms_;
-    std::map<std::uint32_t, Way> ways_;
-    Seen all_, allBefore_;  // of all networks together, this window and the last
-    Micros allBegun_ = 0, tidied_ = 0;
+    void update(Micros now, Path&);
+    PathCapacitySettings settings_;
+    std::map<std::uint32_t, Path> paths_;
+    ShareStats all_, allPrevious_;  // of all networks together, in this window and the previous one
+    Micros allWindowStart_ = 0, cleanedUpAt_ = 0;
 };
 
 }  // namespace valekeel::admission
--- a/src/admission/prefix_trie.cpp
+++ b/src/admission/prefix_trie.cpp
@@ -8,12 +8,12 @@
 namespace valekeel::admission {
 namespace {
 
-bool bitOf(const Prefix& p, int at) {
-    return (p.bits[static_cast<std::size_t>(at / 8)] >> (7 - at % 8)) & 1;
+bool bitAt(const Prefix& p, int index) {
+    return (p.bits[static_cast<std::size_t>(index / 8)] >> (7 - index % 8)) & 1;
 }
 
-// How many of the first bits are the same, at most `most`.
-int sameBits(const Prefix& a, const Prefix& b, int most) {
+// Returns how many leading bits the two have in common, at most `most`.
+int commonBits(const Prefix& a, const Prefix& b, int most) {
     for (std::size_t byte = 0; byte < 16 && static_cast<int>(byte) * 8 < most; ++byte) {
         const auto differs = static_cast<std::uint8_t>(a.bits[byte] ^ b.bits[byte]);
         if (differs) return std::min(most, static_cast<int>(byte) * 8 + std::countl_zero(differs));
@@ -40,44 +40,44 @@
 Prefix truncated(const Prefix& p, int length) {
     Prefix out = p;
     out.length = std::min(length, p.length);
-    for (int at = out.length; at < 128; ++at)
-        out.bits[static_cast<std::size_t>(at / 8)] &= static_cast<std::uint8_t>(~(1 << (7 - at % 8)));
+    for (int bit = out.length; bit < 128; ++bit)
+        out.bits[static_cast<std::size_t>(bit / 8)] &= static_cast<std::uint8_t>(~(1 << (7 - bit % 8)));
     return out;
 }
 
 std::optional<Prefix> parsePrefix(std::string_view text) {
-    boost::system::error_code bad;
-    const std::string whole(text);
-    const auto four = boost::asio::ip::make_network_v4(whole, bad);
-    if (!bad) {
-        if (four.canonical() != four) return std::nullopt;
-        Prefix out = hostPrefix(four.address());
-        out.length = 96 + four.prefix_length();
+    boost::system::error_code error;
+    const std::string input(text);
+    const auto v4 = boost::asio::ip::make_network_v4(input, error);
+    if (!error) {
+        if (v4.canonical() != v4) return std::nullopt;
+        Prefix out = hostPrefix(v4.address());
+        out.length = 96 + v4.prefix_length();
         return out;
     }
-    const auto six = boost::asio::ip::make_network_v6(whole, bad);
-    if (bad || six.canonical() != six) return std::nullopt;
-    Prefix out = hostPrefix(six.address());
-    out.length = six.prefix_length();
+    const auto v6 = boost::asio::ip::make_network_v6(input, error);
+    if (error || v6.canonical() != v6) return std::nullopt;
+    Prefix out = hostPrefix(v6.address());
+    out.length = v6.prefix_length();
     return out;
 }
 
 std::string toString(const Prefix& p) {
     boost::asio::ip::address_v6::bytes_type bytes;
     std::copy(p.bits.begin(), p.bits.end(), bytes.begin());
-    const boost::asio::ip::address_v6 six(bytes);
-    if (six.is_v4_mapped() && p.length >= 96)
-        return boost::asio::ip::make_address_v4(boost::asio::ip::v4_mapped, six).to_string() + "/" +
+    const boost::asio::ip::address_v6 v6(bytes);
+    if (v6.is_v4_mapped() && p.length >= 96)
+        return boost::asio::ip::make_address_v4(boost::asio::ip::v4_mapped, v6).to_string() + "/" +
                std::to_string(p.length - 96);
-    return six.to_string() + "/" + std::to_string(p.length);
+    return v6.to_string() + "/" + std::to_string(p.length);
 }
 
 void PrefixTrie::insert(const Prefix& prefix, std::uint32_t value) {
-    const auto leaf = [&](const Prefix& p, std::optional<std::uint32_t> v) {
+    const auto addNode = [&](const Prefix& p, std::optional<std::uint32_t> v) {
         nodes_.push_back(Node{p, v, {-1, -1}});
         return static_cast<std::int32_t>(nodes_.size()) - 1;
     };
-    std::int32_t parent = -1, at = root_;
+    std::int32_t parent = -1, node = root_;
     int side = 0;
     const auto link = [&](std::int32_t to) {
         if (parent < 0)
@@ -85,48 +85,48 @@
         else
             nodes_[static_cast<std::size_t>(parent)].child[side] = to;
     };
-    while (at >= 0) {
-        const Prefix here = nodes_[static_cast<std::size_t>(at)].prefix;
-        const int same = sameBits(here, prefix, std::min(here.length, prefix.length));
-        if (same < here.length) {  // it branches off, or ends, within this edge
-            const bool ends = same == prefix.length;
+    while (node >= 0) {
+        const Prefix current = nodes_[static_cast<std::size_t>(node)].prefix;
+        const int common = commonBits(current, prefix, std::min(current.length, prefix.length));
+        if (common < current.length) {  // the new prefix branches off, or ends, within this edge
+            const bool endsHere = common == prefix.length;
             const std::int32_t fork =
-                leaf(truncated(prefix, same), ends ? std::optional(value) : std::nullopt);
-            nodes_[static_cast<std::size_t>(fork)].child[bitOf(here, same)] = at;
-            if (!ends) {
-                const std::int32_t end = leaf(prefix, value);
-                nodes_[static_cast<std::size_t>(fork)].child[bitOf(prefix, same)] = end;
+                addNode(truncated(prefix, common), endsHere ? std::optional(value) : std::nullopt);
+            nodes_[static_cast<std::size_t>(fork)].child[bitAt(current, common)] = node;
+            if (!endsHere) {
+                const std::int32_t end = addNode(prefix, value);
+                nodes_[static_cast<std::size_t>(fork)].child[bitAt(prefix, common)] = end;
             }
             link(fork);
             ++size_;
             return;
         }
-        if (here.length == prefix.length) {
-            Node& node = nodes_[static_cast<std::size_t>(at)];
-            if (!node.value) ++size_;
-            node.value = value;
+        if (current.length == prefix.length) {
+            Node& existing = nodes_[static_cast<std::size_t>(node)];
+            if (!existing.value) ++size_;
+            existing.value = value;
             return;
         }
-        parent = at;
-        side = bitOf(prefix, here.length);
-        at = nodes_[static_cast<std::size_t>(at)].child[side];
+        parent = node;
+        side = bitAt(prefix, current.length);
+        node = nodes_[static_cast<std::size_t>(node)].child[side];
     }
-    const std::int32_t end = leaf(prefix, value);
+    const std::int32_t end = addNode(prefix, value);
     link(end);
     ++size_;
 }
 
 std::optional<std::uint32_t> PrefixTrie::find(const Prefix& host) const {
     std::optional<std::uint32_t> best;
-    std::int32_t at = root_;
-    while (at >= 0) {
-        const Node& node = nodes_[static_cast<std::size_t>(at)];
+    std::int32_t index = root_;
+    while (index >= 0) {
+        const Node& node = nodes_[static_cast<std::size_t>(index)];
         if (node.prefix.length > host.length ||
-            sameBits(node.prefix, host, node.prefix.length) < node.prefix.length)
+            commonBits(node.prefix, host, node.prefix.length) < node.prefix.length)
             break;
         if (node.value) best = node.value;
         if (node.prefix.length >= host.length) break;
-        at = node.child[bitOf(host, node.prefix.length)];
+        index = node.child[bitAt(host, node.prefix.length)];
     }
     return best;
 }
--- a/src/admission/retry_limiter.cpp
+++ b/src/admission/retry_limiter.cpp
@@ -4,52 +4,53 @@
 
 namespace valekeel::admission {
 
-void RetryLimiter::look(Micros now) {
-    if (now - lookedAt_ < terms_.window) return;
-    const double span = seconds(now - lookedAt_);
-    const double rate = static_cast<double>(placedNow_) / span;
-    // What came in a burst at the opening says little of how places come free later: half by half.
-    placedRate_ = seen_ ? (placedRate_ + rate) / 2 : rate;
-    seen_ = true;
-    const std::uint64_t all = placedNow_ + throttledNow_;
-    // With two bounds, so that it does not go to and fro.
-    if (all >= 10) crowded_ = throttledNow_ * 10 >= all * (crowded_ ? 5 : 8);
-    if (throttledNow_ == 0) crowded_ = false;
-    placedNow_ = throttledNow_ = 0;
-    lookedAt_ = now;
+void RetryLimiter::updateRates(Micros now) {
+    if (now - windowStart_ < settings_.window) return;
+    const double elapsed = seconds(now - windowStart_);
+    const double rate = static_cast<double>(placed_) / elapsed;
+    // Averaged with the previous rate: an initial burst says little about how places become free later.
+    placedPerSecond_ = hasRate_ ? (placedPerSecond_ + rate) / 2 : rate;
+    hasRate_ = true;
+    const std::uint64_t total = placed_ + throttled_;
+    // Two thresholds (hysteresis), so that the state does not flap.
+    if (total >= 10) overloaded_ = throttled_ * 10 >= total * (overloaded_ ? 5 : 8);
+    if (throttled_ == 0) overloaded_ = false;
+    placed_ = throttled_ = 0;
+    windowStart_ = now;
 }
 
 void RetryLimiter::onPlaced(Micros now) {
-    look(now);
-    ++placedNow_;
+    updateRates(now);
+    ++placed_;
 }
 void RetryLimiter::onThrottled(Micros now) {
-    look(now);
-    ++throttledNow_;
+    updateRates(now);
+    ++throttled_;
 }
 
 bool RetryLimiter::mayAttempt(Micros now) {
-    look(now);
-    const double rate = std::max(terms_.minAttemptsPerSecond, terms_.attemptsPerPlacement * placedRate_);
-    tokens_ = std::min(rate, tokens_ + rate * seconds(now - filledAt_));  // a second's worth at most
-    filledAt_ = now;
-    if (terms_.maxRetryAfter <= 0 || !crowded_) return true;
+    updateRates(now);
+    const double rate =
+        std::max(settings_.minAttemptsPerSecond, settings_.attemptsPerPlacement * placedPerSecond_);
+    tokens_ = std::min(rate, tokens_ + rate * seconds(now - refilledAt_));  // capped at one second's worth
+    refilledAt_ = now;
+    if (settings_.maxRetryAfter <= 0 || !overloaded_) return true;
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
 }
 
 Micros RetryLimiter::retryAfter(Micros now, Micros least) {
-    look(now);
-    if (terms_.maxRetryAfter <= 0) return least;
-    const double rate = std::max(1.0, placedRate_ * terms_.retriesPerPlacement);
-    const Micros apart = static_cast<Micros>(1e6 / rate);
-    // The first is told `least`; each later one comes behind those who were told before.
-    nextSlot_ = std::max(nextSlot_ + apart, now + least);
-    const Micros latest = now + std::max(least, terms_.maxRetryAfter);
-    // Beyond the longest wait the row begins anew, over the last half of it: not all at its very end.
-    if (nextSlot_ > latest) nextSlot_ = now + std::max(least, terms_.maxRetryAfter / 2);
-    return nextSlot_ - now;
+    updateRates(now);
+    if (settings_.maxRetryAfter <= 0) return least;
+    const double rate = std::max(1.0, placedPerSecond_ * settings_.retriesPerPlacement);
+    const Micros spacing = static_cast<Micros>(1e6 / rate);
+    // The first viewer gets `least`, each later one a time `spacing` after the previous.
+    lastRetryAt_ = std::max(lastRetryAt_ + spacing, now + least);
+    const Micros latest = now + std::max(least, settings_.maxRetryAfter);
+    // Past the longest wait, the times start again at half of it, so that they do not all pile up at its end.
+    if (lastRetryAt_ > latest) lastRetryAt_ = now + std::max(least, settings_.maxRetryAfter / 2);
+    return lastRetryAt_ - now;
 }
 
 }  // namespace valekeel::admission
--- a/src/admission/retry_limiter.hpp
+++ b/src/admission/retry_limiter.hpp
@@ -1,10 +1,10 @@
-// When those who are turned away come again, and how many asks are worth a decision. Decides only: no I/O, no
-// clock.
+// Spreads the retries of refused viewers over time, and limits how many attempts reach the decision module
+// under overload. Pure logic: no I/O, no clock of its own.
 //
-// Told alike, they come back alike: a crowd that was throttled at one moment asks again at one moment, and
-// most of it is throttled again. So each is told a moment of its own, as far apart as places come free. And
-// while nearly all asks come to nothing, only so many are put to the module as may find a place; the rest are
-// turned away at once, with such a moment. Who comes at once all the same then costs a refusal and no
+// Viewers that are throttled at once and given the same retry time come back at once, and most of them are
+// throttled again. So each refused viewer gets a retry time of its own, spaced at the rate at which places
+// become free. And while nearly all attempts fail, only as many reach the module as may find a place; the
+// rest are refused at once, with such a retry time. A viewer that ignores it then costs a refusal but no
 // decision.
 #pragma once
 
@@ -15,35 +15,34 @@
 namespace valekeel::admission {
 
 struct RetryLimiterSettings {
-    Micros maxRetryAfter =
-        30'000'000;  // nobody is told to wait longer; 0: everybody is told what the module says
-    double retriesPerPlacement = 1.5;  // so many are told to come for each place that comes free
-    double attemptsPerPlacement =
-        4;  // asks put to the module for each that it places, while it throttles nearly all
-    double minAttemptsPerSecond = 20;  // and never fewer than so many a second
-    Micros window = 2'000'000;         // over which rates are found
+    Micros maxRetryAfter = 30'000'000;  // 0: the limiter is off, and the module's retry times stand
+    double retriesPerPlacement = 1.5;   // viewers asked to retry for each place that becomes free
+    double attemptsPerPlacement = 4;    // passed to the module while it throttles nearly all
+    double minAttemptsPerSecond = 20;   // passed to the module in any case
+    Micros window = 2'000'000;          // over which rates are measured
 };
 
 class RetryLimiter {
   public:
-    explicit RetryLimiter(const RetryLimiterSettings& terms) : terms_(terms) {}
+    explicit RetryLimiter(const RetryLimiterSettings& settings) : settings_(settings) {}
     void onPlaced(Micros now);
     void onThrottled(Micros now);  // by the module
-    // Whether one more ask is worth a decision.
+    // Whether one more attempt may reach the module. Each true uses up one attempt under overload.
     bool mayAttempt(Micros now);
-    // When one that is turned away now should come again, from now: not before `least`.
+    // Time from now after which a viewer who is refused now should retry; at least `least`. Each call
+    // reserves the next retry time.
     Micros retryAfter(Micros now, Micros least);
-    double placedPerSecond() const { return placedRate_; }
-    bool crowded() const { return crowded_; }
+    double placedPerSecond() const { return placedPerSecond_; }
+    bool isOverloaded() const { return overloaded_; }  // the module throttles nearly all attempts
 
   private:
-    void look(Micros now);
-    RetryLimiterSettings terms_;
-    Micros lookedAt_ = 0;
-    std::uint64_t placedNow_ = 0, throttledNow_ = 0;
-    double placedRate_ = 0, tokens_ = 0;
-    bool crowded_ = false, seen_ = false;
-    Micros filledAt_ = 0, nextSlot_ = 0;
+    void updateRates(Micros now);
+    RetryLimiterSettings settings_;
+    Micros windowStart_ = 0;
+    std::uint64_t placed_ = 0, throttled_ = 0;  // in this window
+    double placedPerSecond_ = 0, tokens_ = 0;
+    bool overloaded_ = false, hasRate_ = false;
+    Micros refilledAt_ = 0, lastRetryAt_ = 0;
 };
 
 }  // namespace valekeel::admission
--- a/src/upstream/connection_reuse.cpp
+++ b/src/upstream/connection_reuse.cpp
@@ -4,40 +4,42 @@
 
 namespace valekeel::upstream {
 
-// The one used last is taken first: the others grow old and are closed, so a quiet front holds few.
+// The most recently used one is taken first: the others expire and are closed, so a quiet front keeps few.
 ConnectionReusePolicy::Choice ConnectionReusePolicy::choose(Micros now, Need need) const {
     if (!idle_.empty()) {
         const auto& [since, conn] = *idle_.rbegin();
-        const Micros rest = now - since;
-        if (rest < keepIdle_ && (need == Need::Any || rest <= sureFor_)) return {Choice::What::Use, conn};
+        const Micros idleTime = now - since;
+        if (idleTime < idleTimeout_ && (need == Need::Any || idleTime <= recentUse_))
+            return {Choice::What::Use, conn};
     }
-    if (open() < most_) return {Choice::What::Open, {}};
+    if (openCount() < maxOpen_) return {Choice::What::Open, {}};
     if (!idle_.empty()) return {Choice::What::CloseAndOpen, idle_.begin()->second};
     return {Choice::What::Wait, {}};
 }
 
-void ConnectionReusePolicy::taken(ConnId conn) {
-    const auto it = std::find_if(idle_.begin(), idle_.end(), [&](const auto& e) { return e.second == conn; });
+void ConnectionReusePolicy::onTaken(ConnId conn) {
+    const auto it =
+        std::find_if(idle_.begin(), idle_.end(), [&](const auto& entry) { return entry.second == conn; });
     if (it == idle_.end()) return;
     idle_.erase(it);
     ++busy_;
 }
 
-void ConnectionReusePolicy::idle(Micros now, ConnId conn) {
+void ConnectionReusePolicy::onIdle(Micros now, ConnId conn) {
     --busy_;
     idle_.emplace(now, conn);
 }
 
-void ConnectionReusePolicy::closed(ConnId conn, bool wasBusy) {
+void ConnectionReusePolicy::onClosed(ConnId conn, bool wasBusy) {
     if (wasBusy) {
         --busy_;
         return;
     }
-    std::erase_if(idle_, [&](const auto& e) { return e.second == conn; });
+    std::erase_if(idle_, [&](const auto& entry) { return entry.second == conn; });
 }
 
-std::optional<ConnId> ConnectionReusePolicy::stale(Micros now) const {
-    if (idle_.empty() || now - idle_.begin()->first < keepIdle_) return std::nullopt;
+std::optional<ConnId> ConnectionReusePolicy::expired(Micros now) const {
+    if (idle_.empty() || now - idle_.begin()->first < idleTimeout_) return std::nullopt;
     return idle_.begin()->second;
 }
 
--- a/src/upstream/connection_reuse.hpp
+++ b/src/upstream/connection_reuse.hpp
@@ -1,6 +1,7 @@
-// Which connection to a box a request takes. Decides only: no I/O, no clock. A kept connection that the box
-// closes for idleness just as a request goes out leaves that request in doubt, which costs a paid set-up its
-// subscription; so what must not be in doubt takes only connections used a moment ago, or a fresh one.
+// Chooses which connection to a media server a request uses. Pure logic: no I/O, no clock of its own. If the
+// server closes a kept connection for idleness just as a request is sent, nobody knows whether the request
+// ran, and a paid set-up then costs its subscription. So requests that must not end in doubt use only
+// connections that were in use a moment ago, or new ones.
 #pragma once
 
 #include <cstdint>
@@ -13,34 +14,36 @@
 
 using ConnId = Id<struct ConnTag, std::uint64_t>;
 
+// Tracks the connections to one media server. The owner of the connections reports each change.
 class ConnectionReusePolicy {
   public:
-    // At most so many connections to this box; idle ones are kept for `keepIdle`; `sureFor`: how lately one
-    // must have been used for a request that must not be in doubt.
-    ConnectionReusePolicy(std::size_t most, Micros keepIdle, Micros sureFor)
-        : most_(most), keepIdle_(keepIdle), sureFor_(sureFor) {}
+    // `maxOpen`: connections at once. `idleTimeout`: how long an idle one is kept. `recentUse`: how long ago
+    // a connection may have been used for Need::RecentlyUsed.
+    ConnectionReusePolicy(std::size_t maxOpen, Micros idleTimeout, Micros recentUse)
+        : maxOpen_(maxOpen), idleTimeout_(idleTimeout), recentUse_(recentUse) {}
 
-    enum class Need { Any, Sure };
+    enum class Need { Any, RecentlyUsed };
     struct Choice {
         enum class What { Use, Open, CloseAndOpen, Wait } what;
-        ConnId conn;  // to use, or to close for the sake of a fresh one
+        ConnId conn;  // to use, or to close so that a new one can be opened
     };
+    // Changes no state: the owner carries out the choice and reports it.
     Choice choose(Micros now, Need) const;
 
-    void opened(ConnId) { ++busy_; }  // it is taken by the request that wanted it
-    void taken(ConnId);
-    void idle(Micros now, ConnId);  // its request is done, and it is kept
-    void closed(ConnId, bool wasBusy);
-    // The one that has been idle for longer than it is kept, if there is one.
-    std::optional<ConnId> stale(Micros now) const;
-    std::size_t open() const { return busy_ + idle_.size(); }
-    std::size_t busy() const { return busy_; }
+    void onOpened(ConnId) { ++busy_; }  // for a request, so it is busy
+    void onTaken(ConnId);               // an idle one, by a request
+    void onIdle(Micros now, ConnId);    // its request is done, and it is kept
+    void onClosed(ConnId, bool wasBusy);
+    // Returns a connection that has been idle for at least the idle timeout, if any.
+    std::optional<ConnId> expired(Micros now) const;
+    std::size_t openCount() const { return busy_ + idle_.size(); }
+    std::size_t busyCount() const { return busy_; }
 
   private:
-    std::size_t most_;
-    Micros keepIdle_, sureFor_;
+    std::size_t maxOpen_;
+    Micros idleTimeout_, recentUse_;
     std::size_t busy_ = 0;
-    std::set<std::pair<Micros, ConnId>> idle_;  // by when they became idle
+    std::set<std::pair<Micros, ConnId>> idle_;  // by the time at which they became idle
 };
 
 }  // namespace valekeel::upstream
