--- a/src/upstream/join_client.hpp
+++ b/src/upstream/join_client.hpp
@@ -1,5 +1,6 @@
-// Joins on the wire: the front's first fetch of a talk at the box that the module chose. What its end proves
-// is read off the table in request_result.hpp, here and nowhere else.
+// Sends joins over HTTP: the front's first fetch of a title's playlist at the media server that the module
+// chose. What the result of a join proves is looked up in the table of request_result.hpp, here and nowhere
+// else.
 #pragma once
 
 #include <map>
@@ -13,44 +14,50 @@
 
 namespace valekeel::upstream {
 
-// What a join says. The face that asked for the subscription knows it.
+// The contents of a join request, as known to the front end that owns the subscription.
 struct JoinRequest {
     std::string title, room;
-    http::Fields fields;           // hints and trace, carried on
-    std::string idempotencyToken;  // where not empty: a box that began this once answers 409, and does not
-                                   // begin again
+    http::Fields fields;  // viewer hints and trace context, passed on
+    // Optional. A media server that has already started a join with this token answers 409 and does not start
+    // again.
+    std::string idempotencyToken;
 };
+
+// Implemented by front ends. Called when a join is sent.
 class JoinRequestSource {
   public:
     virtual ~JoinRequestSource() = default;
     virtual JoinRequest joinRequestFor(SubId, int joinNo) = 0;
 };
 
-// What a box answered to the join that plays.
+// The response of the media server to the join that succeeded.
 struct JoinResponse {
     hls::Multivariant variants;  // in the order of the rungs
-    std::string path;            // that it was found at
+    std::string path;            // request target of the join
     std::string cmsdStatic, cmsdDynamic;
-    Micros toHead = 0;
+    Micros toHead = 0;  // from the request to the response head
 };
 
+// Reports each outcome to the core given to connect(). Sources must stay valid until forget().
 class JoinClient final : public core::JoinSender {
   public:
-    // `name`: of this front, unlike that of any other and of its own earlier life: it names subscriptions at
-    // boxes. `follow`: begins to follow the list.
+    // `name`: of this front, part of the keys of its subscriptions at media servers. Must differ from the
+    // name of any other front and of earlier processes of this one. `rungs`: variants that a playlist must
+    // have at least. `follow`: starts following the server list.
     JoinClient(net::Net&, UpstreamClient&, std::string name, std::size_t rungs, const hls::PlaylistLimits&,
                std::function<void()> follow);
     ~JoinClient() override;
-    void connect(core::Core& core) { core_ = &core; }
-    void setRequestSource(SubId id, JoinRequestSource& one) { scribes_[id] = &one; }
-    void forget(SubId);
+    void connect(core::Core& core) { core_ = &core; }  // to be called before the first join
+    void setRequestSource(SubId id, JoinRequestSource& source) { requestSources_[id] = &source; }
+    void forget(SubId);  // drops the source and the response of a subscription
 
-    // Tells a box, the first time that it is heard of, that what earlier lives of this front hold there is
-    // over: a front that was killed could not, and its seats would count beside those of this life.
+    // Asks a media server, on the first call for it, to release all sessions of earlier processes of this
+    // front: a front that was killed could not release them, and they would occupy seats beside those of this
+    // process.
     void releaseEarlierSessions(SfuId);
 
-    std::string keyOf(SubId) const;  // under which boxes know it
-    const JoinResponse* responseOf(SubId) const;
+    std::string keyOf(SubId) const;               // the subscription's key at media servers
+    const JoinResponse* responseOf(SubId) const;  // null unless a join succeeded; valid until forget()
 
     void join(SubId, int joinNo, SfuId, int rung, Micros timeOut, bool paid) override;
     void cancel(SubId, int joinNo) override;
@@ -59,21 +66,22 @@
     void followList() override { follow_(); }
 
   private:
-    class Out;
-    void ended(SubId, int joinNo, RequestResult, LoadReport, Micros took);
+    class PendingJoin;
+    void finish(SubId, int joinNo, RequestResult, LoadReport, Micros duration);
     net::Net& net_;
-    UpstreamClient& boxes_;
+    UpstreamClient& client_;
     std::string name_;
     std::size_t rungs_;
     hls::PlaylistLimits limits_;
     std::function<void()> follow_;
     core::Core* core_ = nullptr;
-    std::set<SfuId> told_;  // of this life
-    std::map<SubId, JoinRequestSource*> scribes_;
-    std::map<SubId, std::unique_ptr<Out>> out_;
-    std::map<SubId, JoinResponse> answers_;
-    std::vector<std::unique_ptr<Out>> dead_;
-    net::Timer bury_;
+    std::set<SfuId> releasedEarlier_;  // media servers that releaseEarlierSessions() has notified
+    std::map<SubId, JoinRequestSource*> requestSources_;
+    std::map<SubId, std::unique_ptr<PendingJoin>> pending_;
+    std::map<SubId, JoinResponse> responses_;
+    // Finished joins, deleted on the next turn of the loop: they may be on the call stack.
+    std::vector<std::unique_ptr<PendingJoin>> finished_;
+    net::Timer deleteTimer_;
 };
 
 }  // namespace valekeel::upstream
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -4,89 +4,89 @@
 
 namespace valekeel::upstream {
 
-struct UpstreamClient::Kept {
-    std::unique_ptr<http::Connection> conn;
+struct UpstreamClient::PooledConnection {
+    std::unique_ptr<http::Connection> connection;
     bool busy = false;
 };
 
-struct UpstreamClient::Box {
-    net::Endpoint at;
+struct UpstreamClient::Server {
+    net::Endpoint address;
     ConnectionReusePolicy reuse;
-    std::map<ConnId, Kept> conns;
-    std::deque<Exchange*> waiting;
-    Box(const net::Endpoint& at, const UpstreamLimits& l)
-        : at(at), reuse(l.connections, l.idleTimeout, l.recentUse) {}
+    std::map<ConnId, PooledConnection> connections;
+    std::deque<PendingRequest*> queue;  // requests that wait for a connection
+    Server(const net::Endpoint& address, const UpstreamLimits& limits)
+        : address(address), reuse(limits.connections, limits.idleTimeout, limits.recentUse) {}
 };
 
-// One request on its way: it waits for a connection, or holds one.
-class UpstreamClient::Exchange final : public UpstreamRequest, private http::FetchHandler {
+// A request that waits for a connection, or uses one.
+class UpstreamClient::PendingRequest final : public UpstreamRequest, private http::FetchHandler {
   public:
-    Exchange(UpstreamClient& all, Box& box, std::string bytes, bool headOnly, bool sure, Micros within,
-             UpstreamRequestHandler& user)
-        : all_(all),
-          box_(&box),
-          alive_(all.alive_),
+    PendingRequest(UpstreamClient& client, Server& server, std::string bytes, bool headOnly, bool avoidStale,
+                   Micros timeout, UpstreamRequestHandler& handler)
+        : client_(client),
+          server_(&server),
+          clientAlive_(client.alive_),
           bytes_(std::move(bytes)),
           headOnly_(headOnly),
-          sure_(sure),
-          user_(user),
-          late_(all.net_, [this] { tooLate(); }),
-          start_(all.net_, [this] { start(); }) {
-        late_.after(within);
-        start_.after(0);
+          avoidStale_(avoidStale),
+          handler_(handler),
+          timeoutTimer_(client.net_, [this] { onTimeout(); }),
+          startTimer_(client.net_, [this] { start(); }) {
+        timeoutTimer_.after(timeout);
+        startTimer_.after(0);
     }
-    ~Exchange() override {
-        if (*alive_ && !done_) letGo(false);
+    ~PendingRequest() override {
+        if (*clientAlive_ && !done_) abandon(false);
     }
 
     void pause() override {
-        if (conn_) conn_->pause();
+        if (connection_) connection_->pause();
     }
     void resume() override {
-        if (conn_) conn_->resume();
+        if (connection_) connection_->resume();
     }
-    bool wroteAny() const override { return conn_ && conn_->wroteAny(); }
+    bool wroteAny() const override { return connection_ && connection_->wroteAny(); }
     RequestResult cancel() override {
-        const bool out = wroteAny();
-        letGo(false);
-        return out ? RequestResult::CancelledSent : RequestResult::CancelledUnsent;
+        const bool sent = wroteAny();
+        abandon(false);
+        return sent ? RequestResult::CancelledSent : RequestResult::CancelledUnsent;
     }
-    bool sure() const { return sure_; }
-    void useConn(ConnId id, http::Connection& conn, bool kept) {
+    bool avoidStale() const { return avoidStale_; }
+    void useConnection(ConnId id, http::Connection& connection, bool reused) {
         id_ = id;
-        conn_ = &conn;
-        kept_ = kept;
-        waits_ = false;
-        conn.fetch(std::move(bytes_), headOnly_, *this);
+        connection_ = &connection;
+        reused_ = reused;
+        queued_ = false;
+        connection.fetch(std::move(bytes_), headOnly_, *this);
     }
 
     void start() {
-        if (box_->waiting.size() >= all_.limits_.pendingRequests) {
+        if (server_->queue.size() >= client_.limits_.pendingRequests) {
             finish();
-            user_.onFailed(RequestResult::NoFreeConnection);
+            handler_.onFailed(RequestResult::NoFreeConnection);
             return;
         }
-        waits_ = true;
-        box_->waiting.push_back(this);
-        all_.serveWaiting(*box_);
+        queued_ = true;
+        server_->queue.push_back(this);
+        client_.serveQueue(*server_);
     }
 
   private:
-    void onHead(const http::ResponseHead& head) override { user_.onHead(head); }
-    void onBody(std::string_view bytes) override { user_.onBody(bytes); }
+    void onHead(const http::ResponseHead& head) override { handler_.onHead(head); }
+    void onBody(std::string_view bytes) override { handler_.onBody(bytes); }
     void onFetched(bool kept) override {
         finish();
-        giveBack(kept);
-        user_.onComplete();
+        returnConnection(kept);
+        handler_.onComplete();
     }
-    void onFailed(http::FetchError how) override {
-        const bool kept = kept_;
+    void onFailed(http::FetchError error) override {
+        const bool reused = reused_;
         finish();
-        giveBack(false);
-        user_.onFailed(meaningFor(how, kept));
+        returnConnection(false);
+        handler_.onFailed(resultOf(error, reused));
     }
-    static RequestResult meaningFor(http::FetchError how, bool kept) {
-        switch (how) {
+    static RequestResult resultOf(http::FetchError error, bool reused) {
+        switch (error) {
             case http::FetchError::Refused:
                 return RequestResult::ConnectRefused;
             case http::FetchError::NoConnection:
@@ -94,7 +94,7 @@
             case http::FetchError::NeverWritten:
                 return RequestResult::NeverWritten;
             case http::FetchError::BrokenOut:
-                return kept ? RequestResult::BrokenOnReused : RequestResult::BrokenOnFresh;
+                return reused ? RequestResult::BrokenOnReused : RequestResult::BrokenOnFresh;
             case http::FetchError::BrokenAnswer:
                 return RequestResult::BrokenAnswer;
             case http::FetchError::BadAnswer:
@@ -103,203 +103,212 @@
         return RequestResult::BadAnswer;
     }
 
-    void tooLate() {
-        const bool waited = !conn_, out = wroteAny();
-        letGo(false);
-        user_.onFailed(waited ? RequestResult::NoFreeConnection
-                       : out  ? RequestResult::TimedOut
-                              : RequestResult::ConnectFailed);
+    void onTimeout() {
+        const bool noConnection = !connection_, sent = wroteAny();
+        abandon(false);
+        handler_.onFailed(noConnection ? RequestResult::NoFreeConnection
+                          : sent       ? RequestResult::TimedOut
+                                       : RequestResult::ConnectFailed);
     }
     void finish() {
         done_ = true;
-        late_.cancel();
-        start_.cancel();
+        timeoutTimer_.cancel();
+        startTimer_.cancel();
     }
-    void letGo(bool kept) {
+    void abandon(bool kept) {
         if (done_) return;
         finish();
-        if (waits_) std::erase(box_->waiting, this);
-        waits_ = false;
-        giveBack(kept);
+        if (queued_) std::erase(server_->queue, this);
+        queued_ = false;
+        returnConnection(kept);
     }
-    void giveBack(bool kept) {
-        if (!conn_) return;
-        conn_ = nullptr;
-        const auto it = box_->conns.find(id_);
-        if (it == box_->conns.end()) return;
-        if (kept && it->second.conn->idle()) {
+    void returnConnection(bool kept) {
+        if (!connection_) return;
+        connection_ = nullptr;
+        const auto it = server_->connections.find(id_);
+        if (it == server_->connections.end()) return;
+        if (kept && it->second.connection->idle()) {
             it->second.busy = false;
-            box_->reuse.idle(all_.net_.now(), id_);
+            server_->reuse.onIdle(client_.net_.now(), id_);
         } else {
-            box_->reuse.closed(id_, true);
-            it->second.conn->abandon();
-            all_.dead_.push_back(std::move(it->second.conn));
-            box_->conns.erase(it);
-            all_.bury_.soon();
+            server_->reuse.onClosed(id_, true);
+            it->second.connection->abandon();
+            client_.closed_.push_back(std::move(it->second.connection));
+            server_->connections.erase(it);
+            client_.deleteTimer_.soon();
         }
-        if (!box_->waiting.empty()) all_.serveWaiting(*box_);
+        if (!server_->queue.empty()) client_.serveQueue(*server_);
     }
 
-    UpstreamClient& all_;
-    Box* box_;
-    std::shared_ptr<bool> alive_;
+    UpstreamClient& client_;
+    Server* server_;
+    std::shared_ptr<bool> clientAlive_;
     std::string bytes_;
-    bool headOnly_, sure_;
-    UpstreamRequestHandler& user_;
-    net::Timer late_, start_;
+    bool headOnly_, avoidStale_;
+    UpstreamRequestHandler& handler_;
+    net::Timer timeoutTimer_, startTimer_;
     ConnId id_;
-    http::Connection* conn_ = nullptr;
-    bool kept_ = false, waits_ = false, done_ = false;
+    http::Connection* connection_ = nullptr;
+    bool reused_ = false, queued_ = false, done_ = false;
 };
 
-struct UpstreamClient::Told final : UpstreamRequestHandler {
-    UpstreamClient& all;
+// A notification, until it has been answered or given up.
+struct UpstreamClient::Notification final : UpstreamRequestHandler {
+    UpstreamClient& client;
     std::uint64_t key;
-    SfuId box;
+    SfuId server;
     std::string method, target;
     http::Fields fields;
-    int tries = 0;
+    int attempts = 0;
     std::unique_ptr<UpstreamRequest> request;
-    net::Timer again, over;
-    Told(UpstreamClient& all, std::uint64_t key, SfuId box, std::string_view method,
-         const std::string& target, const http::Fields& fields)
-        : all(all),
+    net::Timer retryTimer, doneTimer;  // the latter deletes this outside its callbacks
+    Notification(UpstreamClient& client, std::uint64_t key, SfuId server, std::string_view method,
+                 const std::string& target, const http::Fields& fields)
+        : client(client),
           key(key),
-          box(box),
+          server(server),
           method(method),
           target(target),
           fields(fields),
-          again(all.net_, [this] { go(); }),
-          over(all.net_, [this] { this->all.told_.erase(this->key); }) {}
-    void go() {
-        ++tries;
-        request = all.send(box, method, target, fields, false, 2 * kSecond, *this);
+          retryTimer(client.net_, [this] { send(); }),
+          doneTimer(client.net_, [this] { this->client.notifications_.erase(this->key); }) {}
+    void send() {
+        ++attempts;
+        request = client.send(server, method, target, fields, false, 2 * kSecond, *this);
     }
     void onHead(const http::ResponseHead&) override {}
     void onBody(std::string_view) override {}
-    void onComplete() override { over.after(0); }
+    void onComplete() override { doneTimer.after(0); }
     void onFailed(RequestResult) override {
-        if (tries >= all.limits_.releaseAttempts) return over.after(0);
-        again.after(Micros{50'000} << std::min(2 * tries, 8));  // 200 ms, 800 ms, and so on
+        if (attempts >= client.limits_.releaseAttempts) return doneTimer.after(0);
+        // Exponential backoff: 200 ms, 800 ms and so on, 12.8 s at most.
+        retryTimer.after(Micros{50'000} << std::min(2 * attempts, 8));
     }
 };
 
-UpstreamClient::UpstreamClient(net::Net& net, const http::HttpLimits& wire, const UpstreamLimits& limits)
-    : net_(net), wire_(wire), limits_(limits), bury_(net, [this] { dead_.clear(); }), tidy_(net, [this] {
-          tidy();
-      }) {
-    tidy_.after(kSecond);
+UpstreamClient::UpstreamClient(net::Net& net, const http::HttpLimits& httpLimits,
+                               const UpstreamLimits& limits)
+    : net_(net),
+      httpLimits_(httpLimits),
+      limits_(limits),
+      deleteTimer_(net, [this] { closed_.clear(); }),
+      expiryTimer_(net, [this] { closeExpired(); }) {
+    expiryTimer_.after(kSecond);
 }
 
 UpstreamClient::~UpstreamClient() {
-    told_.clear();
+    notifications_.clear();
     *alive_ = false;
 }
 
-UpstreamClient::Box* UpstreamClient::find(SfuId id) {
-    const auto it = boxes_.find(id);
-    return it == boxes_.end() ? nullptr : it->second.get();
+UpstreamClient::Server* UpstreamClient::find(SfuId id) {
+    const auto it = servers_.find(id);
+    return it == servers_.end() ? nullptr : it->second.get();
 }
 
-void UpstreamClient::setAddress(SfuId id, const net::Endpoint& where) {
-    Box* box = find(id);
-    if (!box) {
-        boxes_[id] = std::make_unique<Box>(where, limits_);
+void UpstreamClient::setAddress(SfuId id, const net::Endpoint& address) {
+    Server* server = find(id);
+    if (!server) {
+        servers_[id] = std::make_unique<Server>(address, limits_);
         return;
     }
-    if (box->at == where) return;
-    box->at = where;
-    for (auto it = box->conns.begin(); it != box->conns.end();) {
+    if (server->address == address) return;
+    server->address = address;
+    for (auto it = server->connections.begin(); it != server->connections.end();) {
         if (it->second.busy) {
             ++it;
             continue;
         }
-        box->reuse.closed(it->first, false);
-        it = box->conns.erase(it);
+        server->reuse.onClosed(it->first, false);
+        it = server->connections.erase(it);
     }
 }
 
 const net::Endpoint* UpstreamClient::addressOf(SfuId id) const {
-    const auto it = boxes_.find(id);
-    return it == boxes_.end() ? nullptr : &it->second->at;
+    const auto it = servers_.find(id);
+    return it == servers_.end() ? nullptr : &it->second->address;
 }
 
 std::unique_ptr<UpstreamRequest> UpstreamClient::send(SfuId id, std::string_view method,
                                                       const std::string& target, const http::Fields& fields,
-                                                      bool sure, Micros within,
-                                                      UpstreamRequestHandler& user) {
-    Box* box = find(id);
-    if (!box) {  // never listed: a place that nobody answers at
+                                                      bool avoidStale, Micros timeout,
+                                                      UpstreamRequestHandler& handler) {
+    Server* server = find(id);
+    if (!server) {  // never listed: use an address at which nobody listens, so that the request fails
         setAddress(id, net::Endpoint{boost::asio::ip::make_address("127.0.0.1"), 1});
-        box = find(id);
+        server = find(id);
     }
-    return std::make_unique<Exchange>(*this, *box, http::requestBytes(method, target, box->at, fields),
-                                      method == "HEAD", sure, std::max<Micros>(within, 0), user);
+    return std::make_unique<PendingRequest>(
+        *this, *server, http::requestBytes(method, target, server->address, fields), method == "HEAD",
+        avoidStale, std::max<Micros>(timeout, 0), handler);
 }
 
 void UpstreamClient::notify(SfuId id, std::string_view method, const std::string& target,
                             const http::Fields& fields) {
-    if (told_.size() >= limits_.releases) return;
-    const std::uint64_t key = nextTold_++;
-    auto& told = told_[key] = std::make_unique<Told>(*this, key, id, method, target, fields);
-    told->go();
+    if (notifications_.size() >= limits_.releases) return;
+    const std::uint64_t key = nextNotification_++;
+    auto& notification = notifications_[key] =
+        std::make_unique<Notification>(*this, key, id, method, target, fields);
+    notification->send();
 }
 
-void UpstreamClient::serveWaiting(Box& box) {
-    while (!box.waiting.empty()) {
-        Exchange* next = box.waiting.front();
-        const auto choice = box.reuse.choose(
-            net_.now(), next->sure() ? ConnectionReusePolicy::Need::Sure : ConnectionReusePolicy::Need::Any);
+void UpstreamClient::serveQueue(Server& server) {
+    while (!server.queue.empty()) {
+        PendingRequest* next = server.queue.front();
+        const auto choice =
+            server.reuse.choose(net_.now(), next->avoidStale() ? ConnectionReusePolicy::Need::RecentlyUsed
+                                                               : ConnectionReusePolicy::Need::Any);
         using What = ConnectionReusePolicy::Choice::What;
         if (choice.what == What::Wait) return;
         if (choice.what == What::Use) {
-            const auto it = box.conns.find(choice.conn);
-            if (it->second.conn->lost()) {  // closed by the box while it lay idle: seen in time
-                box.reuse.closed(choice.conn, false);
-                box.conns.erase(it);
+            const auto it = server.connections.find(choice.conn);
+            if (it->second.connection->lost()) {  // closed by the media server while it was idle
+                server.reuse.onClosed(choice.conn, false);
+                server.connections.erase(it);
                 continue;
             }
-            box.waiting.pop_front();
-            box.reuse.taken(choice.conn);
+            server.queue.pop_front();
+            server.reuse.onTaken(choice.conn);
             it->second.busy = true;
-            next->useConn(choice.conn, *it->second.conn, true);
+            next->useConnection(choice.conn, *it->second.connection, true);
             continue;
         }
         if (choice.what == What::CloseAndOpen) {
-            box.reuse.closed(choice.conn, false);
-            box.conns.erase(choice.conn);
+            server.reuse.onClosed(choice.conn, false);
+            server.connections.erase(choice.conn);
         }
-        box.waiting.pop_front();
+        server.queue.pop_front();
         const ConnId id{nextConn_++};
-        Kept& kept = box.conns[id];
-        kept.conn = std::make_unique<http::Connection>(net_, box.at, wire_, limits_.connectTimeout);
-        kept.busy = true;
-        box.reuse.opened(id);
-        next->useConn(id, *kept.conn, false);
+        PooledConnection& pooled = server.connections[id];
+        pooled.connection =
+            std::make_unique<http::Connection>(net_, server.address, httpLimits_, limits_.connectTimeout);
+        pooled.busy = true;
+        server.reuse.onOpened(id);
+        next->useConnection(id, *pooled.connection, false);
     }
 }
 
-void UpstreamClient::tidy() {
-    for (auto& [id, box] : boxes_) {
-        while (const auto old = box->reuse.stale(net_.now())) {
-            box->reuse.closed(*old, false);
-            box->conns.erase(*old);
+void UpstreamClient::closeExpired() {
+    for (auto& [id, server] : servers_) {
+        while (const auto expired = server->reuse.expired(net_.now())) {
+            server->reuse.onClosed(*expired, false);
+            server->connections.erase(*expired);
         }
-        for (auto it = box->conns.begin(); it != box->conns.end();) {
-            if (!it->second.busy && it->second.conn->lost()) {
-                box->reuse.closed(it->first, false);
-                it = box->conns.erase(it);
+        for (auto it = server->connections.begin(); it != server->connections.end();) {
+            if (!it->second.busy && it->second.connection->lost()) {
+                server->reuse.onClosed(it->first, false);
+                it = server->connections.erase(it);
             } else {
                 ++it;
             }
         }
     }
-    tidy_.after(kSecond);
+    expiryTimer_.after(kSecond);
 }
 
 std::size_t UpstreamClient::connections() const {
     std::size_t sum = 0;
-    for (const auto& [id, box] : boxes_) sum += box->conns.size();
+    for (const auto& [id, server] : servers_) sum += server->connections.size();
     return sum;
 }
 
