--- a/src/discovery/list_follower.cpp
+++ b/src/discovery/list_follower.cpp
@@ -13,87 +13,88 @@
 class FileFollower final : public ListFollower {
   public:
     FileFollower(net::Net& net, std::string path, ListNames names, const ServerListLimits& limits,
-                 const FollowTimings& times, ServerListHandler& user)
+                 const FollowTimings& timings, ServerListHandler& handler)
         : path_(std::move(path)),
           names_(std::move(names)),
           limits_(limits),
-          times_(times),
-          user_(user),
-          look_(net, [this] { look(); }) {}
+          timings_(timings),
+          handler_(handler),
+          pollTimer_(net, [this] { poll(); }) {}
 
     void follow() override {
-        if (!look_.isSet()) look_.after(0);
+        if (!pollTimer_.isSet()) pollTimer_.after(0);
     }
 
   private:
-    void look() {
-        look_.after(times_.pollInterval);
+    void poll() {
+        pollTimer_.after(timings_.pollInterval);
         std::ifstream in(path_, std::ios::binary);
         if (!in) {
-            // Told once for each time that it goes: the module asks again by itself.
-            if (!std::exchange(missing_, true)) user_.onListUnreachable(path_ + ": cannot be read");
+            // Reported only once per disappearance: the module asks again by itself.
+            if (!std::exchange(missing_, true)) handler_.onListUnreachable(path_ + ": cannot be read");
             return;
         }
         missing_ = false;
         std::ostringstream text;
         text << in.rdbuf();
-        if (text.str() == last_) return;
-        last_ = text.str();
+        if (text.str() == lastText_) return;
+        lastText_ = text.str();
         try {
-            const ServerList list = parseServerList(path_, last_, names_, limits_);
+            const ServerList list = parseServerList(path_, lastText_, names_, limits_);
             if (list.version > 0 && list.version <= version_ && version_ > 0) {
-                user_.onListAnomaly(path_ + ": version " + std::to_string(list.version) +
-                                    " is not newer than " + std::to_string(version_) + "; passed over");
+                handler_.onListAnomaly(path_ + ": version " + std::to_string(list.version) +
+                                       " is not newer than " + std::to_string(version_) + "; ignored");
                 return;
             }
             version_ = list.version;
-            user_.onList(list.servers, false);
-        } catch (const settings::SettingsError& wrong) {
-            user_.onListAnomaly(wrong.brief);  // half written, or mistaken: the one held still applies
+            handler_.onList(list.servers, false);
+        } catch (const settings::SettingsError& error) {
+            handler_.onListAnomaly(error.brief);  // half written, or faulty: the last list stays in force
         }
     }
 
     std::string path_;
     ListNames names_;
     ServerListLimits limits_;
-    FollowTimings times_;
-    ServerListHandler& user_;
-    net::Timer look_;
-    std::string last_;
+    FollowTimings timings_;
+    ServerListHandler& handler_;
+    net::Timer pollTimer_;
+    std::string lastText_;
     std::int64_t version_ = 0;
     bool missing_ = false;
 };
 
 class StreamFollower final : public ListFollower, http::FetchHandler {
   public:
-    StreamFollower(net::Net& net, const net::Endpoint& at, std::string target, ListNames names,
-                   const ServerListLimits& limits, const FollowTimings& times, ServerListHandler& user)
+    StreamFollower(net::Net& net, const net::Endpoint& address, std::string target, ListNames names,
+                   const ServerListLimits& limits, const FollowTimings& timings, ServerListHandler& handler)
         : net_(net),
-          at_(at),
+          address_(address),
           target_(std::move(target)),
           names_(std::move(names)),
           limits_(limits),
-          times_(times),
-          user_(user),
-          reader_(limits.bytes, [this](const SseEvent& e) { heard(e); }),
-          silent_(net, [this] { lost("the list's stream is silent"); }),
-          again_(net, [this] { open(); }),
-          bury_(net, [this] { dead_.reset(); }) {}
+          timings_(timings),
+          handler_(handler),
+          reader_(limits.bytes, [this](const SseEvent& event) { onEvent(event); }),
+          silenceTimer_(net, [this] { onLost("the list stream is silent"); }),
+          reconnectTimer_(net, [this] { open(); }),
+          deleteTimer_(net, [this] { closedConnection_.reset(); }) {}
 
     void follow() override {
-        if (!conn_ && !again_.isSet()) again_.after(0);
+        if (!connection_ && !reconnectTimer_.isSet()) reconnectTimer_.after(0);
     }
 
   private:
     void open() {
         reader_.reset();
-        conn_ = std::make_unique<http::Connection>(net_, at_, http::HttpLimits{}, times_.connectTimeout);
+        connection_ =
+            std::make_unique<http::Connection>(net_, address_, http::HttpLimits{}, timings_.connectTimeout);
         http::Fields fields;
         fields.add("Accept", "text/event-stream");
         fields.add("Cache-Control", "no-store");
-        if (version_ > 0 && !wantWhole_) fields.add("Last-Event-ID", std::to_string(version_));
-        conn_->fetch(http::requestBytes("GET", target_, at_, fields), false, *this);
-        silent_.after(times_.silenceTimeout);
+        if (version_ > 0 && !wantCompleteList_) fields.add("Last-Event-ID", std::to_string(version_));
+        connection_->fetch(http::requestBytes("GET", target_, address_, fields), false, *this);
+        silenceTimer_.after(timings_.silenceTimeout);
         status_ = 0;
     }
 
@@ -103,98 +104,100 @@
         if (status_ == 200 && (!type || type->compare(0, 17, "text/event-stream") != 0)) status_ = 0;
     }
     void onBody(std::string_view bytes) override {
-        silent_.after(times_.silenceTimeout);
+        silenceTimer_.after(timings_.silenceTimeout);
         if (status_ == 200) reader_.feed(bytes);
-        if (gap_) {
-            gap_ = false;
-            wantWhole_ = true;
+        if (versionMissing_) {
+            versionMissing_ = false;
+            wantCompleteList_ = true;
             close();
-            again_.after(0);
+            reconnectTimer_.after(0);
         }
     }
     void onFetched(bool) override {
-        lost(status_ == 200 ? "the list's stream ended" : "the list is answered " + std::to_string(status_));
+        onLost(status_ == 200 ? "the list stream ended"
+                              : "the list stream was answered with status " + std::to_string(status_));
     }
-    void onFailed(http::FetchError how) override {
-        lost(how == http::FetchError::Refused        ? "nobody listens where the list should be"
-             : how == http::FetchError::NoConnection ? "no connection to the list"
-                                                     : "the list's stream broke");
+    void onFailed(http::FetchError error) override {
+        onLost(error == http::FetchError::Refused        ? "the list server refused the connection"
+               : error == http::FetchError::NoConnection ? "no connection to the list server"
+                                                         : "the list stream broke off");
     }
 
-    void heard(const SseEvent& event) {
+    void onEvent(const SseEvent& event) {
         std::int64_t version = 0;
-        const auto [end, bad] = std::from_chars(event.id.data(), event.id.data() + event.id.size(), version);
-        if (bad != std::errc{} || end != event.id.data() + event.id.size()) {
-            user_.onListAnomaly("an event of the list without a number as its id; passed over");
+        const auto [end, error] =
+            std::from_chars(event.id.data(), event.id.data() + event.id.size(), version);
+        if (error != std::errc{} || end != event.id.data() + event.id.size()) {
+            handler_.onListAnomaly("a list event whose id is not a number; ignored");
             return;
         }
-        const bool whole = event.type == "list";
-        if (!whole && event.type != "change") return;  // a kind of event from a later day
-        if (version <= version_ && !(whole && wantWhole_)) {
-            user_.onListAnomaly("version " + std::to_string(version) +
-                                " of the list came again or late; passed over");
+        const bool complete = event.type == "list";
+        if (!complete && event.type != "change") return;  // an event type of a later version of the protocol
+        if (version <= version_ && !(complete && wantCompleteList_)) {
+            handler_.onListAnomaly("version " + std::to_string(version) +
+                                   " of the list is repeated or late; ignored");
             return;
         }
-        if (!whole && version != version_ + 1) {
-            user_.onListAnomaly("between versions " + std::to_string(version_) + " and " +
-                                std::to_string(version) +
-                                " of the list something is missing; the whole is asked for");
-            gap_ = true;
+        if (!complete && version != version_ + 1) {
+            handler_.onListAnomaly("versions of the list between " + std::to_string(version_) + " and " +
+                                   std::to_string(version) + " are missing; requesting the complete list");
+            versionMissing_ = true;
             return;
         }
         try {
             const ServerList list = parseServerList("list", event.data, names_, limits_);
             version_ = version;
-            if (whole) {
-                wantWhole_ = false;
-                user_.onList(list.servers, false);
+            if (complete) {
+                wantCompleteList_ = false;
+                handler_.onList(list.servers, false);
             } else {
-                user_.onListChange(list.servers);
+                handler_.onListChange(list.servers);
             }
-        } catch (const settings::SettingsError& wrong) {
-            user_.onListAnomaly(wrong.brief);
-            if (!whole) gap_ = true;  // what it should have changed is not known
+        } catch (const settings::SettingsError& error) {
+            handler_.onListAnomaly(error.brief);
+            if (!complete) versionMissing_ = true;  // its changes are unknown
         }
     }
 
-    void lost(const std::string& why) {
+    void onLost(const std::string& why) {
         close();
-        user_.onListUnreachable(why);
+        handler_.onListUnreachable(why);
     }
     void close() {
-        silent_.cancel();
-        if (conn_) conn_->abandon();
-        dead_ = std::move(conn_);
-        bury_.soon();
+        silenceTimer_.cancel();
+        if (connection_) connection_->abandon();
+        closedConnection_ = std::move(connection_);
+        deleteTimer_.soon();
     }
 
     net::Net& net_;
-    net::Endpoint at_;
+    net::Endpoint address_;
     std::string target_;
     ListNames names_;
     ServerListLimits limits_;
-    FollowTimings times_;
-    ServerListHandler& user_;
+    FollowTimings timings_;
+    ServerListHandler& handler_;
     SseReader reader_;
-    std::unique_ptr<http::Connection> conn_, dead_;
-    net::Timer silent_, again_, bury_;
+    std::unique_ptr<http::Connection> connection_, closedConnection_;
+    net::Timer silenceTimer_, reconnectTimer_, deleteTimer_;
     std::int64_t version_ = 0;
     int status_ = 0;
-    bool wantWhole_ = false, gap_ = false;
+    bool wantCompleteList_ = false, versionMissing_ = false;
 };
 
 }  // namespace
 
 std::unique_ptr<ListFollower> followFile(net::Net& net, const std::string& path, const ListNames& names,
-                                         const ServerListLimits& limits, const FollowTimings& times,
-                                         ServerListHandler& user) {
-    return std::make_unique<FileFollower>(net, path, names, limits, times, user);
+                                         const ServerListLimits& limits, const FollowTimings& timings,
+                                         ServerListHandler& handler) {
+    return std::make_unique<FileFollower>(net, path, names, limits, timings, handler);
 }
 
-std::unique_ptr<ListFollower> followStream(net::Net& net, const net::Endpoint& at, const std::string& target,
-                                           const ListNames& names, const ServerListLimits& limits,
-                                           const FollowTimings& times, ServerListHandler& user) {
-    return std::make_unique<StreamFollower>(net, at, target, names, limits, times, user);
+std::unique_ptr<ListFollower> followStream(net::Net& net, const net::Endpoint& address,
+                                           const std::string& target, const ListNames& names,
+                                           const ServerListLimits& limits, const FollowTimings& timings,
+                                           ServerListHandler& handler) {
+    return std::make_unique<StreamFollower>(net, address, target, names, limits, timings, handler);
 }
 
 void saveServerList(const std::string& path, const ServerList& list, const ListNames& names) {
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -8,8 +8,8 @@
 namespace valekeel::discovery {
 namespace {
 
-// Days since 1970 of a date of the proleptic Gregorian calendar.
-std::int64_t daysOf(std::int64_t y, int m, int d) {
+// Returns the days since 1970-01-01 of a date in the proleptic Gregorian calendar.
+std::int64_t daysSinceEpoch(std::int64_t y, int m, int d) {
     y -= m <= 2;
     const std::int64_t era = (y >= 0 ? y : y - 399) / 400;
     const std::int64_t yoe = y - era * 400;
@@ -17,8 +17,8 @@
     return era * 146097 + yoe * 365 + yoe / 4 - yoe / 100 + doy - 719468;
 }
 
-// RFC 3339 in UTC, to the microsecond.
-std::optional<Micros> instantOf(const std::string& text) {
+// Parses a time of RFC 3339 in UTC, to the microsecond. Returns microseconds since 1970.
+std::optional<Micros> parseUtcTime(const std::string& text) {
     int y, mo, d, h, mi, s, used = 0;
     if (std::sscanf(text.c_str(), "%4d-%2d-%2dT%2d:%2d:%2d%n", &y, &mo, &d, &h, &mi, &s, &used) != 6 ||
         used < 16)
@@ -26,12 +26,12 @@
     if (mo < 1 || mo > 12 || d < 1 || d > 31 || h > 23 || mi > 59 || s > 60 || h < 0 || mi < 0 || s < 0)
         return std::nullopt;
     std::size_t i = static_cast<std::size_t>(used);
-    Micros part = 0, unit = 100'000;
+    Micros fraction = 0, digitUnit = 100'000;
     if (i < text.size() && text[i] == '.')
-        for (++i; i < text.size() && text[i] >= '0' && text[i] <= '9'; ++i, unit /= 10)
-            part += unit * (text[i] - '0');
+        for (++i; i < text.size() && text[i] >= '0' && text[i] <= '9'; ++i, digitUnit /= 10)
+            fraction += digitUnit * (text[i] - '0');
     if (text.substr(i) != "Z") return std::nullopt;
-    return ((daysOf(y, mo, d) * 24 + h) * 60 + mi) * 60 * kSecond + s * kSecond + part;
+    return ((daysSinceEpoch(y, mo, d) * 24 + h) * 60 + mi) * 60 * kSecond + s * kSecond + fraction;
 }
 
 }  // namespace
@@ -48,41 +48,42 @@
         out.version = static_cast<std::int64_t>(number.front());
         version->rejectUnread();
     }
-    std::set<std::uint32_t> seen;
-    const auto placeOf = [](settings::NodeReader& box, const char* what,
-                            const std::vector<std::string>& known,
-                            const char* title) {  // the first if the line does not say
-        return box.indexOf(what, known, known.empty() ? "" : known.front(), title, "in the settings");
+    std::set<std::uint32_t> seenIds;
+    // The first name is the default.
+    const auto indexOfName = [](settings::NodeReader& box, const char* property,
+                                const std::vector<std::string>& known, const char* title) {
+        return box.indexOf(property, known, known.empty() ? "" : known.front(), title, "in the settings");
     };
     for (settings::NodeReader& box : top.childrenNamed("box")) {
         if (out.servers.size() >= limits.boxes)
-            box.fail("the list names more than " + std::to_string(limits.boxes) + " boxes");
-        ServerListEntry line;
+            box.fail("the list has more than " + std::to_string(limits.boxes) + " boxes");
+        ServerListEntry entry;
         const auto id = box.numbers("a box's number", 0, 4294967295.0);
         if (id.size() != 1 || id[0] != static_cast<double>(static_cast<std::uint32_t>(id[0])))
-            box.fail("'box' is followed by one whole number");
-        line.sfu.id = SfuId{static_cast<std::uint32_t>(id[0])};
-        if (!seen.insert(line.sfu.id.v).second)
-            box.fail("box " + std::to_string(line.sfu.id.v) + " stands here a second time");
+            box.fail("'box' must be followed by one integer");
+        entry.sfu.id = SfuId{static_cast<std::uint32_t>(id[0])};
+        if (!seenIds.insert(entry.sfu.id.v).second)
+            box.fail("box " + std::to_string(entry.sfu.id.v) + " is listed twice");
         const std::string standing = box.choice("standing", {"on", "fading", "off"}, "on");
-        line.sfu.standing = standing == "on"       ? ServerState::On
-                            : standing == "fading" ? ServerState::Draining
-                                                   : ServerState::Off;
-        if (line.sfu.standing != ServerState::Off || box.has("at")) line.endpoint = box.address("at");
-        line.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
-        line.sfu.size = box.number("size", 0.001, 1'000'000, 1);
+        entry.sfu.standing = standing == "on"       ? ServerState::On
+                             : standing == "fading" ? ServerState::Draining
+                                                    : ServerState::Off;
+        if (entry.sfu.standing != ServerState::Off || box.has("at")) entry.endpoint = box.address("at");
+        entry.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
+        entry.sfu.size = box.number("size", 0.001, 1'000'000, 1);
         if (!names.kinds.empty())
-            line.sfu.kind = MachineKindId{placeOf(box, "kind", names.kinds, "a kind of machine")};
-        line.sfu.zone = ZoneId{placeOf(box, "zone", names.zones, "a zone")};
+            entry.sfu.kind = MachineKindId{indexOfName(box, "kind", names.kinds, "a kind of machine")};
+        entry.sfu.zone = ZoneId{indexOfName(box, "zone", names.zones, "a zone")};
         if (box.has("launched")) {
             const std::string launched = box.text("launched", "");
-            const auto at = instantOf(launched);
-            if (!at) box.failProperty("launched", "a time in UTC is expected, as \"2026-12-01T09:00:00Z\"");
-            line.sfu.launched = *at;
+            const auto time = parseUtcTime(launched);
+            if (!time)
+                box.failProperty("launched", "expected a time in UTC, such as \"2026-12-01T09:00:00Z\"");
+            entry.sfu.launched = *time;
         }
-        if (box.has("launched-us")) line.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
+        if (box.has("launched-us")) entry.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
         box.rejectUnread();
-        out.servers.push_back(line);
+        out.servers.push_back(entry);
     }
     top.rejectUnread();
     return out;
@@ -99,24 +100,24 @@
     version.name = "version";
     version.arguments.push_back(number(list.version));
     nodes.push_back(version);
-    for (const ServerListEntry& line : list.servers) {
+    for (const ServerListEntry& entry : list.servers) {
         settings::Node box;
         box.name = "box";
-        box.arguments.push_back(number(line.sfu.id.v));
+        box.arguments.push_back(number(entry.sfu.id.v));
         const auto put = [&](const char* name, settings::Value v) {
             box.properties.emplace_back(name, std::move(v));
         };
-        if (line.endpoint.port != 0) put("at", text(net::toString(line.endpoint)));
-        put("standing", text(line.sfu.standing == ServerState::On         ? "on"
-                             : line.sfu.standing == ServerState::Draining ? "fading"
-                                                                          : "off"));
-        put("cell", number(line.sfu.cell.v));
-        if (line.sfu.kind.v < names.kinds.size()) put("kind", text(names.kinds[line.sfu.kind.v]));
-        if (line.sfu.zone.v < names.zones.size()) put("zone", text(names.zones[line.sfu.zone.v]));
+        if (entry.endpoint.port != 0) put("at", text(net::toString(entry.endpoint)));
+        put("standing", text(entry.sfu.standing == ServerState::On         ? "on"
+                             : entry.sfu.standing == ServerState::Draining ? "fading"
+                                                                           : "off"));
+        put("cell", number(entry.sfu.cell.v));
+        if (entry.sfu.kind.v < names.kinds.size()) put("kind", text(names.kinds[entry.sfu.kind.v]));
+        if (entry.sfu.zone.v < names.zones.size()) put("zone", text(names.zones[entry.sfu.zone.v]));
         char size[32];
-        std::snprintf(size, sizeof size, "%.6g", line.sfu.size);
-        put("size", settings::Value{std::nullopt, settings::Number{size, line.sfu.size, std::nullopt}, {}});
-        if (line.sfu.launched > 0) put("launched-us", number(line.sfu.launched));
+        std::snprintf(size, sizeof size, "%.6g", entry.sfu.size);
+        put("size", settings::Value{std::nullopt, settings::Number{size, entry.sfu.size, std::nullopt}, {}});
+        if (entry.sfu.launched > 0) put("launched-us", number(entry.sfu.launched));
         nodes.push_back(std::move(box));
     }
     return settings::printKdl(nodes);
--- a/src/discovery/server_list.hpp
+++ b/src/discovery/server_list.hpp
@@ -1,8 +1,9 @@
-// The list of media servers as text, in KDL:
+// The list of media servers and its text form, in KDL:
 //     version 17
 //     box 3 at="127.0.0.1:9003" standing="on" cell=2 kind="c2-s10" size=1.0 launched="2026-12-01T09:00:00Z"
-// `zone` names one of the settings' zones, the first if it is left out. `launched` may also be microseconds
-// since 1970. The same form serves the watched file, the stream's events and the copy kept on disk.
+// `kind` and `zone` name a machine kind and a zone of the settings, the first one if left out. The launch
+// time may also be given as `launched-us`, in microseconds since 1970. The watched file, the events of the
+// stream and the copy saved on disk all have this form.
 #pragma once
 
 #include <optional>
@@ -15,29 +16,31 @@
 namespace valekeel::discovery {
 
 struct ServerListEntry {
-    SfuEntry sfu;            // `launched` on the wall clock
-    net::Endpoint endpoint;  // of no use where it is off
+    SfuEntry sfu;            // `launched` in microseconds since 1970
+    net::Endpoint endpoint;  // may be unset for a server that is off
 };
 
 struct ServerList {
-    std::int64_t version = 0;
+    std::int64_t version = 0;  // higher for a newer list; 0: none given
     std::vector<ServerListEntry> servers;
 };
 
-// The names that the settings give: lines of the list use them, in the order in which the settings have them.
+// The names that entries of the list may use, in the order of the settings: a name stands for its index.
 struct ListNames {
     ListNames(std::vector<std::string> kinds, std::vector<std::string> zones = {})
         : kinds(std::move(kinds)), zones(std::move(zones)) {}
     ListNames(std::initializer_list<std::string> kinds) : kinds(kinds) {}
-    std::vector<std::string> kinds, zones;  // of machines; of the site, none where it has one only
+    std::vector<std::string> kinds;  // of machines
+    std::vector<std::string> zones;  // of the site; empty if it has a single one
 };
 
 struct ServerListLimits {
-    std::size_t boxes = 4'096;
-    std::size_t bytes = 1'000'000;
+    std::size_t boxes = 4'096;      // entries
+    std::size_t bytes = 1'000'000;  // of the text
 };
 
-// Throws settings::Wrong.
+// Parses a complete list, or the changed entries of one. `file` names the source in errors. Throws
+// settings::SettingsError if the text is malformed, inconsistent or over a limit.
 ServerList parseServerList(const std::string& file, const std::string& text, const ListNames&,
                            const ServerListLimits&);
 std::string formatServerList(const ServerList&, const ListNames&);
--- a/src/discovery/sse_reader.cpp
+++ b/src/discovery/sse_reader.cpp
@@ -8,8 +8,8 @@
     line_.clear();
     data_.clear();
     type_.clear();
-    sawCr_ = dropping_ = any_ = false;
-    first_ = true;
+    sawCr_ = dropping_ = hasData_ = false;
+    firstLine_ = true;
 }
 
 void SseReader::feed(std::string_view bytes) {
@@ -20,27 +20,27 @@
         }
         sawCr_ = c == '\r';
         if (c != '\r' && c != '\n') {
-            if (line_.size() + data_.size() >= most_)
+            if (line_.size() + data_.size() >= maxBytes_)
                 dropping_ = true;
             else
                 line_ += c;
             continue;
         }
-        std::string whole;
-        whole.swap(line_);
-        if (first_) {
-            first_ = false;
-            if (whole.compare(0, 3, "\xef\xbb\xbf") == 0) whole.erase(0, 3);
+        std::string line;
+        line.swap(line_);
+        if (firstLine_) {
+            firstLine_ = false;
+            if (line.compare(0, 3, "\xef\xbb\xbf") == 0) line.erase(0, 3);  // byte order mark
         }
-        line(whole);
+        handleLine(line);
     }
 }
 
-void SseReader::line(std::string_view text) {
+void SseReader::handleLine(std::string_view text) {
     if (text.empty()) {
         if (dropping_)
             ++tooLong_;
-        else if (any_) {
+        else if (hasData_) {
             if (!data_.empty() && data_.back() == '\n') data_.pop_back();
             SseEvent event;
             if (!type_.empty()) event.type = type_;
@@ -48,13 +48,13 @@
             event.id = lastId_;
             data_.clear();
             type_.clear();
-            any_ = false;
-            heard_(event);
+            hasData_ = false;
+            onEvent_(event);
             return;
         }
         data_.clear();
         type_.clear();
-        dropping_ = any_ = false;
+        dropping_ = hasData_ = false;
         return;
     }
     if (text.front() == ':') return;
@@ -65,7 +65,7 @@
     if (field == "data") {
         data_ += value;
         data_ += '\n';
-        any_ = true;
+        hasData_ = true;
     } else if (field == "event") {
         type_ = value;
     } else if (field == "id") {
--- a/src/evidence/evidence_file.hpp
+++ b/src/evidence/evidence_file.hpp
@@ -1,10 +1,9 @@
-// What a front has learnt of the boxes, kept on disk so that its next life need not learn it again:
+// The file in which a front saves what it has learnt about media servers, for its next process:
 //     learnt 1 saved-us=1796142000000000
 //     box 3 launched-us=0 evidence=4.5 link-use=0.8 age="1200ms"
-// Kept are the evidence against a box and what its link was last told to be asked. Set-up times, the part of
-// own subscriptions that are short and what is believed of uplinks begin afresh: they belong to the routes
-// and racks of the place where they were measured. No I/O but whole files; what is done with it the module
-// says.
+// It holds the failure evidence of each media server and the last reported use of its link. Set-up times, the
+// part of the own subscriptions that get too little, and uplink estimates are not saved: they depend on the
+// routes and racks of the place where they were measured. The decision module defines what the values mean.
 #pragma once
 
 #include <string>
@@ -16,19 +15,20 @@
 
 struct EvidenceEntry {
     ServerEvidence evidence;
-    Micros launched = 0;  // of the box's process, on the wall clock as the list has it
+    // Start of the media server's process, in microseconds since 1970, as in the server list.
+    Micros launched = 0;
 };
 
 struct EvidenceFile {
-    Micros savedAt = 0;  // on the wall clock
+    Micros savedAt = 0;  // microseconds since 1970
     std::vector<EvidenceEntry> servers;
 };
 
-// Throws settings::Wrong: another version, a figure that is no number or out of its range, more than `most`
-// boxes.
-EvidenceFile parseEvidenceFile(const std::string& file, const std::string& text, std::size_t most);
+// Throws settings::SettingsError on another version, a value that is not a number or out of range, or more
+// than `maxServers` entries. `file` names the source in errors.
+EvidenceFile parseEvidenceFile(const std::string& file, const std::string& text, std::size_t maxServers);
 std::string formatEvidenceFile(const EvidenceFile&);
-// Written beside, then renamed: a reader finds the old one or the new one, whole. Throws std::runtime_error.
+// Replaces the file atomically: a reader sees the old or the new one, complete. Throws std::runtime_error.
 void saveEvidenceFile(const std::string& path, const EvidenceFile&);
 
 }  // namespace valekeel::evidence
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the server list, of the reader of server-sent events and of the list followers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,7 +17,7 @@
 
 const std::vector<std::string> kKinds{"small", "large"};
 
-TEST(List, ALineNamesOneOfTheSettingsZones) {
+TEST(ServerList, AcceptsOnlyZonesOfTheSettings) {
     const ListNames names({"small"}, {"east", "west"});
     const ServerList read =
         parseServerList("t", "box 1 at=\"127.0.0.1:1\" zone=\"west\"\nbox 2 at=\"127.0.0.1:2\"", names, {});
@@ -34,7 +35,7 @@
     }
 }
 
-TEST(List, ReadsAndWritesItsOwnForm) {
+TEST(ServerList, RoundTripsItsTextForm) {
     const ServerList read =
         parseServerList("t",
                         "version 3\nbox 1 at=\"127.0.0.1:9\" kind=\"large\" cell=2 size=1.5 "
@@ -52,7 +53,7 @@
     EXPECT_DOUBLE_EQ(back.servers[0].sfu.size, 1.5);
 }
 
-TEST(List, RefusesWhatItCannotMean) {
+TEST(ServerList, RejectsInvalidEntries) {
     for (const char* bad :
          {"box", "box 1", "box 1 at=\"x\"", "box 1.5 at=\"127.0.0.1:1\"", "box -1 at=\"127.0.0.1:1\"",
           "box 1 at=\"127.0.0.1:1\"\nbox 1 at=\"127.0.0.1:2\"", "box 1 at=\"127.0.0.1:1\" kind=\"lage\"",
@@ -63,187 +64,191 @@
         settings::SettingsError);
 }
 
-TEST(Events, FollowTheStandard) {
-    std::vector<SseEvent> heard;
-    SseReader reader(1'000, [&](const SseEvent& e) { heard.push_back(e); });
+TEST(SseReader, FollowsTheStandard) {
+    std::vector<SseEvent> events;
+    SseReader reader(1'000, [&](const SseEvent& event) { events.push_back(event); });
     reader.feed("\xef\xbb\xbf:comment\r\nevent: list\r\nid: 7\r\ndata: a\r\ndata:b\r\n\r\n");
     reader.feed("data: second\n");
-    EXPECT_EQ(heard.size(), 1u) << "told before its blank line";
+    EXPECT_EQ(events.size(), 1u) << "reported before its blank line";
     reader.feed("\nevent: nothing\n\nretry: 50\nid\ndata\r\r");
-    ASSERT_EQ(heard.size(), 3u);
-    EXPECT_EQ(heard[0].type, "list");
-    EXPECT_EQ(heard[0].data, "a\nb");
-    EXPECT_EQ(heard[0].id, "7");
-    EXPECT_EQ(heard[1].type, "message");
-    EXPECT_EQ(heard[1].id, "7") << "an id stays until it is changed";
-    EXPECT_EQ(heard[2].id, "");
-    EXPECT_EQ(heard[2].data, "");
+    ASSERT_EQ(events.size(), 3u);
+    EXPECT_EQ(events[0].type, "list");
+    EXPECT_EQ(events[0].data, "a\nb");
+    EXPECT_EQ(events[0].id, "7");
+    EXPECT_EQ(events[1].type, "message");
+    EXPECT_EQ(events[1].id, "7") << "an id stays until it is changed";
+    EXPECT_EQ(events[2].id, "");
+    EXPECT_EQ(events[2].data, "");
     EXPECT_EQ(reader.retryMs(), 50);
     reader.feed("data: " + std::string(2'000, 'x') + "\n\ndata: ok\n\n");
-    ASSERT_EQ(heard.size(), 4u);
-    EXPECT_EQ(heard[3].data, "ok");
+    ASSERT_EQ(events.size(), 4u);
+    EXPECT_EQ(events[3].data, "ok");
     EXPECT_EQ(reader.tooLong(), 1u);
     reader.feed("data: cut");
     reader.reset();
     reader.feed("data: whole\n\n");
-    EXPECT_EQ(heard.back().data, "whole");
+    EXPECT_EQ(events.back().data, "whole");
 }
 
-TEST(Events, BytesMayComeInAnyPieces) {
+TEST(SseReader, AcceptsBytesSplitAnywhere) {
     const std::string text = "event: list\r\nid: 1\r\ndata: x\r\n\r\nid: 2\rdata: y\r\r";
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-        std::vector<std::string> heard;
-        SseReader reader(100, [&](const SseEvent& e) { heard.push_back(e.type + e.id + e.data); });
+        std::vector<std::string> events;
+        SseReader reader(
+            100, [&](const SseEvent& event) { events.push_back(event.type + event.id + event.data); });
         reader.feed(std::string_view(text).substr(0, cut));
         reader.feed(std::string_view(text).substr(cut));
-        EXPECT_EQ(heard, (std::vector<std::string>{"list1x", "message2y"})) << cut;
+        EXPECT_EQ(events, (std::vector<std::string>{"list1x", "message2y"})) << cut;
     }
 }
 
-struct Hears : ServerListHandler {
-    std::vector<std::string> heard;
-    void onList(const std::vector<ServerListEntry>& b, bool stale) override {
-        heard.push_back("list " + std::to_string(b.size()) + (stale ? " stale" : ""));
+// Records what a follower reports.
+struct RecordingHandler : ServerListHandler {
+    std::vector<std::string> events;
+    void onList(const std::vector<ServerListEntry>& entries, bool stale) override {
+        events.push_back("list " + std::to_string(entries.size()) + (stale ? " stale" : ""));
     }
-    void onListChange(const std::vector<ServerListEntry>& b) override {
-        heard.push_back("change " + std::to_string(b.size()));
+    void onListChange(const std::vector<ServerListEntry>& entries) override {
+        events.push_back("change " + std::to_string(entries.size()));
     }
-    void onListUnreachable(const std::string&) override { heard.push_back("unreachable"); }
-    void onListAnomaly(const std::string&) override { heard.push_back("odd"); }
-    bool has(const std::string& what) const {
-        return std::find(heard.begin(), heard.end(), what) != heard.end();
+    void onListUnreachable(const std::string&) override { events.push_back("unreachable"); }
+    void onListAnomaly(const std::string&) override { events.push_back("anomaly"); }
+    bool has(const std::string& event) const {
+        return std::find(events.begin(), events.end(), event) != events.end();
     }
-    std::string last() const { return heard.empty() ? "" : heard.back(); }
+    std::string last() const { return events.empty() ? "" : events.back(); }
 };
 
-struct StreamRig : Loop {
+// A follower of a fake list server's stream that has received the first list, of two media servers.
+struct StreamFixture : Loop {
     fakes::Ledger ledger;
     fakes::ListServer server{net, any(), ledger};
-    Hears hears;
+    RecordingHandler handler;
     std::unique_ptr<ListFollower> follower;
-    StreamRig() {
+    StreamFixture() {
         put(1);
         put(2);
-        FollowTimings times;
-        times.silenceTimeout = 3 * kSecond;
-        follower = followStream(net, server.endpoint(), "/boxes?front=a", {"small"}, {}, times, hears);
+        FollowTimings timings;
+        timings.silenceTimeout = 3 * kSecond;
+        follower = followStream(net, server.endpoint(), "/boxes?front=a", {"small"}, {}, timings, handler);
         follower->follow();
-        EXPECT_TRUE(until([&] { return hears.last() == "list 2"; }));
+        EXPECT_TRUE(until([&] { return handler.last() == "list 2"; }));
     }
     void put(int id, const std::string& standing = "on") {
-        fakes::ListedBox b;
-        b.id = id;
-        b.at = "127.0.0.1:1";
-        b.kind = "small";
-        b.standing = standing;
-        server.put({b});
+        fakes::ListedBox entry;
+        entry.id = id;
+        entry.at = "127.0.0.1:1";
+        entry.kind = "small";
+        entry.standing = standing;
+        server.put({entry});
     }
 };
 
-TEST(Stream, ChangesAreHeardAndTheLedgerSaysWhenTheyLeft) {
-    StreamRig rig;
-    rig.put(1, "fading");
-    ASSERT_TRUE(rig.until([&] { return rig.hears.last() == "change 1"; }));
-    const auto& l = rig.ledger.lines().back();
-    EXPECT_EQ(l.what, "told");
-    EXPECT_EQ(l.front, "a");
-    EXPECT_EQ(l.status, 1);
+TEST(StreamFollower, ReceivesChangesThatTheLedgerRecords) {
+    StreamFixture fixture;
+    fixture.put(1, "fading");
+    ASSERT_TRUE(fixture.until([&] { return fixture.handler.last() == "change 1"; }));
+    const auto& line = fixture.ledger.lines().back();
+    EXPECT_EQ(line.what, "told");
+    EXPECT_EQ(line.front, "a");
+    EXPECT_EQ(line.status, 1);
 }
 
-TEST(Stream, WhatComesTwiceIsPassedOver) {
-    StreamRig rig;
-    rig.server.repeats = true;
-    rig.put(3);
-    ASSERT_TRUE(rig.until([&] { return rig.hears.last() == "odd"; }));
-    EXPECT_EQ(std::count(rig.hears.heard.begin(), rig.hears.heard.end(), "change 1"), 1);
+TEST(StreamFollower, IgnoresRepeatedEvents) {
+    StreamFixture fixture;
+    fixture.server.repeats = true;
+    fixture.put(3);
+    ASSERT_TRUE(fixture.until([&] { return fixture.handler.last() == "anomaly"; }));
+    EXPECT_EQ(std::count(fixture.handler.events.begin(), fixture.handler.events.end(), "change 1"), 1);
 }
 
-TEST(Stream, AGapMakesItAskForTheWhole) {
-    StreamRig rig;
-    rig.server.skips = true;
-    rig.put(3);
-    rig.put(4);
-    rig.server.skips = false;
-    ASSERT_TRUE(rig.until([&] { return rig.hears.last() == "list 4"; }));
-    rig.put(5);
-    EXPECT_TRUE(rig.until([&] { return rig.hears.last() == "change 1"; }));
+TEST(StreamFollower, RequestsTheCompleteListAfterAGap) {
+    StreamFixture fixture;
+    fixture.server.skips = true;
+    fixture.put(3);
+    fixture.put(4);
+    fixture.server.skips = false;
+    ASSERT_TRUE(fixture.until([&] { return fixture.handler.last() == "list 4"; }));
+    fixture.put(5);
+    EXPECT_TRUE(fixture.until([&] { return fixture.handler.last() == "change 1"; }));
 }
 
-TEST(Stream, CutShortAndUnreachableAreFailuresAndItResumes) {
-    StreamRig rig;
-    rig.server.cutShort();
-    ASSERT_TRUE(rig.until([&] { return rig.hears.last() == "unreachable"; }));
-    EXPECT_FALSE(rig.hears.has("change 1")) << "half an event was taken for one";
-    rig.server.unreachable(true);
-    rig.follower->follow();
-    ASSERT_TRUE(rig.until(
-        [&] { return std::count(rig.hears.heard.begin(), rig.hears.heard.end(), "unreachable") == 2; }));
-    rig.put(6);
-    rig.server.unreachable(false);
-    rig.follower->follow();
-    ASSERT_TRUE(rig.until([&] { return rig.hears.last() == "list 3"; }));
+TEST(StreamFollower, ReportsATruncatedStreamAndAnUnreachableServerAndResumes) {
+    StreamFixture fixture;
+    fixture.server.cutShort();
+    ASSERT_TRUE(fixture.until([&] { return fixture.handler.last() == "unreachable"; }));
+    EXPECT_FALSE(fixture.handler.has("change 1")) << "a truncated event was taken for a complete one";
+    fixture.server.unreachable(true);
+    fixture.follower->follow();
+    ASSERT_TRUE(fixture.until([&] {
+        return std::count(fixture.handler.events.begin(), fixture.handler.events.end(), "unreachable") == 2;
+    }));
+    fixture.put(6);
+    fixture.server.unreachable(false);
+    fixture.follower->follow();
+    ASSERT_TRUE(fixture.until([&] { return fixture.handler.last() == "list 3"; }));
 }
 
-TEST(Stream, FollowersThatDieBetweenTwoBeatsAreNoTrouble) {
-    StreamRig rig;
-    std::vector<std::unique_ptr<Hears>> others;
+TEST(StreamFollower, ServerSurvivesFollowersThatDisconnect) {
+    StreamFixture fixture;
+    std::vector<std::unique_ptr<RecordingHandler>> others;
     std::vector<std::unique_ptr<ListFollower>> followers;
     for (int i = 0; i < 8; ++i) {
-        others.push_back(std::make_unique<Hears>());
-        followers.push_back(followStream(rig.net, rig.server.endpoint(), "/boxes?front=b", {"small"}, {}, {},
-                                         *others.back()));
+        others.push_back(std::make_unique<RecordingHandler>());
+        followers.push_back(followStream(fixture.net, fixture.server.endpoint(), "/boxes?front=b", {"small"},
+                                         {}, {}, *others.back()));
         followers.back()->follow();
     }
-    ASSERT_TRUE(rig.until([&] { return others.back()->last() == "list 2"; }));
+    ASSERT_TRUE(fixture.until([&] { return others.back()->last() == "list 2"; }));
     followers.clear();
-    rig.run(1'300'000);
-    rig.put(9);
-    EXPECT_TRUE(rig.until([&] { return rig.hears.last() == "change 1"; }));
+    fixture.run(1'300'000);
+    fixture.put(9);
+    EXPECT_TRUE(fixture.until([&] { return fixture.handler.last() == "change 1"; }));
 }
 
-TEST(Stream, SilenceIsAFailure) {
+TEST(StreamFollower, ReportsASilentStream) {
     Loop loop;
-    struct Mute : http::Handler, http::ExchangeHandler {
-        void onRequest(http::Exchange& e) override { e.setHandler(this); }
+    struct SilentHandler : http::Handler, http::ExchangeHandler {
+        void onRequest(http::Exchange& exchange) override { exchange.setHandler(this); }
         void onConnectionLost() override {}
-    } mute;
-    http::Server server(loop.net, Loop::any(), {}, mute);
-    Hears hears;
-    FollowTimings times;
-    times.silenceTimeout = 150'000;
-    auto follower = followStream(loop.net, server.endpoint(), "/", kKinds, {}, times, hears);
+    } silent;
+    http::Server server(loop.net, Loop::any(), {}, silent);
+    RecordingHandler handler;
+    FollowTimings timings;
+    timings.silenceTimeout = 150'000;
+    auto follower = followStream(loop.net, server.endpoint(), "/", kKinds, {}, timings, handler);
     follower->follow();
-    EXPECT_TRUE(loop.until([&] { return hears.last() == "unreachable"; }));
+    EXPECT_TRUE(loop.until([&] { return handler.last() == "unreachable"; }));
 }
 
-TEST(File, IsWatchedAndMistakesKeepTheOldOne) {
+TEST(FileFollower, ReportsChangesAndKeepsTheLastListOnErrors) {
     Loop loop;
     const auto folder = std::filesystem::path(testing::TempDir()) / "valekeel-list-test";
     std::filesystem::create_directories(folder);
     const std::string path = (folder / "boxes.kdl").string();
     std::filesystem::remove(path);
-    Hears hears;
-    FollowTimings times;
-    times.pollInterval = 5'000;
-    auto follower = followFile(loop.net, path, kKinds, {}, times, hears);
+    RecordingHandler handler;
+    FollowTimings timings;
+    timings.pollInterval = 5'000;
+    auto follower = followFile(loop.net, path, kKinds, {}, timings, handler);
     follower->follow();
-    ASSERT_TRUE(loop.until([&] { return hears.last() == "unreachable"; }));
+    ASSERT_TRUE(loop.until([&] { return handler.last() == "unreachable"; }));
     ServerList list;
     list.version = 1;
     list.servers.push_back({{SfuId{1}, ServerState::On, 0, Cell{0}, MachineKindId{0}, 1}, Loop::any()});
     list.servers[0].endpoint.port = 5;
     saveServerList(path, list, kKinds);
-    ASSERT_TRUE(loop.until([&] { return hears.last() == "list 1"; }));
+    ASSERT_TRUE(loop.until([&] { return handler.last() == "list 1"; }));
     std::ofstream(path) << "box 1 at=";
-    ASSERT_TRUE(loop.until([&] { return hears.last() == "odd"; }));
+    ASSERT_TRUE(loop.until([&] { return handler.last() == "anomaly"; }));
     list.version = 1;
     list.servers[0].sfu.size = 2;
     saveServerList(path, list, kKinds);
-    ASSERT_TRUE(loop.until([&] { return hears.heard.size() >= 4 && hears.last() == "odd"; }))
-        << "an old version";
+    ASSERT_TRUE(loop.until([&] { return handler.events.size() >= 4 && handler.last() == "anomaly"; }))
+        << "a version that is not newer";
     list.version = 2;
     saveServerList(path, list, kKinds);
-    ASSERT_TRUE(loop.until([&] { return hears.last() == "list 1"; }));
+    ASSERT_TRUE(loop.until([&] { return handler.last() == "list 1"; }));
     std::filesystem::remove_all(folder);
 }
 
--- a/tests/evidence_test.cpp
+++ b/tests/evidence_test.cpp
@@ -1,4 +1,4 @@
-// What a front keeps of the boxes between its lives.
+// Tests of the file in which a front saves what it has learnt about media servers.
 #include <gtest/gtest.h>
 
 #include "evidence/evidence_file.hpp"
@@ -7,23 +7,23 @@
 namespace valekeel::evidence {
 namespace {
 
-TEST(ServerEvidence, ComesBackAsItWasKept) {
-    EvidenceFile kept{77, {}};
-    kept.servers.push_back({ServerEvidence{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
-    kept.servers.push_back({ServerEvidence{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
-    const EvidenceFile back = parseEvidenceFile("f", formatEvidenceFile(kept), 10);
-    EXPECT_EQ(back.savedAt, 77);
-    ASSERT_EQ(back.servers.size(), 2u);
-    EXPECT_EQ(back.servers[0].evidence.id, SfuId{3});
-    EXPECT_EQ(back.servers[0].launched, 99);
-    EXPECT_DOUBLE_EQ(back.servers[0].evidence.evidence, 4.5);
-    EXPECT_DOUBLE_EQ(*back.servers[0].evidence.linkUse, 0.25);
-    EXPECT_EQ(back.servers[0].evidence.age, 1'200'000);
-    EXPECT_EQ(back.servers[1].evidence.id.v, 4'294'967'295u);
-    EXPECT_FALSE(back.servers[1].evidence.linkUse);
+TEST(EvidenceFile, RoundTrips) {
+    EvidenceFile saved{77, {}};
+    saved.servers.push_back({ServerEvidence{SfuId{3}, 4.5, 0.25, 1'200'000}, 99});
+    saved.servers.push_back({ServerEvidence{SfuId{4'294'967'295}, -2, std::nullopt, 0}, 0});
+    const EvidenceFile loaded = parseEvidenceFile("f", formatEvidenceFile(saved), 10);
+    EXPECT_EQ(loaded.savedAt, 77);
+    ASSERT_EQ(loaded.servers.size(), 2u);
+    EXPECT_EQ(loaded.servers[0].evidence.id, SfuId{3});
+    EXPECT_EQ(loaded.servers[0].launched, 99);
+    EXPECT_DOUBLE_EQ(loaded.servers[0].evidence.evidence, 4.5);
+    EXPECT_DOUBLE_EQ(*loaded.servers[0].evidence.linkUse, 0.25);
+    EXPECT_EQ(loaded.servers[0].evidence.age, 1'200'000);
+    EXPECT_EQ(loaded.servers[1].evidence.id.v, 4'294'967'295u);
+    EXPECT_FALSE(loaded.servers[1].evidence.linkUse);
 }
 
-TEST(ServerEvidence, WhatIsNotWholeOrOddIsRefused) {
+TEST(EvidenceFile, RejectsInvalidContents) {
     for (const char* bad :
          {"", "learnt 2 saved-us=1", "learnt 1", "learnt 1 saved-us=1\nbox", "box 3",
           "learnt 1 saved-us=1\nbox 3 link-use=-1", "learnt 1 saved-us=1\nbox 3 link-use=#nan",
--- a/tests/loop_fixture.hpp
+++ b/tests/loop_fixture.hpp
@@ -1,4 +1,4 @@
-// One loop for tests of what uses sockets: turned until something holds, bounded in time.
+// An event loop for tests that use sockets, run until a condition holds or a timeout expires.
 #pragma once
 
 #include <functional>
@@ -9,10 +9,10 @@
 
 struct Loop {
     net::EpollNet net{42};
-    // True as soon as it holds; false after so long.
-    bool until(const std::function<bool()>& holds, Micros atMost = 5 * kSecond) {
-        const Micros end = net.now() + atMost;
-        while (!holds()) {
+    // Runs the loop until `condition` holds and returns true, or false after `timeout`.
+    bool until(const std::function<bool()>& condition, Micros timeout = 5 * kSecond) {
+        const Micros end = net.now() + timeout;
+        while (!condition()) {
             if (net.now() > end) return false;
             net.runOnce(10'000);
         }
@@ -21,6 +21,7 @@
     void run(Micros time) {
         until([] { return false; }, time);
     }
+    // The loopback address with a port that the system chooses.
     static net::Endpoint any() { return *net::parseEndpoint("127.0.0.1:0"); }
 };
 
