--- a/src/admission/admission_controller.hpp
+++ b/src/admission/admission_controller.hpp
@@ -22,6 +22,8 @@
 
 namespace valekeel::admission {
 
+// Networks are numbered by networkOf(). Every admit() that returns Admitted must be followed by one
+// onAnswered(), every successful openConnection() by one closeConnection().
 class AdmissionController {
   public:
     // `maxConnections`: open at once from one network. `prefix4`, `prefix6`: lengths of the IPv4 and IPv6
@@ -51,16 +53,15 @@
         Admitted,
         Full,            // the limit is reached
         OverFairShare,   // the network has its fair share of the limit pending
-        PathSaturated,   // the network's own path is saturated: one more viewer would only take from the
-                         // others
+        PathSaturated,   // one more viewer on the network's path would only take from the others
         TooManyRetries,  // nearly all attempts fail, and enough of them have reached the module
     };
     // An admitted request counts as pending until onAnswered().
     Decision admit(Micros now, std::uint32_t network);
     // Text for the viewer.
     static const char* reasonText(Decision);
-    // Time from now after which a viewer who is refused now should retry; at least `least`.
-    Micros retryAfter(Micros now, Micros least) { return retries_.retryAfter(now, least); }
+    // Time from now after which a viewer who is refused now should retry; at least `minWait`.
+    Micros retryAfter(Micros now, Micros minWait) { return retries_.retryAfter(now, minWait); }
     void onPlaced(Micros now) { retries_.onPlaced(now); }
     void onThrottled(Micros now) { retries_.onThrottled(now); }
     bool isLimitedToLowestRung(std::uint32_t network) const { return paths_.isLimitedToLowestRung(network); }
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -15,7 +15,7 @@
 namespace valekeel::admission {
 
 struct ConcurrencyLimitSettings {
-    // Each decision of the module scans all pending requests, so a higher limit makes each one dearer.
+    // Each decision of the module scans all pending requests, so a higher limit makes each one slower.
     std::size_t minLimit = 64, maxLimit = 1'000;
     Micros targetWait = 300'000;  // median answer time; 0: the limit stays at `maxLimit`
     Micros interval = 200'000;    // between adjustments
--- a/src/admission/path_capacity.hpp
+++ b/src/admission/path_capacity.hpp
@@ -3,8 +3,8 @@
 // take bandwidth from the present ones. So no new viewer is admitted from such a network until the path has
 // recovered, and then only a few at a time. Pure logic: no I/O, no clock of its own.
 //
-// A saturated path is told from an overloaded media server by comparison: if all other networks together get
-// their rates while one network alone does not, the servers are not the bottleneck.
+// A saturated path is distinguished from an overloaded media server by comparison: if all other networks
+// together get their rates while one network alone does not, the servers are not the bottleneck.
 #pragma once
 
 #include <cstdint>
--- a/src/admission/prefix_trie.cpp
+++ b/src/admission/prefix_trie.cpp
@@ -12,13 +12,13 @@
     return (p.bits[static_cast<std::size_t>(index / 8)] >> (7 - index % 8)) & 1;
 }
 
-// Returns how many leading bits the two have in common, at most `most`.
-int commonBits(const Prefix& a, const Prefix& b, int most) {
-    for (std::size_t byte = 0; byte < 16 && static_cast<int>(byte) * 8 < most; ++byte) {
+// Returns how many leading bits the two have in common, up to `limit`.
+int commonBits(const Prefix& a, const Prefix& b, int limit) {
+    for (std::size_t byte = 0; byte < 16 && static_cast<int>(byte) * 8 < limit; ++byte) {
         const auto differs = static_cast<std::uint8_t>(a.bits[byte] ^ b.bits[byte]);
-        if (differs) return std::min(most, static_cast<int>(byte) * 8 + std::countl_zero(differs));
+        if (differs) return std::min(limit, static_cast<int>(byte) * 8 + std::countl_zero(differs));
     }
-    return most;
+    return limit;
 }
 
 }  // namespace
--- a/src/admission/prefix_trie.hpp
+++ b/src/admission/prefix_trie.hpp
@@ -27,6 +27,7 @@
 Prefix truncated(const Prefix&, int length);  // its first `length` bits, or all if it is shorter
 std::string toString(const Prefix&);
 
+// Maps prefixes to values. Prefixes cannot be removed.
 class PrefixTrie {
   public:
     // Replaces the value of an equal prefix.
--- a/src/admission/retry_limiter.cpp
+++ b/src/admission/retry_limiter.cpp
@@ -40,16 +40,16 @@
     return true;
 }
 
-Micros RetryLimiter::retryAfter(Micros now, Micros least) {
+Micros RetryLimiter::retryAfter(Micros now, Micros minWait) {
     updateRates(now);
-    if (settings_.maxRetryAfter <= 0) return least;
+    if (settings_.maxRetryAfter <= 0) return minWait;
     const double rate = std::max(1.0, placedPerSecond_ * settings_.retriesPerPlacement);
     const Micros spacing = static_cast<Micros>(1e6 / rate);
-    // The first viewer gets `least`, each later one a time `spacing` after the previous.
-    lastRetryAt_ = std::max(lastRetryAt_ + spacing, now + least);
-    const Micros latest = now + std::max(least, settings_.maxRetryAfter);
+    // The first viewer gets `minWait`, each later one a time `spacing` after the previous.
+    lastRetryAt_ = std::max(lastRetryAt_ + spacing, now + minWait);
+    const Micros latest = now + std::max(minWait, settings_.maxRetryAfter);
     // Past the longest wait, the times start again at half of it, so that they do not all pile up at its end.
-    if (lastRetryAt_ > latest) lastRetryAt_ = now + std::max(least, settings_.maxRetryAfter / 2);
+    if (lastRetryAt_ > latest) lastRetryAt_ = now + std::max(minWait, settings_.maxRetryAfter / 2);
     return lastRetryAt_ - now;
 }
 
--- a/src/admission/retry_limiter.hpp
+++ b/src/admission/retry_limiter.hpp
@@ -22,6 +22,7 @@
     Micros window = 2'000'000;          // over which rates are measured
 };
 
+// Times are microseconds and must not decrease from call to call.
 class RetryLimiter {
   public:
     explicit RetryLimiter(const RetryLimiterSettings& settings) : settings_(settings) {}
@@ -29,9 +30,9 @@
     void onThrottled(Micros now);  // by the module
     // Whether one more attempt may reach the module. Each true uses up one attempt under overload.
     bool mayAttempt(Micros now);
-    // Time from now after which a viewer who is refused now should retry; at least `least`. Each call
+    // Time from now after which a viewer who is refused now should retry; at least `minWait`. Each call
     // reserves the next retry time.
-    Micros retryAfter(Micros now, Micros least);
+    Micros retryAfter(Micros now, Micros minWait);
     double placedPerSecond() const { return placedPerSecond_; }
     bool isOverloaded() const { return overloaded_; }  // the module throttles nearly all attempts
 
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -59,7 +59,7 @@
     virtual void join(SubId, int joinNo, SfuId, int rung, Micros timeOut, bool paid) = 0;
     // Aborts the join. Its outcome is still reported.
     virtual void cancel(SubId, int joinNo) = 0;
-    // Like cancel(), but only if provably no byte of the join has left this front; otherwise it runs on.
+    // Like cancel(), but only if provably no byte of the join has left this front; otherwise does nothing.
     virtual void withdraw(SubId, int joinNo) = 0;
     // Ends a session that plays, or may play, on the media server and frees its place there.
     virtual void release(SubId, SfuId) = 0;
@@ -67,7 +67,7 @@
     virtual void followList() = 0;
 };
 
-// Notified of each step in the life of a subscription, for logs and metrics.
+// Notified of each step of a subscription's lifecycle, for logs and metrics.
 class CoreObserver {
   public:
     virtual ~CoreObserver() = default;
@@ -78,8 +78,9 @@
                              std::uint64_t /*slot*/) {}
     virtual void onJoinSent(SubId, int /*joinNo*/, SfuId, int /*rung*/, Micros /*timeOut*/) {}
     virtual void onJoinEnded(SubId, int /*joinNo*/, SfuId, const JoinOutcome&) {}
+    // `how`: "plays", "throttled" or "terminated"; `took`: since the request.
     virtual void onAnswer(SubId, std::string_view /*how*/, Micros /*took*/) {}
-    virtual void onClosed(SubId, std::string_view /*why*/) {}
+    virtual void onClosed(SubId, std::string_view /*why*/) {}  // the subscription is about to be removed
     // The guard timer answered because the module had not: a bug in the module.
     virtual void onGuardTriggered(SubId) {}
     virtual void onModuleLog(const std::string&) {}
@@ -99,6 +100,7 @@
                   guardAnswers = 0, rejectedAtLimit = 0;
 };
 
+// Owns the subscriptions and the decision module.
 class Core final : public Host {
   public:
     // Creates the decision module. Receives this core as its Host and must not call it before it returns.
--- a/src/upstream/connection_reuse.cpp
+++ b/src/upstream/connection_reuse.cpp
@@ -10,11 +10,11 @@
         const auto& [since, conn] = *idle_.rbegin();
         const Micros idleTime = now - since;
         if (idleTime < idleTimeout_ && (need == Need::Any || idleTime <= recentUse_))
-            return {Choice::What::Use, conn};
+            return {Choice::Action::Use, conn};
     }
-    if (openCount() < maxOpen_) return {Choice::What::Open, {}};
-    if (!idle_.empty()) return {Choice::What::CloseAndOpen, idle_.begin()->second};
-    return {Choice::What::Wait, {}};
+    if (openCount() < maxOpen_) return {Choice::Action::Open, {}};
+    if (!idle_.empty()) return {Choice::Action::CloseAndOpen, idle_.begin()->second};
+    return {Choice::Action::Wait, {}};
 }
 
 void ConnectionReusePolicy::onTaken(ConnId conn) {
--- a/src/upstream/connection_reuse.hpp
+++ b/src/upstream/connection_reuse.hpp
@@ -24,8 +24,8 @@
 
     enum class Need { Any, RecentlyUsed };
     struct Choice {
-        enum class What { Use, Open, CloseAndOpen, Wait } what;
-        ConnId conn;  // to use, or to close so that a new one can be opened
+        enum class Action { Use, Open, CloseAndOpen, Wait } action;
+        ConnId connection;  // to use, or to close so that a new one can be opened
     };
     // Changes no state: the owner carries out the choice and reports it.
     Choice choose(Micros now, Need) const;
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -115,19 +115,19 @@
         timeoutTimer_.cancel();
         startTimer_.cancel();
     }
-    void abandon(bool kept) {
+    void abandon(bool keep) {
         if (done_) return;
         finish();
         if (queued_) std::erase(server_->queue, this);
         queued_ = false;
-        returnConnection(kept);
+        returnConnection(keep);
     }
-    void returnConnection(bool kept) {
+    void returnConnection(bool keep) {
         if (!connection_) return;
         connection_ = nullptr;
         const auto it = server_->connections.find(id_);
         if (it == server_->connections.end()) return;
-        if (kept && it->second.connection->idle()) {
+        if (keep && it->second.connection->idle()) {
             it->second.busy = false;
             server_->reuse.onIdle(client_.net_.now(), id_);
         } else {
@@ -258,24 +258,24 @@
         const auto choice =
             server.reuse.choose(net_.now(), next->avoidStale() ? ConnectionReusePolicy::Need::RecentlyUsed
                                                                : ConnectionReusePolicy::Need::Any);
-        using What = ConnectionReusePolicy::Choice::What;
-        if (choice.what == What::Wait) return;
-        if (choice.what == What::Use) {
-            const auto it = server.connections.find(choice.conn);
+        using Action = ConnectionReusePolicy::Choice::Action;
+        if (choice.action == Action::Wait) return;
+        if (choice.action == Action::Use) {
+            const auto it = server.connections.find(choice.connection);
             if (it->second.connection->lost()) {  // closed by the media server while it was idle
-                server.reuse.onClosed(choice.conn, false);
+                server.reuse.onClosed(choice.connection, false);
                 server.connections.erase(it);
                 continue;
             }
             server.queue.pop_front();
-            server.reuse.onTaken(choice.conn);
+            server.reuse.onTaken(choice.connection);
             it->second.busy = true;
-            next->useConnection(choice.conn, *it->second.connection, true);
+            next->useConnection(choice.connection, *it->second.connection, true);
             continue;
         }
-        if (choice.what == What::CloseAndOpen) {
-            server.reuse.onClosed(choice.conn, false);
-            server.connections.erase(choice.conn);
+        if (choice.action == Action::CloseAndOpen) {
+            server.reuse.onClosed(choice.connection, false);
+            server.connections.erase(choice.connection);
         }
         server.queue.pop_front();
         const ConnId id{nextConn_++};
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -14,8 +14,8 @@
 using namespace admission;
 
 // A limit that does not adapt.
-ConcurrencyLimitSettings fixedLimit(std::size_t most) {
-    return {1, most, 0, 200'000};
+ConcurrencyLimitSettings fixedLimit(std::size_t limit) {
+    return {1, limit, 0, 200'000};
 }
 
 TEST(Prefix, ParsesNetworksAndRejectsHostBits) {
@@ -312,9 +312,9 @@
         const auto pick = [&](Micros lo, Micros hi) {
             return std::uniform_int_distribution<Micros>(lo, hi)(generator);
         };
-        const auto most = static_cast<std::size_t>(pick(1, 8));
+        const auto maxOpen = static_cast<std::size_t>(pick(1, 8));
         const Micros idleTimeout = pick(1'000, 50'000), recentUse = pick(0, 5'000);
-        ConnectionReusePolicy reuse(most, idleTimeout, recentUse);
+        ConnectionReusePolicy reuse(maxOpen, idleTimeout, recentUse);
         std::map<ConnId, Micros> idle;
         std::vector<ConnId> busy;
         std::uint64_t nextId = 1;
@@ -325,25 +325,25 @@
                 const bool needRecent = pick(0, 1);
                 const auto choice = reuse.choose(now, needRecent ? ConnectionReusePolicy::Need::RecentlyUsed
                                                                  : ConnectionReusePolicy::Need::Any);
-                using What = ConnectionReusePolicy::Choice::What;
-                if (choice.what == What::Use) {
-                    ASSERT_TRUE(idle.count(choice.conn));
-                    ASSERT_LT(now - idle[choice.conn], idleTimeout);
+                using Action = ConnectionReusePolicy::Choice::Action;
+                if (choice.action == Action::Use) {
+                    ASSERT_TRUE(idle.count(choice.connection));
+                    ASSERT_LT(now - idle[choice.connection], idleTimeout);
                     if (needRecent) {
-                        ASSERT_LE(now - idle[choice.conn], recentUse);
+                        ASSERT_LE(now - idle[choice.connection], recentUse);
                     }
                     for (const auto& [id, since] : idle)
-                        ASSERT_LE(since, idle[choice.conn]) << "not the most recently used";
-                    reuse.onTaken(choice.conn);
-                    idle.erase(choice.conn);
-                    busy.push_back(choice.conn);
-                } else if (choice.what == What::Wait) {
-                    ASSERT_EQ(busy.size(), most);
+                        ASSERT_LE(since, idle[choice.connection]) << "not the most recently used";
+                    reuse.onTaken(choice.connection);
+                    idle.erase(choice.connection);
+                    busy.push_back(choice.connection);
+                } else if (choice.action == Action::Wait) {
+                    ASSERT_EQ(busy.size(), maxOpen);
                 } else {
-                    if (choice.what == What::CloseAndOpen) {
-                        ASSERT_EQ(busy.size() + idle.size(), most);
-                        reuse.onClosed(choice.conn, false);
-                        ASSERT_EQ(idle.erase(choice.conn), 1u);
+                    if (choice.action == Action::CloseAndOpen) {
+                        ASSERT_EQ(busy.size() + idle.size(), maxOpen);
+                        reuse.onClosed(choice.connection, false);
+                        ASSERT_EQ(idle.erase(choice.connection), 1u);
                     }
                     busy.push_back(ConnId{nextId});
                     reuse.onOpened(ConnId{nextId++});
@@ -365,7 +365,7 @@
             }
             ASSERT_EQ(reuse.busyCount(), busy.size());
             ASSERT_EQ(reuse.openCount(), busy.size() + idle.size());
-            ASSERT_LE(reuse.openCount(), most);
+            ASSERT_LE(reuse.openCount(), maxOpen);
         }
     }
 }
