--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -3,8 +3,9 @@
 //
 // More pending requests than media servers can set up in time waste their work: joins that time out or are
 // repeated run there all the same. So the limit falls while answers take longer than the target, and rises
-// again while it is nearly reached and they do not. Slow answers without load are no reason to refuse anyone:
-// the effective target is at least twice the median that was measured while few requests were pending.
+// again while they do not: by a tenth while it is nearly reached, by a fiftieth while less than half is used.
+// Slow answers without load are no reason to refuse anyone: the effective target is at least twice the median
+// that was measured while few requests were pending.
 #pragma once
 
 #include <cstddef>
--- a/src/discovery/list_follower.hpp
+++ b/src/discovery/list_follower.hpp
@@ -16,7 +16,7 @@
 
 namespace valekeel::discovery {
 
-// Called from the event loop.
+// Receives what a follower finds. Called from the event loop; must outlive the follower.
 class ServerListHandler {
   public:
     virtual ~ServerListHandler() = default;
@@ -26,6 +26,7 @@
     virtual void onListAnomaly(const std::string& why) = 0;  // faulty input, which was ignored
 };
 
+// Owned by the caller; deleting it stops following.
 class ListFollower {
   public:
     virtual ~ListFollower() = default;
