--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -12,17 +12,17 @@
     if (bracketed) host = host.substr(1, host.size() - 2);
     if (!bracketed && host.find(':') != std::string_view::npos) return std::nullopt;
     Endpoint out;
-    const auto [end, wrong] = std::from_chars(port.data(), port.data() + port.size(), out.port);
-    if (wrong != std::errc{} || end != port.data() + port.size()) return std::nullopt;
-    boost::system::error_code bad;
-    out.ip = boost::asio::ip::make_address(std::string(host), bad);
-    if (bad) return std::nullopt;
+    const auto [end, parseError] = std::from_chars(port.data(), port.data() + port.size(), out.port);
+    if (parseError != std::errc{} || end != port.data() + port.size()) return std::nullopt;
+    boost::system::error_code addressError;
+    out.ip = boost::asio::ip::make_address(std::string(host), addressError);
+    if (addressError) return std::nullopt;
     return out;
 }
 
-std::string toString(const Endpoint& at) {
-    const std::string ip = at.ip.to_string();
-    return (at.ip.is_v6() ? "[" + ip + "]" : ip) + ":" + std::to_string(at.port);
+std::string toString(const Endpoint& endpoint) {
+    const std::string ip = endpoint.ip.to_string();
+    return (endpoint.ip.is_v6() ? "[" + ip + "]" : ip) + ":" + std::to_string(endpoint.port);
 }
 
 }  // namespace valekeel::net
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,4 @@
-// Addresses as text and back. Name look-up is left out on purpose: a front speaks to addresses it is told.
+// IP endpoints and their text form. Host names are not resolved: a front only talks to configured addresses.
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
@@ -12,6 +12,7 @@
 
 using IpAddress = boost::asio::ip::address;
 
+// An IP address and a port, ordered by address, then by port.
 struct Endpoint {
     IpAddress ip;
     std::uint16_t port = 0;
@@ -23,8 +24,9 @@
     }
 };
 
-// "127.0.0.1:8080" or "[::1]:8080"; port 0 lets the kernel choose. Empty if it is neither.
+// Parses "127.0.0.1:8080" or "[::1]:8080"; port 0 lets the kernel choose one. Empty if `text` is neither.
 std::optional<Endpoint> parseEndpoint(std::string_view text);
+// Returns the form that parseEndpoint() reads.
 std::string toString(const Endpoint&);
 
 }  // namespace valekeel::net
--- a/src/net/epoll.cpp
+++ b/src/net/epoll.cpp
@@ -20,53 +20,53 @@
 namespace valekeel::net {
 namespace {
 
-constexpr Micros kAcceptPause = 50'000;
-constexpr int kBacklog = 4096;
+constexpr Micros kAcceptRetryDelay = 50'000;  // after a failed accept, for example without free descriptors
+constexpr int kListenBacklog = 4096;
 
-socklen_t toRaw(const Endpoint& at, sockaddr_storage& raw) {
+socklen_t toSockaddr(const Endpoint& endpoint, sockaddr_storage& raw) {
     std::memset(&raw, 0, sizeof raw);
-    if (at.ip.is_v6()) {
-        auto& six = reinterpret_cast<sockaddr_in6&>(raw);
-        six.sin6_family = AF_INET6;
-        six.sin6_port = htons(at.port);
-        const auto bytes = at.ip.to_v6().to_bytes();
-        std::memcpy(&six.sin6_addr, bytes.data(), bytes.size());
-        return sizeof six;
+    if (endpoint.ip.is_v6()) {
+        auto& v6 = reinterpret_cast<sockaddr_in6&>(raw);
+        v6.sin6_family = AF_INET6;
+        v6.sin6_port = htons(endpoint.port);
+        const auto bytes = endpoint.ip.to_v6().to_bytes();
+        std::memcpy(&v6.sin6_addr, bytes.data(), bytes.size());
+        return sizeof v6;
     }
-    auto& four = reinterpret_cast<sockaddr_in&>(raw);
-    four.sin_family = AF_INET;
-    four.sin_port = htons(at.port);
-    const auto bytes = at.ip.to_v4().to_bytes();
-    std::memcpy(&four.sin_addr, bytes.data(), bytes.size());
-    return sizeof four;
+    auto& v4 = reinterpret_cast<sockaddr_in&>(raw);
+    v4.sin_family = AF_INET;
+    v4.sin_port = htons(endpoint.port);
+    const auto bytes = endpoint.ip.to_v4().to_bytes();
+    std::memcpy(&v4.sin_addr, bytes.data(), bytes.size());
+    return sizeof v4;
 }
 
-Endpoint fromRaw(const sockaddr_storage& raw) {
-    Endpoint at;
+Endpoint fromSockaddr(const sockaddr_storage& raw) {
+    Endpoint endpoint;
     if (raw.ss_family == AF_INET6) {
-        const auto& six = reinterpret_cast<const sockaddr_in6&>(raw);
+        const auto& v6 = reinterpret_cast<const sockaddr_in6&>(raw);
         boost::asio::ip::address_v6::bytes_type bytes;
-        std::memcpy(bytes.data(), &six.sin6_addr, bytes.size());
-        at.ip = boost::asio::ip::address_v6(bytes);
-        at.port = ntohs(six.sin6_port);
+        std::memcpy(bytes.data(), &v6.sin6_addr, bytes.size());
+        endpoint.ip = boost::asio::ip::address_v6(bytes);
+        endpoint.port = ntohs(v6.sin6_port);
     } else if (raw.ss_family == AF_INET) {
-        const auto& four = reinterpret_cast<const sockaddr_in&>(raw);
+        const auto& v4 = reinterpret_cast<const sockaddr_in&>(raw);
         boost::asio::ip::address_v4::bytes_type bytes;
-        std::memcpy(bytes.data(), &four.sin_addr, bytes.size());
-        at.ip = boost::asio::ip::address_v4(bytes);
-        at.port = ntohs(four.sin_port);
+        std::memcpy(bytes.data(), &v4.sin_addr, bytes.size());
+        endpoint.ip = boost::asio::ip::address_v4(bytes);
+        endpoint.port = ntohs(v4.sin_port);
     }
-    return at;
+    return endpoint;
 }
 
-Endpoint localOf(int fd) {
+Endpoint localEndpoint(int fd) {
     sockaddr_storage raw{};
     socklen_t size = sizeof raw;
     ::getsockname(fd, reinterpret_cast<sockaddr*>(&raw), &size);
-    return fromRaw(raw);
+    return fromSockaddr(raw);
 }
 
-void dontDelay(int fd) {
+void disableNagle(int fd) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -75,13 +75,13 @@
 
 class EpollStream final : public Stream, private EpollNet::Handler {
   public:
-    EpollStream(EpollNet& net, int fd, const Endpoint& peer, bool connecting, StreamHandler* user)
-        : net_(net), fd_(fd), peer_(peer), connecting_(connecting), user_(user) {
-        if (fd_ >= 0) ticket_ = net_.enter(fd_, *this, EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET);
+    EpollStream(EpollNet& net, int fd, const Endpoint& peer, bool connecting, StreamHandler* handler)
+        : net_(net), fd_(fd), peer_(peer), connecting_(connecting), handler_(handler) {
+        if (fd_ >= 0) token_ = net_.registerHandler(fd_, *this, EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET);
     }
     ~EpollStream() override {
         if (fd_ < 0) return;
-        net_.leave(ticket_, fd_);
+        net_.unregisterHandler(token_, fd_);
         ::close(fd_);
     }
 
@@ -120,107 +120,109 @@
         if (fd_ < 0) return;
         const linger now{1, 0};
         ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-        net_.leave(ticket_, fd_);
+        net_.unregisterHandler(token_, fd_);
         ::close(fd_);
         fd_ = -1;
     }
     Endpoint peer() const override { return peer_; }
-    void setHandler(StreamHandler& user) override { user_ = &user; }
+    void setHandler(StreamHandler& handler) override { handler_ = &handler; }
 
   private:
-    void happened(std::uint32_t events) override {
-        const std::uint64_t ticket = ticket_;
+    void onEvents(std::uint32_t events) override {
+        const std::uint64_t token = token_;
         EpollNet& net = net_;
-        const auto gone = [&] {
-            return !net.slots_[ticket & 0xffffffff].handler ||
-                   net.slots_[ticket & 0xffffffff].generation != ticket >> 32;
+        const auto isDeleted = [&] {
+            return !net.slots_[token & 0xffffffff].handler ||
+                   net.slots_[token & 0xffffffff].generation != token >> 32;
         };
         if (connecting_) {
             if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP))) return;
-            int wrong = 0;
-            socklen_t size = sizeof wrong;
-            ::getsockopt(fd_, SOL_SOCKET, SO_ERROR, &wrong, &size);
-            if (wrong) {
-                user_->onConnectFailed(wrong == ECONNREFUSED ? ConnectError::Refused
-                                                             : ConnectError::Unreachable);
+            int error = 0;
+            socklen_t size = sizeof error;
+            ::getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
+            if (error) {
+                handler_->onConnectFailed(error == ECONNREFUSED ? ConnectError::Refused
+                                                                : ConnectError::Unreachable);
                 return;
             }
             connecting_ = false;
-            user_->onConnected();
-            if (gone()) return;
+            handler_->onConnected();
+            if (isDeleted()) return;
         }
         if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-            user_->onReadable();
-            if (gone()) return;
+            handler_->onReadable();
+            if (isDeleted()) return;
         }
-        if (events & EPOLLOUT) user_->onWritable();
+        if (events & EPOLLOUT) handler_->onWritable();
     }
 
     EpollNet& net_;
     int fd_;
     Endpoint peer_;
     bool connecting_;
-    StreamHandler* user_;
-    std::uint64_t ticket_ = 0;
+    StreamHandler* handler_;
+    std::uint64_t token_ = 0;
 };
 
 namespace {
 
-// A connect that failed before it began is told a moment later, as all other failures are.
-class StillBorn final : public Stream {
+// A connect that failed at once. Reports the failure from the event loop, as all other failures are reported.
+class FailedStream final : public Stream {
   public:
-    StillBorn(Net& net, const Endpoint& peer, ConnectError why, StreamHandler& user)
-        : peer_(peer), user_(&user), tell_(net, [this, why] { user_->onConnectFailed(why); }) {
-        tell_.after(0);
+    FailedStream(Net& net, const Endpoint& peer, ConnectError why, StreamHandler& handler)
+        : peer_(peer), handler_(&handler), report_(net, [this, why] { handler_->onConnectFailed(why); }) {
+        report_.after(0);
     }
     IoResult read(std::span<char>) override { return {0, IoResult::Status::Broken}; }
     IoResult write(std::string_view) override { return {0, IoResult::Status::Broken}; }
     void shutdownWrite() override {}
     void reset() override {}
     Endpoint peer() const override { return peer_; }
-    void setHandler(StreamHandler& user) override { user_ = &user; }
+    void setHandler(StreamHandler& handler) override { handler_ = &handler; }
 
   private:
     Endpoint peer_;
-    StreamHandler* user_;
-    Timer tell_;
+    StreamHandler* handler_;
+    Timer report_;
 };
 
 }  // namespace
 
 class EpollListener final : public Listener, private EpollNet::Handler {
   public:
-    EpollListener(EpollNet& net, const Endpoint& at, ListenerHandler& user)
-        : net_(net), user_(user), again_(net, [this] { takeAll(); }) {
-        const auto fail = [&](const char* what) {
-            const std::string why = std::string(what) + " " + toString(at) + ": " + std::strerror(errno);
+    EpollListener(EpollNet& net, const Endpoint& endpoint, ListenerHandler& handler)
+        : net_(net), handler_(handler), retry_(net, [this] { acceptAll(); }) {
+        const auto fail = [&](const char* action) {
+            const std::string message =
+                std::string(action) + " " + toString(endpoint) + ": " + std::strerror(errno);
             if (fd_ >= 0) ::close(fd_);
-            throw std::runtime_error(why);
+            throw std::runtime_error(message);
         };
-        fd_ = ::socket(at.ip.is_v6() ? AF_INET6 : AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-        if (fd_ < 0) fail("cannot make a socket for");
+        fd_ =
+            ::socket(endpoint.ip.is_v6() ? AF_INET6 : AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+        if (fd_ < 0) fail("cannot create a socket for");
         const int on = 1;
         ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
         sockaddr_storage raw;
-        const socklen_t size = toRaw(at, raw);
+        const socklen_t size = toSockaddr(endpoint, raw);
         if (::bind(fd_, reinterpret_cast<sockaddr*>(&raw), size) < 0) fail("cannot listen on");
-        if (::listen(fd_, kBacklog) < 0) fail("cannot listen on");
-        at_ = localOf(fd_);
-        ticket_ = net_.enter(fd_, *this, EPOLLIN | EPOLLET);
+        if (::listen(fd_, kListenBacklog) < 0) fail("cannot listen on");
+        endpoint_ = localEndpoint(fd_);
+        token_ = net_.registerHandler(fd_, *this, EPOLLIN | EPOLLET);
     }
     ~EpollListener() override {
-        net_.leave(ticket_, fd_);
+        net_.unregisterHandler(token_, fd_);
         ::close(fd_);
     }
-    Endpoint endpoint() const override { return at_; }
-    void acceptPending() override { takeAll(); }
+    Endpoint endpoint() const override { return endpoint_; }
+    void acceptPending() override { acceptAll(); }
 
   private:
-    void happened(std::uint32_t) override { takeAll(); }
-    // Until EAGAIN: no further edge comes for those that already wait. Without descriptors left they stay in
-    // the kernel's queue and are tried again.
-    void takeAll() {
-        const std::uint64_t ticket = ticket_;
+    void onEvents(std::uint32_t) override { acceptAll(); }
+    // Accepts until EAGAIN, since no further edge is signalled for connections that are already queued.
+    // Without free descriptors they stay in the kernel's queue and are retried after kAcceptRetryDelay.
+    void acceptAll() {
+        const std::uint64_t token = token_;
         EpollNet& net = net_;
         for (;;) {
             sockaddr_storage raw{};
@@ -229,63 +231,66 @@
                 ::accept4(fd_, reinterpret_cast<sockaddr*>(&raw), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
             if (fd < 0) {
                 if (errno == EINTR || errno == ECONNABORTED) continue;
-                if (errno != EAGAIN && errno != EWOULDBLOCK) again_.after(kAcceptPause);
+                if (errno != EAGAIN && errno != EWOULDBLOCK) retry_.after(kAcceptRetryDelay);
                 return;
             }
-            dontDelay(fd);
-            user_.onAccepted(std::make_unique<EpollStream>(net_, fd, fromRaw(raw), false, nullptr));
-            if (net.slots_[ticket & 0xffffffff].generation != ticket >> 32) return;
+            disableNagle(fd);
+            handler_.onAccepted(std::make_unique<EpollStream>(net_, fd, fromSockaddr(raw), false, nullptr));
+            if (net.slots_[token & 0xffffffff].generation != token >> 32) return;
         }
     }
 
     EpollNet& net_;
-    ListenerHandler& user_;
-    Timer again_;
+    ListenerHandler& handler_;
+    Timer retry_;
     int fd_ = -1;
-    Endpoint at_;
-    std::uint64_t ticket_ = 0;
+    Endpoint endpoint_;
+    std::uint64_t token_ = 0;
 };
 
 class EpollDatagramSocket final : public DatagramSocket, private EpollNet::Handler {
   public:
-    EpollDatagramSocket(EpollNet& net, const Endpoint& at, DatagramHandler& user) : net_(net), user_(user) {
-        fd_ = ::socket(at.ip.is_v6() ? AF_INET6 : AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    EpollDatagramSocket(EpollNet& net, const Endpoint& endpoint, DatagramHandler& handler)
+        : net_(net), handler_(handler) {
+        fd_ =
+            ::socket(endpoint.ip.is_v6() ? AF_INET6 : AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
         sockaddr_storage raw;
-        const socklen_t size = toRaw(at, raw);
+        const socklen_t size = toSockaddr(endpoint, raw);
         if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&raw), size) < 0) {
-            const std::string why = "cannot take datagrams at " + toString(at) + ": " + std::strerror(errno);
+            const std::string message =
+                "cannot bind a datagram socket to " + toString(endpoint) + ": " + std::strerror(errno);
             if (fd_ >= 0) ::close(fd_);
-            throw std::runtime_error(why);
+            throw std::runtime_error(message);
         }
-        const int room =
-            4 * 1024 * 1024;  // as much as the system allows of it: a burst should wait, not drop
-        ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
-        const int stamps = 1;
-        ::setsockopt(fd_, SOL_SOCKET, SO_TIMESTAMP, &stamps, sizeof stamps);
-        at_ = localOf(fd_);
-        ticket_ = net_.enter(fd_, *this, EPOLLIN | EPOLLET);
+        // The kernel caps this at its own limit. A burst is to be queued, not dropped.
+        const int bufferBytes = 4 * 1024 * 1024;
+        ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &bufferBytes, sizeof bufferBytes);
+        const int enabled = 1;
+        ::setsockopt(fd_, SOL_SOCKET, SO_TIMESTAMP, &enabled, sizeof enabled);
+        endpoint_ = localEndpoint(fd_);
+        token_ = net_.registerHandler(fd_, *this, EPOLLIN | EPOLLET);
     }
     ~EpollDatagramSocket() override {
-        net_.leave(ticket_, fd_);
+        net_.unregisterHandler(token_, fd_);
         ::close(fd_);
     }
-    Endpoint endpoint() const override { return at_; }
+    Endpoint endpoint() const override { return endpoint_; }
     void send(const Endpoint& to, std::string_view bytes) override {
         sockaddr_storage raw;
-        const socklen_t size = toRaw(to, raw);
+        const socklen_t size = toSockaddr(to, raw);
         ::sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<sockaddr*>(&raw), size);
     }
 
-    Micros queueingDelay() const override { return waited_; }
+    Micros queueingDelay() const override { return queueingDelay_; }
 
   private:
-    // So many a turn: a flood must not keep the loop from its timers and from other sockets.
-    static constexpr int kEachTurn = 64;
-    void happened(std::uint32_t) override {
+    // A limit, so that a flood of datagrams can't starve timers and other sockets.
+    static constexpr int kMaxDatagramsPerRound = 64;
+    void onEvents(std::uint32_t) override {
         static thread_local std::array<char, 65'536> buffer;
-        const std::uint64_t ticket = ticket_;
+        const std::uint64_t token = token_;
         EpollNet& net = net_;
-        for (int left = kEachTurn; left > 0;) {
+        for (int left = kMaxDatagramsPerRound; left > 0;) {
             sockaddr_storage raw{};
             iovec part{buffer.data(), buffer.size()};
             alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(timeval))> extra;
@@ -298,67 +303,70 @@
             message.msg_controllen = extra.size();
             const ssize_t got = ::recvmsg(fd_, &message, 0);
             if (got < 0 && errno == EINTR) continue;
-            // A send that found nobody there shows as an error here, once: it says nothing of what comes
-            // next.
+            // An earlier send met a closed port. The error is reported once and does not concern this
+            // receive.
             if (got < 0 && errno == ECONNREFUSED) continue;
             if (got < 0) return;
             --left;
-            waited_ = waitedIn(message);
-            user_.onDatagram(fromRaw(raw), std::string_view(buffer.data(), static_cast<std::size_t>(got)));
-            if (net.slots_[ticket & 0xffffffff].generation != ticket >> 32) return;
+            queueingDelay_ = queueingDelayOf(message);
+            handler_.onDatagram(fromSockaddr(raw),
+                                std::string_view(buffer.data(), static_cast<std::size_t>(got)));
+            if (net.slots_[token & 0xffffffff].generation != token >> 32) return;
         }
-        net.again_.push_back(ticket);
+        net.unfinished_.push_back(token);
     }
-    // The kernel writes down when each came, by the wall clock.
-    Micros waitedIn(msghdr& message) const {
+    // Time since the kernel received the datagram, which it timestamps by the wall clock; 0 without a
+    // timestamp.
+    Micros queueingDelayOf(msghdr& message) const {
         for (cmsghdr* c = CMSG_FIRSTHDR(&message); c; c = CMSG_NXTHDR(&message, c)) {
             if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_TIMESTAMP) continue;
-            timeval came;
-            std::memcpy(&came, CMSG_DATA(c), sizeof came);
-            return std::max<Micros>(0, net_.wallNow() - (Micros{came.tv_sec} * kSecond + came.tv_usec));
+            timeval received;
+            std::memcpy(&received, CMSG_DATA(c), sizeof received);
+            return std::max<Micros>(0,
+                                    net_.wallNow() - (Micros{received.tv_sec} * kSecond + received.tv_usec));
         }
         return 0;
     }
 
     EpollNet& net_;
-    DatagramHandler& user_;
+    DatagramHandler& handler_;
     int fd_ = -1;
-    Endpoint at_;
-    std::uint64_t ticket_ = 0;
-    Micros waited_ = 0;
+    Endpoint endpoint_;
+    std::uint64_t token_ = 0;
+    Micros queueingDelay_ = 0;
 };
 
 class EpollNet::SignalHandler final : public EpollNet::Handler {
   public:
-    SignalHandler(EpollNet& net, const std::vector<int>& signals, std::function<void(int)> heard)
-        : net_(net), heard_(std::move(heard)) {
+    SignalHandler(EpollNet& net, const std::vector<int>& signals, std::function<void(int)> callback)
+        : net_(net), callback_(std::move(callback)) {
         sigset_t set;
         sigemptyset(&set);
-        for (const int one : signals) sigaddset(&set, one);
+        for (const int signal : signals) sigaddset(&set, signal);
         sigprocmask(SIG_BLOCK, &set, nullptr);
         fd_ = ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
-        ticket_ = net_.enter(fd_, *this, EPOLLIN | EPOLLET);
+        token_ = net_.registerHandler(fd_, *this, EPOLLIN | EPOLLET);
     }
     ~SignalHandler() override {
-        net_.leave(ticket_, fd_);
+        net_.unregisterHandler(token_, fd_);
         ::close(fd_);
     }
-    void happened(std::uint32_t) override {
-        signalfd_siginfo told;
-        while (::read(fd_, &told, sizeof told) == sizeof told) heard_(static_cast<int>(told.ssi_signo));
+    void onEvents(std::uint32_t) override {
+        signalfd_siginfo info;
+        while (::read(fd_, &info, sizeof info) == sizeof info) callback_(static_cast<int>(info.ssi_signo));
     }
 
   private:
     EpollNet& net_;
-    std::function<void(int)> heard_;
+    std::function<void(int)> callback_;
     int fd_;
-    std::uint64_t ticket_;
+    std::uint64_t token_;
 };
 
-EpollNet::EpollNet(std::uint64_t seed) : now_(clock()), wheel_(now_), chance_(seed) {
+EpollNet::EpollNet(std::uint64_t seed) : now_(clock()), wheel_(now_), random_(seed) {
     epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
     if (epoll_ < 0)
-        throw std::runtime_error(std::string("cannot make an epoll set: ") + std::strerror(errno));
+        throw std::runtime_error(std::string("cannot create an epoll instance: ") + std::strerror(errno));
 }
 
 EpollNet::~EpollNet() {
@@ -378,80 +386,80 @@
     return Micros{t.tv_sec} * kSecond + t.tv_nsec / 1000;
 }
 
-std::uint64_t EpollNet::enter(int fd, Handler& handler, std::uint32_t events) {
+std::uint64_t EpollNet::registerHandler(int fd, Handler& handler, std::uint32_t events) {
     std::uint32_t index;
-    if (free_.empty()) {
+    if (freeSlots_.empty()) {
         index = static_cast<std::uint32_t>(slots_.size());
         slots_.emplace_back();
     } else {
-        index = free_.back();
-        free_.pop_back();
+        index = freeSlots_.back();
+        freeSlots_.pop_back();
     }
     Slot& slot = slots_[index];
     slot.handler = &handler;
-    const std::uint64_t ticket = std::uint64_t{slot.generation} << 32 | index;
+    const std::uint64_t token = std::uint64_t{slot.generation} << 32 | index;
     epoll_event event{};
     event.events = events;
-    event.data.u64 = ticket;
+    event.data.u64 = token;
     ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
-    return ticket;
+    return token;
 }
 
-void EpollNet::leave(std::uint64_t ticket, int fd) {
+void EpollNet::unregisterHandler(std::uint64_t token, int fd) {
     ::epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
-    Slot& slot = slots_[ticket & 0xffffffff];
+    Slot& slot = slots_[token & 0xffffffff];
     slot.handler = nullptr;
-    ++slot.generation;  // events of this turn that name the old one are passed over
-    free_.push_back(static_cast<std::uint32_t>(ticket & 0xffffffff));
+    ++slot.generation;  // pending events of the old handler are ignored
+    freeSlots_.push_back(static_cast<std::uint32_t>(token & 0xffffffff));
 }
 
-std::unique_ptr<Stream> EpollNet::connect(const Endpoint& to, StreamHandler& user) {
+std::unique_ptr<Stream> EpollNet::connect(const Endpoint& to, StreamHandler& handler) {
     const int fd =
         ::socket(to.ip.is_v6() ? AF_INET6 : AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd < 0) return std::make_unique<StillBorn>(*this, to, ConnectError::OutOfDescriptors, user);
-    dontDelay(fd);
+    if (fd < 0) return std::make_unique<FailedStream>(*this, to, ConnectError::OutOfDescriptors, handler);
+    disableNagle(fd);
     sockaddr_storage raw;
-    const socklen_t size = toRaw(to, raw);
+    const socklen_t size = toSockaddr(to, raw);
     if (::connect(fd, reinterpret_cast<sockaddr*>(&raw), size) < 0 && errno != EINPROGRESS) {
         const ConnectError why = errno == ECONNREFUSED ? ConnectError::Refused : ConnectError::Unreachable;
         ::close(fd);
-        return std::make_unique<StillBorn>(*this, to, why, user);
+        return std::make_unique<FailedStream>(*this, to, why, handler);
     }
-    return std::make_unique<EpollStream>(*this, fd, to, true, &user);
+    return std::make_unique<EpollStream>(*this, fd, to, true, &handler);
 }
 
-std::unique_ptr<Listener> EpollNet::listen(const Endpoint& at, ListenerHandler& user) {
-    return std::make_unique<EpollListener>(*this, at, user);
+std::unique_ptr<Listener> EpollNet::listen(const Endpoint& endpoint, ListenerHandler& handler) {
+    return std::make_unique<EpollListener>(*this, endpoint, handler);
 }
 
-std::unique_ptr<DatagramSocket> EpollNet::bind(const Endpoint& at, DatagramHandler& user) {
-    return std::make_unique<EpollDatagramSocket>(*this, at, user);
+std::unique_ptr<DatagramSocket> EpollNet::bind(const Endpoint& endpoint, DatagramHandler& handler) {
+    return std::make_unique<EpollDatagramSocket>(*this, endpoint, handler);
 }
 
-void EpollNet::onSignals(const std::vector<int>& signals, std::function<void(int)> heard) {
-    signals_ = std::make_unique<SignalHandler>(*this, signals, std::move(heard));
+void EpollNet::onSignals(const std::vector<int>& signals, std::function<void(int)> callback) {
+    signals_ = std::make_unique<SignalHandler>(*this, signals, std::move(callback));
 }
 
-void EpollNet::runOnce(Micros atMost) {
-    Micros wait = atMost;
+void EpollNet::runOnce(Micros maxWait) {
+    Micros wait = maxWait;
     now_ = clock();
-    if (!again_.empty()) wait = 0;
+    if (!unfinished_.empty()) wait = 0;
     if (const auto next = wheel_.nextCheck()) wait = std::min(wait, std::max<Micros>(0, *next - now_));
     std::array<epoll_event, 256> events;
     const int count = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()),
                                    static_cast<int>((wait + 999) / 1000));
     now_ = clock();
-    std::vector<std::uint64_t> again;
-    again.swap(again_);
-    for (const std::uint64_t ticket : again) {
-        const Slot slot = slots_[ticket & 0xffffffff];
-        if (slot.handler && slot.generation == ticket >> 32) slot.handler->happened(EPOLLIN);
+    std::vector<std::uint64_t> unfinished;
+    unfinished.swap(unfinished_);
+    for (const std::uint64_t token : unfinished) {
+        const Slot slot = slots_[token & 0xffffffff];
+        if (slot.handler && slot.generation == token >> 32) slot.handler->onEvents(EPOLLIN);
     }
     for (int i = 0; i < count; ++i) {
-        const std::uint64_t ticket = events[static_cast<std::size_t>(i)].data.u64;
-        const Slot slot = slots_[ticket & 0xffffffff];
-        if (slot.handler && slot.generation == ticket >> 32)
-            slot.handler->happened(events[static_cast<std::size_t>(i)].events);
+        const std::uint64_t token = events[static_cast<std::size_t>(i)].data.u64;
+        const Slot slot = slots_[token & 0xffffffff];
+        if (slot.handler && slot.generation == token >> 32)
+            slot.handler->onEvents(events[static_cast<std::size_t>(i)].events);
     }
     now_ = clock();
     while (TimerNode* node = wheel_.popDue(now_)) Timer::fire(*node);
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -1,6 +1,6 @@
-// The one seam to the outside: clock, timers, streams, chance and signals. Two kinds stand behind it: sockets
-// under epoll (net/epoll.hpp) and, for rehearsal, a virtual one. No other package includes a socket or clock
-// header. Everything is called from one thread.
+// The abstract interface to clock, timers, byte streams, datagrams and random bits. Two implementations:
+// sockets under epoll (net/epoll.hpp) and a simulated network (net/virtual.hpp). No other package includes a
+// socket or clock header. Single-threaded: all calls and callbacks are made on one thread.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +17,23 @@
 
 namespace valekeel::net {
 
+// The result of one read or write: how many bytes were moved, and whether more can be.
 struct IoResult {
     enum class Status {
-        Ready,        // it may go on at once
+        Ready,        // the call can be repeated at once
         WouldBlock,   // wait for onReadable() or onWritable()
         EndOfStream,  // the peer has finished writing
-        Broken,       // reset, or never connected; nothing more comes
+        Broken,       // reset, or never connected; no more bytes will arrive
     };
     std::size_t bytes = 0;
     Status status = Status::Ready;
 };
 
-// How a connect ended that did not succeed.
+// Why a connect failed.
 enum class ConnectError { Refused, Unreachable, OutOfDescriptors };
 
-// Called edge by edge: after onReadable() one must read until Again, or remember that more may lie there.
-// Whatever is called may delete the stream.
+// Callbacks of a Stream. Notifications are edge-triggered: after onReadable() the handler reads until
+// WouldBlock, or remembers that more may be pending. Any callback may delete the stream.
 class StreamHandler {
   public:
     virtual ~StreamHandler() = default;
@@ -42,11 +43,12 @@
     virtual void onWritable() = 0;
 };
 
-// One byte stream; deleting it closes it.
+// A non-blocking byte stream. Deleting it closes the connection. The handler must outlive the stream.
 class Stream {
   public:
     virtual ~Stream() = default;
     virtual IoResult read(std::span<char>) = 0;
+    // Writes as much as fits; the bytes that were not written stay with the caller.
     virtual IoResult write(std::string_view) = 0;
     virtual void shutdownWrite() = 0;  // half-close: the peer reads to the end
     virtual void reset() = 0;          // the peer sees a reset
@@ -54,62 +56,69 @@
     virtual void setHandler(StreamHandler&) = 0;
 };
 
+// Callback of a Listener.
 class ListenerHandler {
   public:
     virtual ~ListenerHandler() = default;
-    virtual void onAccepted(std::unique_ptr<Stream>) = 0;  // setHandler() must be called before it returns
+    // Must call setHandler() on the stream before it returns.
+    virtual void onAccepted(std::unique_ptr<Stream>) = 0;
 };
 
+// A listening socket. Deleting it stops listening.
 class Listener {
   public:
     virtual ~Listener() = default;
-    virtual Endpoint endpoint() const = 0;
-    // Hands out all that already wait in the kernel: deleting a listener resets those.
+    virtual Endpoint endpoint() const = 0;  // with the port that was chosen
+    // Accepts every connection that is queued in the kernel: deleting the listener would reset those.
     virtual void acceptPending() {}
 };
 
+// Callback of a DatagramSocket; `bytes` is valid only during the call.
 class DatagramHandler {
   public:
     virtual ~DatagramHandler() = default;
     virtual void onDatagram(const Endpoint& from, std::string_view bytes) = 0;
 };
 
-// Datagrams in and out of one place. What can't be sent now is lost, as any datagram may be.
+// A bound datagram socket. A datagram that can't be sent at once is dropped.
 class DatagramSocket {
   public:
     virtual ~DatagramSocket() = default;
-    virtual Endpoint endpoint() const = 0;
+    virtual Endpoint endpoint() const = 0;  // with the port that was chosen
     virtual void send(const Endpoint& to, std::string_view bytes) = 0;
-    // How long the one that is being handed out lay unread, as far as is known.
+    // How long the datagram now in onDatagram() was queued unread; 0 if unknown.
     virtual Micros queueingDelay() const { return 0; }
 };
 
+// Factory of streams and sockets, with the clock and the timers. Caller owns what it creates; handlers must
+// outlive it.
 class Net {
   public:
     virtual ~Net() = default;
-    virtual Micros now() const = 0;      // never goes back; of one turn of the loop
-    virtual Micros wallNow() const = 0;  // since 1970, for what other machines say
+    virtual Micros now() const = 0;      // monotonic; constant within one round of the event loop
+    virtual Micros wallNow() const = 0;  // since 1970, to compare with other machines' timestamps
     virtual TimerWheel& timerWheel() = 0;
-    // Fails later, through onConnectFailed(); never at once.
+    // Failures are reported later through onConnectFailed(), never from within this call.
     virtual std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) = 0;
-    // Throws std::runtime_error, naming the address, if it can't be had.
+    // Throws std::runtime_error, naming the address, if it is not available.
     virtual std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) = 0;
-    virtual std::unique_ptr<DatagramSocket> bind(const Endpoint&,
-                                                 DatagramHandler&) = 0;  // throws as listen() does
-    virtual std::uint64_t randomBits() = 0;  // for ids; decisions have generators of their own
+    // Throws as listen() does.
+    virtual std::unique_ptr<DatagramSocket> bind(const Endpoint&, DatagramHandler&) = 0;
+    virtual std::uint64_t randomBits() = 0;  // for ids; the decision code has random generators of its own
 };
 
-// A timer belongs to the object that set it and dies with it.
+// A one-shot timer that calls `callback` when it expires. Destroying it cancels it. Setting it again moves
+// it.
 class Timer : private TimerNode {
   public:
-    Timer(Net& net, std::function<void()> due) : net_(net), due_(std::move(due)) {}
+    Timer(Net& net, std::function<void()> callback) : net_(net), callback_(std::move(callback)) {}
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
     ~Timer() { cancel(); }
     void at(Micros when) { net_.timerWheel().add(*this, when); }
-    void after(Micros wait) { at(net_.now() + wait); }
-    // At the next turn. Asked for again before that it is not put off: else what is always asked for never
-    // comes.
+    void after(Micros delay) { at(net_.now() + delay); }
+    // Fires in the next round of the event loop. Does not move a timer that is already set: otherwise
+    // repeated calls could postpone it for ever.
     void soon() {
         if (!linked()) after(0);
     }
@@ -117,12 +126,12 @@
         if (linked()) net_.timerWheel().remove(*this);
     }
     bool isSet() const { return linked(); }
-    // By the loop alone, of a node that the wheel handed out.
-    static void fire(TimerNode& node) { static_cast<Timer&>(node).due_(); }
+    // Runs the callback. Only for the event loop, with a node returned by TimerWheel::popDue().
+    static void fire(TimerNode& node) { static_cast<Timer&>(node).callback_(); }
 
   private:
     Net& net_;
-    std::function<void()> due_;
+    std::function<void()> callback_;
 };
 
 }  // namespace valekeel::net
--- a/src/net/process.cpp
+++ b/src/net/process.cpp
@@ -22,8 +22,8 @@
     return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
 }
 
-long residentOf(const std::string& who) {
-    std::ifstream in("/proc/" + who + "/status");
+long residentKb(const std::string& processId) {
+    std::ifstream in("/proc/" + processId + "/status");
     std::string word;
     while (in >> word)
         if (word == "VmRSS:") {
@@ -38,27 +38,29 @@
 
 Process::Process(const std::vector<std::string>& arguments) {
     std::vector<char*> raw;
-    for (const std::string& a : arguments) raw.push_back(const_cast<char*>(a.c_str()));
+    for (const std::string& argument : arguments) raw.push_back(const_cast<char*>(argument.c_str()));
     raw.push_back(nullptr);
-    posix_spawnattr_t how;
-    posix_spawnattr_init(&how);
-    sigset_t none;
-    sigemptyset(&none);
-    posix_spawnattr_setsigmask(&how, &none);  // a child hears its signals, whatever its parent blocks
-    posix_spawnattr_setflags(&how, POSIX_SPAWN_SETSIGMASK);
+    posix_spawnattr_t attributes;
+    posix_spawnattr_init(&attributes);
+    sigset_t noSignals;
+    sigemptyset(&noSignals);
+    // The child does not inherit the parent's blocked signals.
+    posix_spawnattr_setsigmask(&attributes, &noSignals);
+    posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
     pid_t id = -1;
-    const int wrong = ::posix_spawn(&id, raw[0], nullptr, &how, raw.data(), environ);
-    posix_spawnattr_destroy(&how);
-    if (wrong) throw std::runtime_error("cannot start " + arguments.front() + ": " + std::strerror(wrong));
+    const int error = ::posix_spawn(&id, raw[0], nullptr, &attributes, raw.data(), environ);
+    posix_spawnattr_destroy(&attributes);
+    if (error) throw std::runtime_error("cannot start " + arguments.front() + ": " + std::strerror(error));
     id_ = id;
 }
 
-Process::Process(Process&& o) noexcept : id_(std::exchange(o.id_, -1)), used_(o.used_) {}
-Process& Process::operator=(Process&& o) noexcept {
-    if (this == &o) return *this;
+Process::Process(Process&& other) noexcept
+    : id_(std::exchange(other.id_, -1)), cpuSeconds_(other.cpuSeconds_) {}
+Process& Process::operator=(Process&& other) noexcept {
+    if (this == &other) return *this;
     kill();
-    id_ = std::exchange(o.id_, -1);
-    used_ = o.used_;
+    id_ = std::exchange(other.id_, -1);
+    cpuSeconds_ = other.cpuSeconds_;
     return *this;
 }
 Process::~Process() {
@@ -67,11 +69,11 @@
 
 void Process::reap(bool wait) {
     if (id_ < 0) return;
-    rusage use{};
+    rusage usage{};
     int status = 0;
-    const pid_t got = ::wait4(id_, &status, wait ? 0 : WNOHANG, &use);
-    if (got == id_ || (got < 0 && errno == ECHILD)) {
-        used_ = secondsOf(use.ru_utime) + secondsOf(use.ru_stime);
+    const pid_t reaped = ::wait4(id_, &status, wait ? 0 : WNOHANG, &usage);
+    if (reaped == id_ || (reaped < 0 && errno == ECHILD)) {
+        cpuSeconds_ = secondsOf(usage.ru_utime) + secondsOf(usage.ru_stime);
         id_ = -1;
     }
 }
@@ -96,39 +98,39 @@
 }
 
 double Process::cpuSeconds() const {
-    if (id_ < 0) return used_;
+    if (id_ < 0) return cpuSeconds_;
     std::ifstream in("/proc/" + std::to_string(id_) + "/stat");
     std::string line;
     std::getline(in, line);
     const auto close = line.rfind(')');
     if (close == std::string::npos) return 0;
-    long user = 0, system = 0;
-    std::sscanf(line.c_str() + close + 2, "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %ld %ld", &user,
-                &system);
-    return static_cast<double>(user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+    long userTicks = 0, systemTicks = 0;
+    std::sscanf(line.c_str() + close + 2, "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %ld %ld", &userTicks,
+                &systemTicks);
+    return static_cast<double>(userTicks + systemTicks) / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 long Process::memoryKb() const {
-    return id_ < 0 ? 0 : residentOf(std::to_string(id_));
+    return id_ < 0 ? 0 : residentKb(std::to_string(id_));
 }
 
 void killOnParentExit() {
     const pid_t parent = ::getppid();
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (::getppid() != parent || parent == 1) ::kill(::getpid(), SIGKILL);  // it ended in between
+    if (::getppid() != parent || parent == 1) ::kill(::getpid(), SIGKILL);  // the parent ended before prctl()
 }
 
 std::string ownProgram() {
     char path[4096];
-    const ssize_t got = ::readlink("/proc/self/exe", path, sizeof path);
-    return got > 0 ? std::string(path, static_cast<std::size_t>(got)) : "valekeel";
+    const ssize_t length = ::readlink("/proc/self/exe", path, sizeof path);
+    return length > 0 ? std::string(path, static_cast<std::size_t>(length)) : "valekeel";
 }
 double ownCpuSeconds() {
-    rusage use{};
-    ::getrusage(RUSAGE_SELF, &use);
-    return secondsOf(use.ru_utime) + secondsOf(use.ru_stime);
+    rusage usage{};
+    ::getrusage(RUSAGE_SELF, &usage);
+    return secondsOf(usage.ru_utime) + secondsOf(usage.ru_stime);
 }
 long ownMemoryKb() {
-    return residentOf("self");
+    return residentKb("self");
 }
 
 }  // namespace valekeel::net
--- a/src/net/timer_wheel.cpp
+++ b/src/net/timer_wheel.cpp
@@ -12,7 +12,7 @@
 }
 
 TimerWheel::~TimerWheel() {
-    // Timers may outlive the wheel by a moment at the end of a program: they must not reach back into it.
+    // Timers may outlive the wheel at program exit. Unlinking them keeps them from accessing it.
     const auto clear = [](TimerNode& head) {
         while (head.next != &head) unlink(*head.next);
     };
@@ -43,51 +43,51 @@
 
 void TimerWheel::remove(TimerNode& node) {
     if (!node.linked()) return;
-    unlink(node);  // a slot that is empty now keeps its bit; first() and due() pass over it
+    unlink(node);  // a slot that is now empty keeps its bit; popDue() clears it when the slot is reached
     --size_;
 }
 
 void TimerWheel::place(TimerNode& node) {
-    const std::uint64_t tick = std::max(tickUp(node.at), tick_);
+    const std::uint64_t tick = std::max(ceilToTick(node.at), tick_);
     if (tick == tick_) {
         append(ready_, node);
         return;
     }
-    const int differs = 63 - std::countl_zero(tick ^ tick_);
-    const int level = std::min(differs / kSlotBits, kLevels - 1);
-    const std::uint64_t top = std::uint64_t{1} << (kSlotBits * kLevels);
+    const int highestBit = 63 - std::countl_zero(tick ^ tick_);
+    const int level = std::min(highestBit / kSlotBits, kLevels - 1);
+    const std::uint64_t range = std::uint64_t{1} << (kSlotBits * kLevels);
     std::uint64_t index = (tick >> (kSlotBits * level)) % kSlots;
-    if (differs >= kSlotBits * kLevels)  // beyond the last level: as far away in it as can be
-        index = tick - tick_ < top - (top >> kSlotBits)
+    if (highestBit >= kSlotBits * kLevels)  // beyond the last level: at most the slot farthest ahead in it
+        index = tick - tick_ < range - (range >> kSlotBits)
                     ? index
                     : ((tick_ >> (kSlotBits * level)) + kSlots - 1) % kSlots;
     append(levels_[static_cast<std::size_t>(level)].heads[index], node);
-    levels_[static_cast<std::size_t>(level)].taken |= std::uint64_t{1} << index;
+    levels_[static_cast<std::size_t>(level)].occupied |= std::uint64_t{1} << index;
 }
 
-std::optional<TimerWheel::Slot> TimerWheel::first() const {
+std::optional<TimerWheel::Slot> TimerWheel::firstOccupiedSlot() const {
     for (int level = 0; level < kLevels; ++level) {
-        const std::uint64_t taken = levels_[static_cast<std::size_t>(level)].taken;
-        if (!taken) continue;
+        const std::uint64_t occupied = levels_[static_cast<std::size_t>(level)].occupied;
+        if (!occupied) continue;
         const int shift = kSlotBits * level;
-        const std::uint64_t here = (tick_ >> shift) % kSlots;
-        const int ahead =
-            std::countr_zero(std::rotr(taken, static_cast<int>((here + 1) % kSlots)));  // from the next on
+        const std::uint64_t current = (tick_ >> shift) % kSlots;
+        const int ahead = std::countr_zero(
+            std::rotr(occupied, static_cast<int>((current + 1) % kSlots)));  // counted from the next slot
         const std::uint64_t steps = static_cast<std::uint64_t>(ahead) + 1;
-        return Slot{level, (here + steps) % kSlots, ((tick_ >> shift) + steps) << shift};
+        return Slot{level, (current + steps) % kSlots, ((tick_ >> shift) + steps) << shift};
     }
     return std::nullopt;
 }
 
 std::optional<Micros> TimerWheel::nextCheck() const {
     if (ready_.next != &ready_) return static_cast<Micros>(tick_ << kTickShift);
-    const auto slot = first();
+    const auto slot = firstOccupiedSlot();
     if (!slot) return std::nullopt;
     return static_cast<Micros>(slot->tick << kTickShift);
 }
 
 TimerNode* TimerWheel::popDue(Micros now) {
-    const std::uint64_t until = static_cast<std::uint64_t>(now) >> kTickShift;
+    const std::uint64_t targetTick = static_cast<std::uint64_t>(now) >> kTickShift;
     for (;;) {
         if (ready_.next != &ready_) {
             TimerNode* node = ready_.next;
@@ -95,29 +95,30 @@
             --size_;
             return node;
         }
-        const auto slot = first();
-        if (!slot || slot->tick > until) break;
+        const auto slot = firstOccupiedSlot();
+        if (!slot || slot->tick > targetTick) break;
         tick_ = slot->tick;
         Level& level = levels_[static_cast<std::size_t>(slot->level)];
-        level.taken &= ~(std::uint64_t{1} << slot->index);
+        level.occupied &= ~(std::uint64_t{1} << slot->index);
         TimerNode& head = level.heads[slot->index];
-        TimerNode moved;  // emptied first: what lies beyond the last level may come back to the same slot
-        moved.prev = moved.next = &moved;
+        // Detached first: a timer beyond the last level may be placed in the same slot again.
+        TimerNode pending;
+        pending.prev = pending.next = &pending;
         while (head.next != &head) {
             TimerNode& node = *head.next;
             unlink(node);
-            append(moved, node);
+            append(pending, node);
         }
-        while (moved.next != &moved) {
-            TimerNode& node = *moved.next;
+        while (pending.next != &pending) {
+            TimerNode& node = *pending.next;
             unlink(node);
             place(node);
         }
     }
-    // Nothing lies between: the wheel may stand at the present, so that short timers stay on low levels.
-    if (until > tick_) {
-        const auto slot = first();
-        if (!slot) tick_ = until;
+    // Without timers the wheel can advance to the present, so that short timers stay on the low levels.
+    if (targetTick > tick_) {
+        const auto slot = firstOccupiedSlot();
+        if (!slot) tick_ = targetTick;
     }
     return nullptr;
 }
--- a/src/net/timer_wheel.hpp
+++ b/src/net/timer_wheel.hpp
@@ -1,6 +1,6 @@
-// A hierarchical timer wheel: setting, moving and cancelling a timer cost the same however many there are.
-// Five levels of 64 slots, a tick of 1.024 ms; a timer fires at the first tick that is not before its time,
-// never early. Times beyond the last level (12 days) wait there and are placed anew when their slot is met.
+// A hierarchical timer wheel: setting, moving and cancelling a timer take O(1). Five levels of 64 slots, a
+// tick of 1.024 ms. A timer fires at the first tick at or after its time, never early. Times beyond the last
+// level (12 days) are kept in it and placed again when their slot is reached.
 #pragma once
 
 #include <array>
@@ -11,13 +11,16 @@
 
 namespace valekeel::net {
 
-struct TimerNode {  // lies in the object that waits; unlinks itself in O(1)
+// An intrusive list node, embedded in the timer. The wheel does not own it: it must be removed before it is
+// destroyed.
+struct TimerNode {
     TimerNode* prev = nullptr;
     TimerNode* next = nullptr;
-    Micros at = 0;
+    Micros at = 0;  // when the timer is due
     bool linked() const { return prev != nullptr; }
 };
 
+// The set of pending timers of one event loop.
 class TimerWheel {
   public:
     explicit TimerWheel(Micros now);
@@ -25,13 +28,15 @@
     TimerWheel& operator=(const TimerWheel&) = delete;
     ~TimerWheel();
 
-    void add(TimerNode&, Micros at);  // moves it if it waits already
-    void remove(TimerNode&);          // nothing if it doesn't wait
+    void add(TimerNode&, Micros at);  // moves a timer that is already pending
+    void remove(TimerNode&);          // does nothing if the timer is not pending
 
-    // When it is worth looking again: not later than the earliest timer, if there is one.
+    // When to call popDue() next: not after the tick of the earliest timer, possibly before it. Empty if no
+    // timer is pending.
     std::optional<Micros> nextCheck() const;
 
-    // Takes out one timer that is due, or nothing. Timers of one tick come in the order they were added.
+    // Removes and returns one timer that is due; null if there is none. Timers of one tick are returned in
+    // the order they were added.
     TimerNode* popDue(Micros now);
 
     std::size_t size() const { return size_; }
@@ -40,11 +45,11 @@
     static constexpr int kTickShift = 10, kSlotBits = 6, kLevels = 5;
     static constexpr std::uint64_t kSlots = 1u << kSlotBits;
     struct Level {
-        std::uint64_t taken = 0;
+        std::uint64_t occupied = 0;  // one bit per slot; may stay set after the slot's last timer was removed
         std::array<TimerNode, kSlots> heads;
     };
 
-    static std::uint64_t tickUp(Micros at) {
+    static std::uint64_t ceilToTick(Micros at) {
         return static_cast<std::uint64_t>(at + (1 << kTickShift) - 1) >> kTickShift;
     }
     void place(TimerNode&);
@@ -54,11 +59,11 @@
         int level;
         std::uint64_t index, tick;
     };
-    std::optional<Slot> first() const;
+    std::optional<Slot> firstOccupiedSlot() const;
 
     std::uint64_t tick_ = 0;
     std::array<Level, kLevels> levels_;
-    TimerNode ready_;  // of the tick that was reached, not yet handed out
+    TimerNode ready_;  // list head of the timers of the current tick that popDue() has not returned yet
     std::size_t size_ = 0;
 };
 
--- a/src/net/virtual.cpp
+++ b/src/net/virtual.cpp
@@ -7,56 +7,57 @@
 
 namespace valekeel::net {
 
-// One end of a stream. It outlives the Stream that the user holds as long as something is on its way.
+// One end of a stream. It outlives its Stream object while events for it are in flight.
 struct VirtualNetwork::End {
     VirtualNode* node = nullptr;
-    Endpoint mine;
-    StreamHandler* user = nullptr;
+    Endpoint localEndpoint;
+    StreamHandler* handler = nullptr;
     std::weak_ptr<End> peer;
-    std::shared_ptr<End> keeps;  // its peer, while the user holds this end
+    std::shared_ptr<End> keepAlive;  // the peer, while this end is open
     std::string in;
-    std::size_t taken = 0;        // of `in`, from its front
-    std::size_t outstanding = 0;  // bytes of this end's that the peer has not read
-    bool open = true, connected = false, wantsToWrite = false;
-    bool ended = false, broken = false, finished = false;
-    Endpoint peerAt;
-    std::size_t unread() const { return in.size() - taken; }
+    std::size_t consumed = 0;     // bytes of `in` that were read
+    std::size_t outstanding = 0;  // bytes sent that the peer has not read
+    bool isOpen = true, isConnected = false, wantsToWrite = false;
+    bool peerFinished = false, isBroken = false, writeClosed = false;
+    Endpoint peerEndpoint;
+    std::size_t unread() const { return in.size() - consumed; }
 };
 
-class VirtualNetwork::StreamHere final : public Stream {
+class VirtualNetwork::VirtualStream final : public Stream {
   public:
-    StreamHere(VirtualNetwork& world, std::shared_ptr<End> end) : world_(world), end_(std::move(end)) {
+    VirtualStream(VirtualNetwork& network, std::shared_ptr<End> end)
+        : network_(network), end_(std::move(end)) {
         VirtualNode& node = *end_->node;
-        node.mostStreams_ = std::max(node.mostStreams_, ++node.streams_);
+        node.peakStreamCount_ = std::max(node.peakStreamCount_, ++node.streamCount_);
     }
-    ~StreamHere() override { close(end_->node->crashing || end_->unread() > 0); }
+    ~VirtualStream() override { close(end_->node->crashing || end_->unread() > 0); }
 
     IoResult read(std::span<char> into) override {
         End& e = *end_;
-        if (e.broken) return {0, IoResult::Status::Broken};
+        if (e.isBroken) return {0, IoResult::Status::Broken};
         const std::size_t n = std::min(into.size(), e.unread());
-        if (n == 0) return {0, e.ended ? IoResult::Status::EndOfStream : IoResult::Status::WouldBlock};
-        std::copy_n(e.in.data() + e.taken, n, into.data());
-        e.taken += n;
-        if (e.taken == e.in.size()) {
+        if (n == 0) return {0, e.peerFinished ? IoResult::Status::EndOfStream : IoResult::Status::WouldBlock};
+        std::copy_n(e.in.data() + e.consumed, n, into.data());
+        e.consumed += n;
+        if (e.consumed == e.in.size()) {
             e.in.clear();
-            e.taken = 0;
+            e.consumed = 0;
         }
         // The peer learns that there is room again.
         if (const auto peer = e.peer.lock()) {
             const bool full = peer->outstanding >= kBuffer;
             peer->outstanding -= std::min(n, peer->outstanding);
             if (full && peer->wantsToWrite)
-                world_.later(world_.between(*e.node, *peer->node), *peer->node, [peer] {
-                    if (peer->open && std::exchange(peer->wantsToWrite, false)) peer->user->onWritable();
+                network_.schedule(network_.latencyBetween(*e.node, *peer->node), *peer->node, [peer] {
+                    if (peer->isOpen && std::exchange(peer->wantsToWrite, false)) peer->handler->onWritable();
                 });
         }
         return {n, IoResult::Status::Ready};
     }
     IoResult write(std::string_view bytes) override {
         End& e = *end_;
-        if (e.broken || e.finished) return {0, IoResult::Status::Broken};
-        if (!e.connected) {
+        if (e.isBroken || e.writeClosed) return {0, IoResult::Status::Broken};
+        if (!e.isConnected) {
             e.wantsToWrite = true;
             return {0, IoResult::Status::WouldBlock};
         }
@@ -68,17 +69,18 @@
         }
         e.outstanding += n;
         if (peer)
-            world_.later(world_.between(*e.node, *peer->node), *peer->node,
-                         [&world = world_, peer, me = end_, text = std::string(bytes.substr(0, n))] {
-                             if (!peer->open) {  // nobody is there to take it: a reset comes back
-                                 world.later(world.between(*peer->node, *me->node), *me->node,
-                                             [me] { breakNow(*me); });
-                                 return;
-                             }
-                             if (peer->broken) return;
-                             peer->in += text;
-                             peer->user->onReadable();
-                         });
+            network_.schedule(
+                network_.latencyBetween(*e.node, *peer->node), *peer->node,
+                [&network = network_, peer, self = end_, text = std::string(bytes.substr(0, n))] {
+                    if (!peer->isOpen) {  // no receiver any more: a reset comes back
+                        network.schedule(network.latencyBetween(*peer->node, *self->node), *self->node,
+                                         [self] { breakConnection(*self); });
+                        return;
+                    }
+                    if (peer->isBroken) return;
+                    peer->in += text;
+                    peer->handler->onReadable();
+                });
         if (n < bytes.size()) {
             e.wantsToWrite = true;
             return {n, IoResult::Status::WouldBlock};
@@ -86,232 +88,237 @@
         return {n, IoResult::Status::Ready};
     }
     void shutdownWrite() override {
-        if (std::exchange(end_->finished, true)) return;
-        tellEnd();
+        if (std::exchange(end_->writeClosed, true)) return;
+        sendEndOfStream();
     }
     void reset() override { close(true); }
-    Endpoint peer() const override { return end_->peerAt; }
-    void setHandler(StreamHandler& user) override { end_->user = &user; }
+    Endpoint peer() const override { return end_->peerEndpoint; }
+    void setHandler(StreamHandler& handler) override { end_->handler = &handler; }
 
   private:
-    static void breakNow(End& e) {
-        if (!e.open || std::exchange(e.broken, true)) return;
-        e.user->onReadable();
+    static void breakConnection(End& e) {
+        if (!e.isOpen || std::exchange(e.isBroken, true)) return;
+        e.handler->onReadable();
     }
-    void tellEnd() {
+    void sendEndOfStream() {
         const auto peer = end_->peer.lock();
         if (!peer) return;
-        world_.later(world_.between(*end_->node, *peer->node), *peer->node, [peer] {
-            if (!peer->open || peer->broken || std::exchange(peer->ended, true)) return;
-            peer->user->onReadable();
+        network_.schedule(network_.latencyBetween(*end_->node, *peer->node), *peer->node, [peer] {
+            if (!peer->isOpen || peer->isBroken || std::exchange(peer->peerFinished, true)) return;
+            peer->handler->onReadable();
         });
     }
-    void close(bool hard) {
-        if (!std::exchange(end_->open, false)) return;
-        --end_->node->streams_;
+    void close(bool withReset) {
+        if (!std::exchange(end_->isOpen, false)) return;
+        --end_->node->streamCount_;
         const auto peer = end_->peer.lock();
-        end_->keeps.reset();
+        end_->keepAlive.reset();
         if (!peer) return;
-        if (hard)
-            world_.later(world_.between(*end_->node, *peer->node), *peer->node, [peer] { breakNow(*peer); });
-        else if (!end_->finished)
-            tellEnd();
+        if (withReset)
+            network_.schedule(network_.latencyBetween(*end_->node, *peer->node), *peer->node,
+                              [peer] { breakConnection(*peer); });
+        else if (!end_->writeClosed)
+            sendEndOfStream();
     }
-    VirtualNetwork& world_;
+    VirtualNetwork& network_;
     std::shared_ptr<End> end_;
 };
 
-class VirtualNetwork::ListenerHere final : public Listener {
+class VirtualNetwork::VirtualListener final : public Listener {
   public:
-    ListenerHere(VirtualNetwork& world, VirtualNode& node, const Endpoint& at, ListenerHandler& user)
-        : world(world), node(node), place(at), user(user) {
-        world.listeners_[at] = this;
+    VirtualListener(VirtualNetwork& network, VirtualNode& node, const Endpoint& at, ListenerHandler& handler)
+        : network(network), node(node), address(at), handler(handler) {
+        network.listeners_[at] = this;
     }
-    ~ListenerHere() override { world.listeners_.erase(place); }
-    Endpoint endpoint() const override { return place; }
-    VirtualNetwork& world;
+    ~VirtualListener() override { network.listeners_.erase(address); }
+    Endpoint endpoint() const override { return address; }
+    VirtualNetwork& network;
     VirtualNode& node;
-    Endpoint place;
-    ListenerHandler& user;
+    Endpoint address;
+    ListenerHandler& handler;
 };
 
-class VirtualNetwork::DatagramsHere final : public DatagramSocket {
+class VirtualNetwork::VirtualDatagramSocket final : public DatagramSocket {
   public:
-    DatagramsHere(VirtualNetwork& world, VirtualNode& node, const Endpoint& at, DatagramHandler& user)
-        : world(world), node(node), place(at), user(user) {
-        world.datagrams_[at] = this;
+    VirtualDatagramSocket(VirtualNetwork& network, VirtualNode& node, const Endpoint& at,
+                          DatagramHandler& handler)
+        : network(network), node(node), address(at), handler(handler) {
+        network.datagramSockets_[at] = this;
     }
-    ~DatagramsHere() override { world.datagrams_.erase(place); }
-    Endpoint endpoint() const override { return place; }
+    ~VirtualDatagramSocket() override { network.datagramSockets_.erase(address); }
+    Endpoint endpoint() const override { return address; }
     void send(const Endpoint& to, std::string_view bytes) override {
-        const auto it = world.datagrams_.find(to);
-        if (it == world.datagrams_.end()) return;
-        VirtualNode& there = it->second->node;
-        const std::vector<Micros> copies =
-            world.datagramCopyDelays ? world.datagramCopyDelays(node, there) : std::vector<Micros>{0};
-        for (const Micros late : copies)
-            world.later(world.between(node, there) + late, there,
-                        [&w = world, from = place, to, text = std::string(bytes)] {
-                            const auto who = w.datagrams_.find(to);
-                            if (who != w.datagrams_.end()) who->second->user.onDatagram(from, text);
-                        });
+        const auto it = network.datagramSockets_.find(to);
+        if (it == network.datagramSockets_.end()) return;
+        VirtualNode& receiver = it->second->node;
+        const std::vector<Micros> copyDelays =
+            network.datagramCopyDelays ? network.datagramCopyDelays(node, receiver) : std::vector<Micros>{0};
+        for (const Micros delay : copyDelays)
+            network.schedule(network.latencyBetween(node, receiver) + delay, receiver,
+                             [&network = network, from = address, to, text = std::string(bytes)] {
+                                 const auto socket = network.datagramSockets_.find(to);
+                                 if (socket != network.datagramSockets_.end())
+                                     socket->second->handler.onDatagram(from, text);
+                             });
     }
-    VirtualNetwork& world;
+    VirtualNetwork& network;
     VirtualNode& node;
-    Endpoint place;
-    DatagramHandler& user;
+    Endpoint address;
+    DatagramHandler& handler;
 };
 
-// ================= nodes =================
+// ---- nodes ----
 
-VirtualNode::VirtualNode(VirtualNetwork& world, std::string name, const IpAddress& ip, std::uint64_t seed)
-    : world_(world), name_(std::move(name)), ip_(ip), wheel_(world.now()), chance_(seed) {}
+VirtualNode::VirtualNode(VirtualNetwork& network, std::string name, const IpAddress& ip, std::uint64_t seed)
+    : network_(network), name_(std::move(name)), ip_(ip), wheel_(network.now()), random_(seed) {}
 VirtualNode::~VirtualNode() = default;
 
 Micros VirtualNode::now() const {
-    return world_.now();
+    return network_.now();
 }
 Micros VirtualNode::wallNow() const {
-    return 1'700'000'000 * kSecond + world_.now() + wallSkew;
+    return 1'700'000'000 * kSecond + network_.now() + wallSkew;
 }
 
 void VirtualNode::resume() {
-    if (!std::exchange(stands_, false)) return;
-    // In their order, before anything that comes later.
+    if (!std::exchange(paused_, false)) return;
+    // Delivered in their order, before any later event.
     std::deque<std::function<void()>> all;
-    all.swap(waits_);
-    for (auto& what : all) world_.later(0, *this, std::move(what));
+    all.swap(heldBack_);
+    for (auto& action : all) network_.schedule(0, *this, std::move(action));
 }
 
-std::unique_ptr<Stream> VirtualNode::connect(const Endpoint& to, StreamHandler& user) {
-    VirtualNetwork& w = world_;
-    const auto mine = std::make_shared<VirtualNetwork::End>();
-    mine->node = this;
-    mine->user = &user;
-    mine->peerAt = to;
-    mine->mine = w.placeFor({ip_, 0});
-    const auto refused = [&w, mine](VirtualNode& by) {
-        w.later(w.between(by, *mine->node), *mine->node, [mine] {
-            if (mine->open && !std::exchange(mine->broken, true))
-                mine->user->onConnectFailed(ConnectError::Refused);
+std::unique_ptr<Stream> VirtualNode::connect(const Endpoint& to, StreamHandler& handler) {
+    VirtualNetwork& network = network_;
+    const auto local = std::make_shared<VirtualNetwork::End>();
+    local->node = this;
+    local->handler = &handler;
+    local->peerEndpoint = to;
+    local->localEndpoint = network.assignPort({ip_, 0});
+    const auto refuse = [&network, local](VirtualNode& from) {
+        network.schedule(network.latencyBetween(from, *local->node), *local->node, [local] {
+            if (local->isOpen && !std::exchange(local->isBroken, true))
+                local->handler->onConnectFailed(ConnectError::Refused);
         });
     };
-    const auto there = w.listeners_.find(to);
-    if (there == w.listeners_.end()) {
-        refused(*this);
+    const auto target = network.listeners_.find(to);
+    if (target == network.listeners_.end()) {
+        refuse(*this);
     } else {
-        VirtualNode& node = there->second->node;
-        w.later(w.between(*this, node), node, [&w, &node, mine, to, refused] {
-            const auto listener = w.listeners_.find(to);
-            if (!mine->open) return;
-            if (listener == w.listeners_.end()) return refused(node);
-            const auto other = std::make_shared<VirtualNetwork::End>();
-            other->node = &node;
-            other->mine = to;
-            other->peerAt = mine->mine;
-            other->connected = true;
-            other->peer = mine;
-            other->keeps = mine;
-            mine->peer = other;
-            mine->keeps = other;
-            w.later(w.between(node, *mine->node), *mine->node, [mine] {
-                if (!mine->open || mine->broken) return;
-                mine->connected = true;
-                mine->wantsToWrite = false;
-                mine->user->onConnected();
+        VirtualNode& node = target->second->node;
+        network.schedule(network.latencyBetween(*this, node), node, [&network, &node, local, to, refuse] {
+            const auto listener = network.listeners_.find(to);
+            if (!local->isOpen) return;
+            if (listener == network.listeners_.end()) return refuse(node);
+            const auto remote = std::make_shared<VirtualNetwork::End>();
+            remote->node = &node;
+            remote->localEndpoint = to;
+            remote->peerEndpoint = local->localEndpoint;
+            remote->isConnected = true;
+            remote->peer = local;
+            remote->keepAlive = local;
+            local->peer = remote;
+            local->keepAlive = remote;
+            network.schedule(network.latencyBetween(node, *local->node), *local->node, [local] {
+                if (!local->isOpen || local->isBroken) return;
+                local->isConnected = true;
+                local->wantsToWrite = false;
+                local->handler->onConnected();
             });
-            listener->second->user.onAccepted(std::make_unique<VirtualNetwork::StreamHere>(w, other));
+            listener->second->handler.onAccepted(
+                std::make_unique<VirtualNetwork::VirtualStream>(network, remote));
         });
     }
-    return std::make_unique<VirtualNetwork::StreamHere>(w, mine);
+    return std::make_unique<VirtualNetwork::VirtualStream>(network, local);
 }
 
-std::unique_ptr<Listener> VirtualNode::listen(const Endpoint& at, ListenerHandler& user) {
-    const Endpoint place = world_.placeFor(at);
-    if (world_.listeners_.count(place))
-        throw std::runtime_error(toString(place) + ": address already in use");
-    return std::make_unique<VirtualNetwork::ListenerHere>(world_, *this, place, user);
+std::unique_ptr<Listener> VirtualNode::listen(const Endpoint& at, ListenerHandler& handler) {
+    const Endpoint address = network_.assignPort(at);
+    if (network_.listeners_.count(address))
+        throw std::runtime_error(toString(address) + ": address already in use");
+    return std::make_unique<VirtualNetwork::VirtualListener>(network_, *this, address, handler);
 }
 
-std::unique_ptr<DatagramSocket> VirtualNode::bind(const Endpoint& at, DatagramHandler& user) {
-    const Endpoint place = world_.placeFor(at);
-    if (world_.datagrams_.count(place))
-        throw std::runtime_error(toString(place) + ": address already in use");
-    return std::make_unique<VirtualNetwork::DatagramsHere>(world_, *this, place, user);
+std::unique_ptr<DatagramSocket> VirtualNode::bind(const Endpoint& at, DatagramHandler& handler) {
+    const Endpoint address = network_.assignPort(at);
+    if (network_.datagramSockets_.count(address))
+        throw std::runtime_error(toString(address) + ": address already in use");
+    return std::make_unique<VirtualNetwork::VirtualDatagramSocket>(network_, *this, address, handler);
 }
 
-// ================= the world =================
+// ---- network ----
 
-VirtualNetwork::VirtualNetwork(std::uint64_t seed, Micros start) : now_(start), chance_(seed) {}
+VirtualNetwork::VirtualNetwork(std::uint64_t seed, Micros start) : now_(start), random_(seed) {}
 VirtualNetwork::~VirtualNetwork() = default;
 
 VirtualNode& VirtualNetwork::node(const std::string& name, const IpAddress& ip) {
-    nodes_.push_back(std::make_unique<VirtualNode>(*this, name, ip, chance_()));
+    nodes_.push_back(std::make_unique<VirtualNode>(*this, name, ip, random_()));
     return *nodes_.back();
 }
 
-Endpoint VirtualNetwork::placeFor(const Endpoint& wanted) const {
+Endpoint VirtualNetwork::assignPort(const Endpoint& wanted) const {
     Endpoint out = wanted;
-    // Each port once in a world: it has fewer than 40,000 listeners, and streams are known by their ends.
+    // Ports 20,000 to 60,000, unique among all listeners and datagram sockets of the network, of which there
+    // are fewer than 40,000. Ports of streams may repeat: a stream is identified by its End objects.
     if (out.port == 0) {
         do {
             nextPort_ =
                 nextPort_ >= 60'000 ? std::uint16_t{20'000} : static_cast<std::uint16_t>(nextPort_ + 1);
             out.port = nextPort_;
-        } while (listeners_.count(out) || datagrams_.count(out));
+        } while (listeners_.count(out) || datagramSockets_.count(out));
     }
     return out;
 }
 
-void VirtualNetwork::later(Micros wait, VirtualNode& node, std::function<void()> what) {
-    events_.push({now_ + wait, ++order_, &node, std::move(what)});
+void VirtualNetwork::schedule(Micros delay, VirtualNode& node, std::function<void()> action) {
+    events_.push({now_ + delay, ++lastOrder_, &node, std::move(action)});
 }
 
-template <class What>
-void VirtualNetwork::on(VirtualNode& node, What&& what) {
-    const auto from = std::chrono::steady_clock::now();
-    what();
-    node.busy_ += std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
+template <class Action>
+void VirtualNetwork::runOn(VirtualNode& node, Action&& action) {
+    const auto start = std::chrono::steady_clock::now();
+    action();
+    node.busySeconds_ += std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
 bool VirtualNetwork::step(Micros until) {
     for (;;) {
         Micros timerAt = until + 1;
-        VirtualNode* whose = nullptr;
+        VirtualNode* timerNode = nullptr;
         for (const auto& node : nodes_) {
-            if (node->stands_) continue;
+            if (node->paused_) continue;
             const auto next = node->wheel_.nextCheck();
             if (!next || *next >= timerAt) continue;
             timerAt = *next;
-            whose = node.get();
+            timerNode = node.get();
         }
-        const bool event = !events_.empty() && events_.top().at <= until;
-        if (event && (!whose || events_.top().at <= timerAt)) {
+        const bool hasEvent = !events_.empty() && events_.top().at <= until;
+        if (hasEvent && (!timerNode || events_.top().at <= timerAt)) {
             Event e = events_.top();
             events_.pop();
             now_ = std::max(now_, e.at);
-            if (e.node->stands_) {
-                e.node->waits_.push_back(std::move(e.what));
+            if (e.node->paused_) {
+                e.node->heldBack_.push_back(std::move(e.action));
                 continue;
             }
-            on(*e.node, e.what);
+            runOn(*e.node, e.action);
             return true;
         }
-        if (!whose) {
+        if (!timerNode) {
             now_ = std::max(now_, until);
             return false;
         }
-        // The wheel says when to look again, which may be before its first timer is due.
+        // The wheel's next check may be before its first timer is due.
         now_ = std::max(now_, timerAt);
         bool fired = false;
-        on(*whose, [&] {
-            if (TimerNode* node = whose->wheel_.popDue(now_)) {
+        runOn(*timerNode, [&] {
+            if (TimerNode* node = timerNode->wheel_.popDue(now_)) {
                 Timer::fire(*node);
                 fired = true;
             }
         });
         if (fired) return true;
-        if (whose->wheel_.nextCheck() == timerAt) now_ += 1;  // else it would be looked at for ever
+        if (timerNode->wheel_.nextCheck() == timerAt) now_ += 1;  // otherwise this loop would not end
     }
 }
 
--- a/src/net/virtual.hpp
+++ b/src/net/virtual.hpp
@@ -1,11 +1,11 @@
-// The other side of net.hpp's seam: streams, datagrams and timers on a virtual clock, without a socket. A
-// world holds nodes, each as one process of its own: with its address, its timers, its clock, and what
-// happens to it (a pause, an end). Everything comes in one order, by time and then by when it was set off, so
-// that the same seed and the same calls give the same run. One thread.
+// Net without sockets: streams, datagrams and timers on a virtual clock, for simulations and tests. The
+// network holds nodes; each stands for one process, with its address, its timers and its clock, and can be
+// paused or crashed. Events run in one order, by time and then by when they were scheduled, so the same seed
+// and the same calls give the same run. Single-threaded.
 //
-// Streams: bytes arrive after the latency between two nodes, in order; at most `kBuffer` of them are on their
-// way or unread, then write() says Again. Deleting a stream with unread bytes, or of a node that is crashing,
-// resets it; else the peer reads to the end.
+// Streams: bytes arrive in order after the latency between two nodes. At most `kBuffer` of them are in flight
+// or unread; then write() returns WouldBlock. Deleting a stream that has unread bytes, or whose node is
+// crashing, resets it; otherwise the peer reads to the end.
 #pragma once
 
 #include <deque>
@@ -23,6 +23,7 @@
 
 class VirtualNetwork;
 
+// One simulated process. Created by VirtualNetwork::node() and owned by the network.
 class VirtualNode final : public Net {
   public:
     VirtualNode(VirtualNetwork&, std::string name, const IpAddress&, std::uint64_t seed);
@@ -34,80 +35,91 @@
     std::unique_ptr<Stream> connect(const Endpoint&, StreamHandler&) override;
     std::unique_ptr<Listener> listen(const Endpoint&, ListenerHandler&) override;
     std::unique_ptr<DatagramSocket> bind(const Endpoint&, DatagramHandler&) override;
-    std::uint64_t randomBits() override { return chance_(); }
+    std::uint64_t randomBits() override { return random_(); }
 
     const std::string& name() const { return name_; }
-    // Nothing reaches it and no timer fires until it goes on; then all that waited comes at once.
-    void pause() { stands_ = true; }
+    // Holds back events and timers until resume(), which delivers all of them at once.
+    void pause() { paused_ = true; }
     void resume();
-    bool isPaused() const { return stands_; }
-    // While set, what is deleted here resets: for the end of a process that had no time to say goodbye.
+    bool isPaused() const { return paused_; }
+    // While set, deleting a stream resets it, as when a process ends without closing its connections.
     bool crashing = false;
-    Micros wallSkew = 0;  // of its wall clock
-    // Real time spent in what happened to it: the cost of its code, where nothing else takes the CPU.
-    double busySeconds() const { return busy_; }
-    std::size_t peakStreamCount() const { return mostStreams_; }  // that it held at once
+    Micros wallSkew = 0;  // added to the node's wall clock
+    // Real time spent in the node's event and timer handlers: the cost of its code on an otherwise idle CPU.
+    double busySeconds() const { return busySeconds_; }
+    std::size_t peakStreamCount() const { return peakStreamCount_; }  // most streams open at the same time
 
   private:
     friend class VirtualNetwork;
-    VirtualNetwork& world_;
+    VirtualNetwork& network_;
     std::string name_;
     IpAddress ip_;
     TimerWheel wheel_;
-    std::mt19937_64 chance_;
-    bool stands_ = false;
-    std::deque<std::function<void()>> waits_;
-    double busy_ = 0;
-    std::size_t streams_ = 0, mostStreams_ = 0;
+    std::mt19937_64 random_;
+    bool paused_ = false;
+    std::deque<std::function<void()>> heldBack_;  // events that came up while the node was paused
+    double busySeconds_ = 0;
+    std::size_t streamCount_ = 0, peakStreamCount_ = 0;
 };
 
+// The nodes, the links between them and the virtual clock. Must outlive everything its nodes create.
 class VirtualNetwork {
   public:
-    static constexpr std::size_t kBuffer = 256 * 1024;
+    static constexpr std::size_t kBuffer = 256 * 1024;  // bytes in flight or unread, per stream and direction
     explicit VirtualNetwork(std::uint64_t seed, Micros start = 1'000 * kSecond);
     ~VirtualNetwork();
 
-    // Lives as long as the world. Each name and address once.
+    // Adds a node, which lives as long as the network. Each name and address may be used once.
     VirtualNode& node(const std::string& name, const IpAddress&);
     Micros now() const { return now_; }
-    // The next thing that happens, if it does so by then; else the clock stands at `until` and false is told.
+    // Runs the next event or timer that is due by `until`. If there is none, sets the clock to `until` and
+    // returns false.
     bool step(Micros until);
+    // Runs everything that is due by `until`.
     void runUntil(Micros until) {
         while (step(until)) {
         }
     }
-    // Of each message, one way; for both ways of a stream the same. 200 us where nothing is set.
+    // The one-way latency of each message from the first node to the second; must be the same in both
+    // directions of a stream. 200 us if not set.
     std::function<Micros(const VirtualNode&, const VirtualNode&)> latency;
-    // Of datagrams alone: how many copies arrive (0: lost), each with what it is late by. One copy, in time,
-    // where nothing is set.
+    // Fault injection for datagrams: one entry per copy that arrives (none: lost), each the delay added to
+    // the latency. One copy without delay if not set.
     std::function<std::vector<Micros>(const VirtualNode&, const VirtualNode&)> datagramCopyDelays;
 
   private:
     friend class VirtualNode;
     struct End;
-    class StreamHere;
-    class ListenerHere;
-    class DatagramsHere;
+    class VirtualStream;
+    class VirtualListener;
+    class VirtualDatagramSocket;
     struct Event {
         Micros at;
         std::uint64_t order;
         VirtualNode* node;
-        std::function<void()> what;
-        bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
+        std::function<void()> action;
+        // Inverted, so that the priority queue returns the earliest event first.
+        bool operator<(const Event& other) const {
+            return at != other.at ? at > other.at : order > other.order;
+        }
     };
-    void later(Micros wait, VirtualNode&, std::function<void()>);
-    Micros between(const VirtualNode& a, const VirtualNode& b) const { return latency ? latency(a, b) : 200; }
-    Endpoint placeFor(const Endpoint&) const;
-    template <class What>
-    void on(VirtualNode&, What&&);
+    void schedule(Micros delay, VirtualNode&, std::function<void()>);
+    Micros latencyBetween(const VirtualNode& a, const VirtualNode& b) const {
+        return latency ? latency(a, b) : 200;
+    }
+    // Returns `wanted` with a free port in place of port 0.
+    Endpoint assignPort(const Endpoint& wanted) const;
+    // Runs `action` and adds the time it takes to the node's busySeconds().
+    template <class Action>
+    void runOn(VirtualNode&, Action&& action);
 
     Micros now_;
-    std::mt19937_64 chance_;
-    std::uint64_t order_ = 0;
+    std::mt19937_64 random_;
+    std::uint64_t lastOrder_ = 0;
     std::vector<std::unique_ptr<VirtualNode>> nodes_;
     std::priority_queue<Event> events_;
-    std::map<Endpoint, ListenerHere*> listeners_;
-    std::map<Endpoint, DatagramsHere*> datagrams_;
+    std::map<Endpoint, VirtualListener*> listeners_;
+    std::map<Endpoint, VirtualDatagramSocket*> datagramSockets_;
     mutable std::uint16_t nextPort_ = 20'000;
 };
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -10,58 +10,58 @@
 namespace valekeel {
 namespace {
 
-TEST(Address, ReadsBothKindsAndNothingElse) {
+TEST(Address, ParsesIpv4AndIpv6AndRejectsOthers) {
     EXPECT_EQ(net::toString(*net::parseEndpoint("127.0.0.1:80")), "127.0.0.1:80");
     EXPECT_EQ(net::toString(*net::parseEndpoint("[::1]:8080")), "[::1]:8080");
-    for (const char* bad : {"", "127.0.0.1", "127.0.0.1:", ":80", "::1:80", "127.0.0.1:65536", "127.0.0.1:-1",
-                            "localhost:80", "1.2.3:4", "127.0.0.1:80x"})
-        EXPECT_FALSE(net::parseEndpoint(bad)) << bad;
+    for (const char* invalid : {"", "127.0.0.1", "127.0.0.1:", ":80", "::1:80", "127.0.0.1:65536",
+                                "127.0.0.1:-1", "localhost:80", "1.2.3:4", "127.0.0.1:80x"})
+        EXPECT_FALSE(net::parseEndpoint(invalid)) << invalid;
 }
 
-// Beside the wheel runs a plain ordered map: what is due, and when, must agree.
-TEST(TimerWheel, AgreesWithAnOrderedMap) {
+// Guards against timers that are lost, early or late: compares the wheel with an ordered map of due times.
+TEST(TimerWheel, FiresWhatAMapOfDueTimesExpects) {
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        std::mt19937 chance(seed);
+        std::mt19937 random(seed);
         const auto pick = [&](Micros lo, Micros hi) {
-            return std::uniform_int_distribution<Micros>(lo, hi)(chance);
+            return std::uniform_int_distribution<Micros>(lo, hi)(random);
         };
         Micros now = pick(0, 1LL << 40);
         std::vector<net::TimerNode> nodes(200);
         net::TimerWheel wheel(now);
-        std::map<const net::TimerNode*, Micros> plain;
+        std::map<const net::TimerNode*, Micros> expected;
         for (int step = 0; step < 3'000; ++step) {
             net::TimerNode& node = nodes[static_cast<std::size_t>(pick(0, 199))];
-            const auto what = pick(0, 9);
-            if (what < 5) {
-                const Micros reach = Micros{1} << pick(5, 42);
-                const Micros at = now + pick(0, reach);
+            const auto action = pick(0, 9);
+            if (action < 5) {
+                const Micros range = Micros{1} << pick(5, 42);
+                const Micros at = now + pick(0, range);
                 wheel.add(node, at);
-                plain[&node] = at;
-            } else if (what < 7) {
+                expected[&node] = at;
+            } else if (action < 7) {
                 wheel.remove(node);
-                plain.erase(&node);
+                expected.erase(&node);
             } else {
                 const auto next = wheel.nextCheck();
-                ASSERT_EQ(next.has_value() || plain.empty(), true);
+                ASSERT_EQ(next.has_value() || expected.empty(), true);
                 Micros earliest = -1;
-                for (const auto& [n, at] : plain) earliest = earliest < 0 ? at : std::min(earliest, at);
+                for (const auto& [n, at] : expected) earliest = earliest < 0 ? at : std::min(earliest, at);
                 if (next && earliest >= 0) {
-                    ASSERT_LE(*next, earliest + 1024) << "it would sleep past a timer";
+                    ASSERT_LE(*next, earliest + 1024) << "nextCheck() is later than a timer";
                 }
                 now += pick(0, 3) == 0 ? pick(0, Micros{1} << pick(10, 41)) : pick(0, 5'000);
                 while (net::TimerNode* due = wheel.popDue(now)) {
-                    ASSERT_EQ(plain.count(due), 1u) << "fired, and was not waiting";
-                    ASSERT_LE(plain[due], now) << "fired early";
-                    plain.erase(due);
+                    ASSERT_EQ(expected.count(due), 1u) << "fired, but was not pending";
+                    ASSERT_LE(expected[due], now) << "fired early";
+                    expected.erase(due);
                 }
-                for (const auto& [n, at] : plain) ASSERT_GT(at + 1024, now) << "not fired, seed " << seed;
+                for (const auto& [n, at] : expected) ASSERT_GT(at + 1024, now) << "not fired, seed " << seed;
             }
-            ASSERT_EQ(wheel.size(), plain.size());
+            ASSERT_EQ(wheel.size(), expected.size());
         }
     }
 }
 
-TEST(TimerWheel, TimersOfOneTickComeInOrder) {
+TEST(TimerWheel, TimersOfOneTickFireInOrderAdded) {
     std::vector<net::TimerNode> nodes(5);
     net::TimerWheel wheel(0);
     for (auto& n : nodes) wheel.add(n, 700'000);
@@ -69,7 +69,7 @@
     EXPECT_EQ(wheel.popDue(800'000), nullptr);
 }
 
-TEST(Timer, OneThatCancelsAnotherIsObeyed) {
+TEST(Timer, CanCancelATimerDueAtTheSameTick) {
     Loop loop;
     int fired = 0;
     net::Timer second(loop.net, [&] { ++fired; });
@@ -84,24 +84,24 @@
     std::unique_ptr<net::Stream> stream;
     bool open = false, ended = false, broken = false;
     std::optional<net::ConnectError> failure;
-    std::string got;
+    std::string received;
     void onConnected() override { open = true; }
     void onConnectFailed(net::ConnectError why) override { failure = why; }
     void onReadable() override {
         char buffer[4096];
         for (;;) {
-            const net::IoResult m = stream->read(buffer);
-            got.append(buffer, m.bytes);
-            if (m.status == net::IoResult::Status::WouldBlock) return;
-            if (m.status == net::IoResult::Status::EndOfStream) ended = true;
-            if (m.status == net::IoResult::Status::Broken) broken = true;
-            if (m.status != net::IoResult::Status::Ready) return;
+            const net::IoResult result = stream->read(buffer);
+            received.append(buffer, result.bytes);
+            if (result.status == net::IoResult::Status::WouldBlock) return;
+            if (result.status == net::IoResult::Status::EndOfStream) ended = true;
+            if (result.status == net::IoResult::Status::Broken) broken = true;
+            if (result.status != net::IoResult::Status::Ready) return;
         }
     }
     void onWritable() override {}
 };
 
-struct Accepts : net::ListenerHandler {
+struct Acceptor : net::ListenerHandler {
     std::vector<std::unique_ptr<Peer>> peers;
     void onAccepted(std::unique_ptr<net::Stream> s) override {
         peers.push_back(std::make_unique<Peer>());
@@ -110,9 +110,9 @@
     }
 };
 
-TEST(Epoll, BytesHalfClosesAndResetsAreToldApart) {
+TEST(Epoll, DistinguishesDataHalfCloseAndReset) {
     Loop loop;
-    Accepts server;
+    Acceptor server;
     auto listener = loop.net.listen(Loop::any(), server);
     Peer client;
     client.stream = loop.net.connect(listener->endpoint(), client);
@@ -120,19 +120,19 @@
     client.stream->write("hello");
     client.stream->shutdownWrite();
     ASSERT_TRUE(loop.until([&] { return server.peers[0]->ended; }));
-    EXPECT_EQ(server.peers[0]->got, "hello");
+    EXPECT_EQ(server.peers[0]->received, "hello");
     server.peers[0]->stream->write("still answered");
-    ASSERT_TRUE(loop.until([&] { return client.got == "still answered"; }));
+    ASSERT_TRUE(loop.until([&] { return client.received == "still answered"; }));
     server.peers[0]->stream->reset();
     ASSERT_TRUE(loop.until([&] { return client.broken; }));
 }
 
-TEST(Epoll, NobodyThereIsARefusal) {
+TEST(Epoll, ConnectToAClosedPortIsRefused) {
     Loop loop;
     net::Endpoint at;
     {
-        Accepts none;
-        at = loop.net.listen(Loop::any(), none)->endpoint();
+        Acceptor acceptor;
+        at = loop.net.listen(Loop::any(), acceptor)->endpoint();
     }
     Peer client;
     client.stream = loop.net.connect(at, client);
@@ -140,9 +140,9 @@
     EXPECT_EQ(*client.failure, net::ConnectError::Refused);
 }
 
-TEST(Epoll, ManyThatComeAtOnceAreAllAccepted) {
+TEST(Epoll, AcceptsAllSimultaneousConnections) {
     Loop loop;
-    Accepts server;
+    Acceptor server;
     auto listener = loop.net.listen(Loop::any(), server);
     std::vector<std::unique_ptr<Peer>> clients;
     for (int i = 0; i < 300; ++i) {
@@ -152,12 +152,12 @@
     EXPECT_TRUE(loop.until([&] { return server.peers.size() == 300; }));
 }
 
-TEST(Epoll, OutOfDescriptorsItGoesOnOnceThereAreSome) {
+TEST(Epoll, RecoversFromRunningOutOfDescriptors) {
 #ifdef __SANITIZE_ADDRESS__
-    GTEST_SKIP() << "the sanitizer needs descriptors of its own for its checks";
+    GTEST_SKIP() << "the sanitizer needs descriptors for its own checks";
 #endif
     Loop loop;
-    Accepts server;
+    Acceptor server;
     auto listener = loop.net.listen(Loop::any(), server);
     std::vector<std::unique_ptr<Peer>> clients;
     for (int i = 0; i < 5; ++i) {
@@ -166,21 +166,22 @@
     }
     rlimit before{};
     getrlimit(RLIMIT_NOFILE, &before);
-    rlimit none = before;
-    none.rlim_cur = 3;  // all that are open are beyond it: not one more can be had
-    ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
+    rlimit noneFree = before;
+    noneFree.rlim_cur = 3;  // below the descriptors already open: no new one can be opened
+    ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &noneFree), 0);
     loop.run(30'000);
-    Peer late;
-    late.stream = loop.net.connect(listener->endpoint(), late);
-    const bool told = loop.until([&] { return late.failure.has_value(); }, kSecond);
+    Peer extra;
+    extra.stream = loop.net.connect(listener->endpoint(), extra);
+    const bool failed = loop.until([&] { return extra.failure.has_value(); }, kSecond);
     setrlimit(RLIMIT_NOFILE, &before);
-    EXPECT_TRUE(told);
-    EXPECT_EQ(late.failure, net::ConnectError::OutOfDescriptors);
+    EXPECT_TRUE(failed);
+    EXPECT_EQ(extra.failure, net::ConnectError::OutOfDescriptors);
     EXPECT_EQ(server.peers.size(), 0u);
-    EXPECT_TRUE(loop.until([&] { return server.peers.size() == 5; })) << "those that wait are taken later";
+    EXPECT_TRUE(loop.until([&] { return server.peers.size() == 5; }))
+        << "queued connections are accepted later";
 }
 
-TEST(Process, IsEndedByItsId) {
+TEST(Process, KillEndsTheChildAndStartFailureThrows) {
     net::Process p({"/bin/sleep", "30"});
     EXPECT_TRUE(p.running());
     p.kill();
