--- a/fuzz/hints.cpp
+++ b/fuzz/hints.cpp
@@ -1,4 +1,5 @@
-// CMCD by each of its ways, CMSD, structured fields and trace contexts. What was kept can be carried on.
+// Fuzzes CMCD (headers, query, JSON), CMSD, structured fields and trace contexts: kept values must serialize
+// and parse to themselves.
 #include <cstdint>
 #include <cstdlib>
 
@@ -9,22 +10,22 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace valekeel::hints;
     const std::string_view text(reinterpret_cast<const char*>(data), size);
-    CmcdReader all;
-    all.header(size % 4, text);
-    all.query(text);
-    all.json(text);
-    const Cmcd got = all.finish();
-    CmcdReader back;
-    back.query(writeCmcdQuery(got));
-    if (writeCmcdQuery(back.finish()) != writeCmcdQuery(got)) std::abort();
+    CmcdReader reader;
+    reader.readHeader(size % 4, text);
+    reader.readQuery(text);
+    reader.readJson(text);
+    const Cmcd hints = reader.finish();
+    CmcdReader reparsed;
+    reparsed.readQuery(writeCmcdQuery(hints));
+    if (writeCmcdQuery(reparsed.finish()) != writeCmcdQuery(hints)) std::abort();
     if (const auto list = parseList(text)) {
-        const auto once = write(*list);
-        if (!once || parseList(*once) != list) std::abort();
+        const auto serialized = write(*list);
+        if (!serialized || parseList(*serialized) != list) std::abort();
     }
     if (const auto dictionary = parseDictionary(text))
         if (!write(*dictionary)) std::abort();
     CmsdEntry entry;
-    entry.by = "f";
+    entry.server = "f";
     if (!parseList(appendEntry(text, entry))) std::abort();
     parseCmsdStatic(text);
     valekeel::logging::parseTraceParent(text);
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -428,8 +428,8 @@
 hints::Cmcd HttpFrontend::hintsOf(const http::RequestHead& head) {
     hints::CmcdReader reader(hintLimits_);
     for (std::size_t i = 0; i < hints::kCmcdHeaders.size(); ++i)
-        if (const auto value = head.fields.joined(hints::kCmcdHeaders[i])) reader.header(i, *value);
-    if (const auto value = http::queryValue(head.query(), "CMCD")) reader.query(*value);
+        if (const auto value = head.fields.joined(hints::kCmcdHeaders[i])) reader.readHeader(i, *value);
+    if (const auto value = http::queryValue(head.query(), "CMCD")) reader.readQuery(*value);
     const hints::Cmcd out = reader.finish();
     countDropped(reader);
     return out;
@@ -437,7 +437,7 @@
 
 void HttpFrontend::takeJson(http::Exchange& exchange) {
     hints::CmcdReader reader(hintLimits_);
-    reader.json(exchange.body());
+    reader.readJson(exchange.body());
     const hints::Cmcd got = reader.finish();
     countDropped(reader);
     if (got.sid)
@@ -625,7 +625,7 @@
         fields.add("CMSD-Static", hints::write(own));
     }
     hints::CmsdEntry entry;
-    entry.by = name_;
+    entry.server = name_;
     const RoomType& type = rooms_.types[viewer.room.v];
     entry.mb = static_cast<std::int64_t>(
         std::llround(ladder_.kb[static_cast<std::size_t>(viewer.rung)] * type.rateFactor * 8));
--- a/src/hints/cmsd.cpp
+++ b/src/hints/cmsd.cpp
@@ -3,18 +3,18 @@
 namespace valekeel::hints {
 namespace {
 
-std::optional<std::int64_t> wholeOf(const BareItem* value) {
+std::optional<std::int64_t> integerOf(const BareItem* value) {
     if (!value) return std::nullopt;
     if (const auto* i = std::get_if<std::int64_t>(value); i && *i >= 0) return *i;
     if (const auto* d = std::get_if<Decimal>(value); d && d->thousandths >= 0) return d->thousandths / 1000;
     return std::nullopt;
 }
-std::optional<std::string> wordOf(const BareItem* value) {
+std::optional<std::string> tokenOf(const BareItem* value) {
     if (!value) return std::nullopt;
     if (const auto* t = std::get_if<Token>(value)) return t->text;
     return std::nullopt;
 }
-std::optional<std::string> textOf(const BareItem* value) {
+std::optional<std::string> stringOf(const BareItem* value) {
     if (!value) return std::nullopt;
     if (const auto* s = std::get_if<std::string>(value)) return *s;
     return std::nullopt;
@@ -31,36 +31,36 @@
         return item ? &item->value : nullptr;
     };
     CmsdStatic out;
-    out.n = textOf(bare("n"));
-    out.at = wholeOf(bare("at"));
-    out.br = wholeOf(bare("br"));
-    out.d = wholeOf(bare("d"));
-    out.ht = wholeOf(bare("ht"));
-    out.ot = wordOf(bare("ot"));
-    out.sf = wordOf(bare("sf"));
-    out.st = wordOf(bare("st"));
-    out.v = wholeOf(bare("v"));
+    out.n = stringOf(bare("n"));
+    out.at = integerOf(bare("at"));
+    out.br = integerOf(bare("br"));
+    out.d = integerOf(bare("d"));
+    out.ht = integerOf(bare("ht"));
+    out.ot = tokenOf(bare("ot"));
+    out.sf = tokenOf(bare("sf"));
+    out.st = tokenOf(bare("st"));
+    out.v = integerOf(bare("v"));
     return out;
 }
 
-std::vector<CmsdEntry> parseCmsdDynamic(std::string_view text, bool* broken) {
+std::vector<CmsdEntry> parseCmsdDynamic(std::string_view text, bool* malformed) {
     std::vector<CmsdEntry> out;
     const auto list = parseList(text);
-    if (broken) *broken = !list;
+    if (malformed) *malformed = !list;
     if (!list) return out;
     for (const Member& member : *list) {
         const Item* item = std::get_if<Item>(&member);
         if (!item) continue;
-        const auto name = textOf(&item->value);
+        const auto name = stringOf(&item->value);
         if (!name) continue;
         CmsdEntry entry;
-        entry.by = *name;
-        entry.etp = wholeOf(item->params.find("etp"));
-        entry.mb = wholeOf(item->params.find("mb"));
-        entry.rd = wholeOf(item->params.find("rd"));
-        entry.rtt = wholeOf(item->params.find("rtt"));
+        entry.server = *name;
+        entry.etp = integerOf(item->params.find("etp"));
+        entry.mb = integerOf(item->params.find("mb"));
+        entry.rd = integerOf(item->params.find("rd"));
+        entry.rtt = integerOf(item->params.find("rtt"));
         if (const BareItem* du = item->params.find("du"))
-            if (const auto* yes = std::get_if<bool>(du)) entry.du = *yes;
+            if (const auto* flag = std::get_if<bool>(du)) entry.du = *flag;
         for (const auto& [key, value] : item->params.all)
             if (key.find('-') != std::string::npos) entry.custom.set(key, value);
         out.push_back(std::move(entry));
@@ -83,9 +83,9 @@
     return write(out).value_or("");
 }
 
-std::string appendEntry(std::string_view standing, const CmsdEntry& entry) {
-    List list = parseList(standing).value_or(List{});
-    Item item{entry.by, {}};
+std::string appendEntry(std::string_view field, const CmsdEntry& entry) {
+    List list = parseList(field).value_or(List{});
+    Item item{entry.server, {}};
     if (entry.etp) item.params.set("etp", *entry.etp);
     if (entry.mb) item.params.set("mb", *entry.mb);
     if (entry.rd) item.params.set("rd", *entry.rd);
--- a/src/hints/cmsd.hpp
+++ b/src/hints/cmsd.hpp
@@ -1,5 +1,6 @@
-// Common Media Server Data (CTA-5006): what servers say with their answers. CMSD-Static is a dictionary that
-// the origin sets; CMSD-Dynamic a list to which each server on the way appends an entry with its name.
+// Common Media Server Data (CTA-5006): hints that servers send with their responses. CMSD-Static is a
+// dictionary set by the origin; CMSD-Dynamic is a list to which each server on the path appends an entry with
+// its name.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +13,37 @@
 
 namespace valekeel::hints {
 
+// CMSD-Static, named by its keys. Times are in milliseconds, rates in kbit/s.
 struct CmsdStatic {
-    std::optional<std::string> n;               // name of the origin
-    std::optional<std::int64_t> at, br, d, ht;  // availability time, kbit/s, ms, held time
-    std::optional<std::string> ot, sf, st;      // tokens, as in CMCD
+    std::optional<std::string> n;  // name of the origin
+    // Availability time, encoded bitrate, object duration, held time.
+    std::optional<std::int64_t> at, br, d, ht;
+    std::optional<std::string> ot, sf, st;  // tokens, as in CMCD
     std::optional<std::int64_t> v;
 };
 
-struct CmsdEntry {  // of one server; in the order of the way, the origin's first
-    std::string by;
-    std::optional<std::int64_t> etp, mb, rd, rtt;  // kbit/s, kbit/s, ms, ms
-    bool du = false;                               // under duress
-    Parameters custom;                             // keys with a prefix
+// One server's entry of CMSD-Dynamic. Times are in milliseconds, rates in kbit/s.
+struct CmsdEntry {
+    std::string server;
+    // Estimated throughput, maximum suggested bitrate, response delay, round-trip time.
+    std::optional<std::int64_t> etp, mb, rd, rtt;
+    bool du = false;    // under duress
+    Parameters custom;  // keys with a vendor prefix
 };
 
-// Nothing of a broken field is used (RFC 8941, section 4.2). Of a sound one, parameters of a wrong type or
-// range are left out and the rest kept.
+// Parse a field. A malformed field is ignored as a whole (RFC 8941, section 4.2); in a well-formed one, only
+// parameters of a wrong type or range are left out. Entries are in path order, the origin's first.
 std::optional<CmsdStatic> parseCmsdStatic(std::string_view);
-std::vector<CmsdEntry> parseCmsdDynamic(std::string_view, bool* broken = nullptr);
-std::string write(const CmsdStatic&);
-// Appended behind what stands there already, which is kept as it came if it is sound, and dropped if not.
-std::string appendEntry(std::string_view standing, const CmsdEntry&);
+std::vector<CmsdEntry> parseCmsdDynamic(std::string_view, bool* malformed = nullptr);
+std::string write(const CmsdStatic&);  // serializes it
+// Returns `field` with `entry` appended. A malformed `field` is dropped.
+std::string appendEntry(std::string_view field, const CmsdEntry& entry);
 
-// Custom keys of boxes of this house: use of their link and uplink, asked over given.
+// Custom keys of this project's media servers: utilization of their link and uplink, demand divided by
+// capacity.
 inline constexpr std::string_view kLinkUseKey = "org.valekeel-lu";
 inline constexpr std::string_view kUplinkUseKey = "org.valekeel-uu";
+// Returns a custom parameter as a number. Empty if it is missing, not a number, negative or too large.
 std::optional<double> customNumber(const CmsdEntry&, std::string_view key);
 
 }  // namespace valekeel::hints
--- a/src/hints/structured.hpp
+++ b/src/hints/structured.hpp
@@ -1,4 +1,4 @@
-// Structured Field Values for HTTP (RFC 8941): bytes to values and back, by the algorithms of section 4.
+// Structured Field Values for HTTP (RFC 8941): parser and serializer, by the algorithms of section 4.
 #pragma once
 
 #include <cstdint>
@@ -11,40 +11,42 @@
 
 namespace valekeel::hints {
 
+// The types of bare items other than integers, strings and booleans.
 struct Token {
     std::string text;
     bool operator==(const Token&) const = default;
 };
-struct Bytes {
-    std::string raw;
-    bool operator==(const Bytes&) const = default;
+struct ByteSequence {
+    std::string raw;  // decoded
+    bool operator==(const ByteSequence&) const = default;
 };
-struct Decimal {  // thousandths: section 3.3.2 allows three digits behind the point
-    std::int64_t thousandths = 0;
+struct Decimal {
+    std::int64_t thousandths = 0;  // section 3.3.2 allows three fractional digits
     bool operator==(const Decimal&) const = default;
     double value() const { return static_cast<double>(thousandths) / 1000; }
 };
-using BareItem = std::variant<std::int64_t, Decimal, std::string, Token, Bytes, bool>;
+using BareItem = std::variant<std::int64_t, Decimal, std::string, Token, ByteSequence, bool>;
 
-// In order; a key that comes twice keeps its first place and its last value (sections 4.2.2 and 4.2.3.2).
+// A map in insertion order. A duplicate key keeps its first position and takes the last value (sections 4.2.2
+// and 4.2.3.2).
 template <class Value>
-struct Ordered {
+struct OrderedMap {
     std::vector<std::pair<std::string, Value>> all;
     Value* find(std::string_view key) {
         for (auto& [k, v] : all)
             if (k == key) return &v;
         return nullptr;
     }
-    const Value* find(std::string_view key) const { return const_cast<Ordered*>(this)->find(key); }
+    const Value* find(std::string_view key) const { return const_cast<OrderedMap*>(this)->find(key); }
     void set(std::string key, Value value) {
         if (Value* old = find(key))
             *old = std::move(value);
         else
             all.emplace_back(std::move(key), std::move(value));
     }
-    bool operator==(const Ordered&) const = default;
+    bool operator==(const OrderedMap&) const = default;
 };
-using Parameters = Ordered<BareItem>;
+using Parameters = OrderedMap<BareItem>;
 
 struct Item {
     BareItem value;
@@ -58,14 +60,15 @@
 };
 using Member = std::variant<Item, InnerList>;
 using List = std::vector<Member>;
-using Dictionary = Ordered<Member>;
+using Dictionary = OrderedMap<Member>;
 
-// Nothing if the text breaks the grammar anywhere: such a field is ignored whole (section 4.2).
+// Empty if the text violates the grammar anywhere: such a field is ignored as a whole (section 4.2).
 std::optional<Item> parseItem(std::string_view);
 std::optional<List> parseList(std::string_view);
 std::optional<Dictionary> parseDictionary(std::string_view);
 
-// Nothing if a value can't be written (a key or token out of its alphabet, a number out of range).
+// Serializes a value (section 4.1). Empty if it has no valid form: an invalid character in a key, token or
+// string, or a number out of range.
 std::optional<std::string> write(const Item&);
 std::optional<std::string> write(const List&);
 std::optional<std::string> write(const Dictionary&);
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -535,8 +535,8 @@
     // Hints both ways: the box's entry kept, the front's own behind it.
     const auto entries = hints::parseCmsdDynamic(one.head.fields.joined("CMSD-Dynamic").value_or(""));
     ASSERT_EQ(entries.size(), 2u);
-    EXPECT_EQ(entries[0].by.substr(0, 4), "box-");
-    EXPECT_EQ(entries[1].by, "a");
+    EXPECT_EQ(entries[0].server.substr(0, 4), "box-");
+    EXPECT_EQ(entries[1].server, "a");
     EXPECT_TRUE(entries[1].mb && entries[1].rd);
 }
 
