--- a/fuzz/hls.cpp
+++ b/fuzz/hls.cpp
@@ -1,3 +1,4 @@
+// Fuzzes the HLS parsers: a serialized media playlist must parse again, and a resolved reference be a path.
 #include <cstdint>
 #include <cstdlib>
 
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -9,21 +9,21 @@
 namespace {
 
 template <class T>
-std::optional<T> numberOf(std::string_view text) {
+std::optional<T> parseNumber(std::string_view text) {
     T value{};
-    const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (bad != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+    const auto [end, parseError] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (parseError != std::errc{} || end != text.data() + text.size()) return std::nullopt;
     return value;
 }
 
-// "<length>[@<offset>]"; without an offset it begins where the last one ended.
-std::optional<Range> rangeOf(std::string_view text, std::uint64_t next) {
+// Parses "<length>[@<offset>]"; without an offset the range starts at `defaultOffset`.
+std::optional<Range> parseRange(std::string_view text, std::uint64_t defaultOffset) {
     const auto at = text.find('@');
-    const auto length = numberOf<std::uint64_t>(text.substr(0, at));
+    const auto length = parseNumber<std::uint64_t>(text.substr(0, at));
     if (!length) return std::nullopt;
-    Range range{*length, next};
+    Range range{*length, defaultOffset};
     if (at != std::string_view::npos) {
-        const auto offset = numberOf<std::uint64_t>(text.substr(at + 1));
+        const auto offset = parseNumber<std::uint64_t>(text.substr(at + 1));
         if (!offset) return std::nullopt;
         range.offset = *offset;
     }
@@ -31,7 +31,7 @@
     return range;
 }
 
-// The value of one attribute of a list (section 4.2), without its quotes.
+// Returns one attribute of an attribute list (section 4.2), without its quotes.
 std::optional<std::string> attribute(std::string_view list, std::string_view name) {
     while (!list.empty()) {
         const auto equals = list.find('=');
@@ -55,9 +55,12 @@
     return std::nullopt;
 }
 
-template <class Each>
-std::string lines(std::string_view text, const PlaylistLimits& limits, Each&& each) {
-    if (text.size() > limits.bytes) return "it is longer than " + std::to_string(limits.bytes) + " bytes";
+// Calls `handleLine` for each line after the first that is not empty, until it returns an error text. Returns
+// that text with the line number, an error about the playlist as a whole, or an empty string.
+template <class LineHandler>
+std::string forEachLine(std::string_view text, const PlaylistLimits& limits, LineHandler&& handleLine) {
+    if (text.size() > limits.bytes)
+        return "the playlist is longer than " + std::to_string(limits.bytes) + " bytes";
     bool first = true;
     std::size_t number = 0;
     while (!text.empty()) {
@@ -67,17 +70,17 @@
         if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
         ++number;
         if (std::exchange(first, false)) {
-            if (line != "#EXTM3U") return "its first line is not #EXTM3U";
+            if (line != "#EXTM3U") return "the first line is not #EXTM3U";
             continue;
         }
         if (line.empty()) continue;
-        const std::string why = each(line);
+        const std::string why = handleLine(line);
         if (!why.empty()) return "line " + std::to_string(number) + ": " + why;
     }
-    return first ? "it is empty" : "";
+    return first ? "the playlist is empty" : "";
 }
 
-std::string secondsText(Micros t) {
+std::string formatSeconds(Micros t) {
     char out[32];
     std::snprintf(out, sizeof out, "%.6g", seconds(t));
     return out;
@@ -87,81 +90,81 @@
 
 ParseResult<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& limits) {
     MediaPlaylist out;
-    Segment next;
+    Segment nextSegment;
     int map = -1;
-    bool hasDuration = false, hasTarget = false;
-    std::uint64_t nextByte = 0;
+    bool hasDuration = false, hasTargetDuration = false;
+    std::uint64_t nextOffset = 0;
     std::string lastUri;
-    std::optional<std::string_view> range;
-    const std::string why = lines(text, limits, [&](std::string_view line) -> std::string {
+    std::optional<std::string_view> byteRange;
+    const std::string why = forEachLine(text, limits, [&](std::string_view line) -> std::string {
         const auto tag = [&](std::string_view name) -> std::optional<std::string_view> {
             if (line.substr(0, name.size()) != name) return std::nullopt;
             return line.substr(name.size());
         };
         if (line.front() != '#') {
             if (!hasDuration) return "a segment without #EXTINF";
-            if (out.segments.size() >= limits.entries) return "more segments than are read";
-            next.uri = line;
-            if (range) {
-                next.range = rangeOf(*range, lastUri == next.uri ? nextByte : 0);
-                if (!next.range) return "#EXT-X-BYTERANGE is broken";
-                nextByte = next.range->offset + next.range->length;
-                lastUri = next.uri;
+            if (out.segments.size() >= limits.entries) return "too many segments";
+            nextSegment.uri = line;
+            if (byteRange) {
+                nextSegment.range = parseRange(*byteRange, lastUri == nextSegment.uri ? nextOffset : 0);
+                if (!nextSegment.range) return "#EXT-X-BYTERANGE is malformed";
+                nextOffset = nextSegment.range->offset + nextSegment.range->length;
+                lastUri = nextSegment.uri;
             }
-            next.map = map;
-            out.segments.push_back(next);
-            next = Segment{};
+            nextSegment.map = map;
+            out.segments.push_back(nextSegment);
+            nextSegment = Segment{};
             hasDuration = false;
-            range.reset();
+            byteRange.reset();
             return "";
         }
         if (const auto v = tag("#EXTINF:")) {
-            const auto secs = numberOf<double>(v->substr(0, v->find(',')));
-            if (!secs || !(*secs >= 0 && *secs < 86'400)) return "#EXTINF is broken";
-            next.duration = std::llround(*secs * 1e6);
+            const auto duration = parseNumber<double>(v->substr(0, v->find(',')));
+            if (!duration || !(*duration >= 0 && *duration < 86'400)) return "#EXTINF is malformed";
+            nextSegment.duration = std::llround(*duration * 1e6);
             hasDuration = true;
         } else if (const auto t = tag("#EXT-X-TARGETDURATION:")) {
-            const auto secs = numberOf<std::int64_t>(*t);
-            if (!secs || *secs < 0 || *secs > 86'400) return "#EXT-X-TARGETDURATION is broken";
-            out.targetDuration = *secs * kSecond;
-            hasTarget = true;
+            const auto duration = parseNumber<std::int64_t>(*t);
+            if (!duration || *duration < 0 || *duration > 86'400) return "#EXT-X-TARGETDURATION is malformed";
+            out.targetDuration = *duration * kSecond;
+            hasTargetDuration = true;
         } else if (const auto s = tag("#EXT-X-MEDIA-SEQUENCE:")) {
-            const auto number = numberOf<std::uint64_t>(*s);
-            if (!number) return "#EXT-X-MEDIA-SEQUENCE is broken";
+            const auto number = parseNumber<std::uint64_t>(*s);
+            if (!number) return "#EXT-X-MEDIA-SEQUENCE is malformed";
             out.mediaSequence = *number;
         } else if (const auto r = tag("#EXT-X-BYTERANGE:")) {
-            range = *r;
+            byteRange = *r;
         } else if (const auto m = tag("#EXT-X-MAP:")) {
-            Map one;
+            Map newMap;
             const auto uri = attribute(*m, "URI");
-            if (!uri) return "#EXT-X-MAP names no URI";
-            one.uri = *uri;
+            if (!uri) return "#EXT-X-MAP has no URI";
+            newMap.uri = *uri;
             if (const auto bytes = attribute(*m, "BYTERANGE")) {
-                one.range = rangeOf(*bytes, 0);
-                if (!one.range) return "the BYTERANGE of #EXT-X-MAP is broken";
+                newMap.range = parseRange(*bytes, 0);
+                if (!newMap.range) return "the BYTERANGE of #EXT-X-MAP is malformed";
             }
-            if (out.maps.size() >= limits.entries) return "more maps than are read";
-            out.maps.push_back(std::move(one));
+            if (out.maps.size() >= limits.entries) return "too many maps";
+            out.maps.push_back(std::move(newMap));
             map = static_cast<int>(out.maps.size()) - 1;
         } else if (line == "#EXT-X-DISCONTINUITY") {
-            next.discontinuity = true;
+            nextSegment.discontinuity = true;
         } else if (line == "#EXT-X-ENDLIST") {
             out.ended = true;
         }
         return "";
     });
     if (!why.empty()) return {std::nullopt, why};
-    if (!hasTarget) return {std::nullopt, "#EXT-X-TARGETDURATION is missing"};
+    if (!hasTargetDuration) return {std::nullopt, "#EXT-X-TARGETDURATION is missing"};
     return {std::move(out), ""};
 }
 
 ParseResult<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& limits) {
     Multivariant out;
     std::optional<Variant> next;
-    const std::string why = lines(text, limits, [&](std::string_view line) -> std::string {
+    const std::string why = forEachLine(text, limits, [&](std::string_view line) -> std::string {
         if (line.front() != '#') {
             if (!next) return "a variant without #EXT-X-STREAM-INF";
-            if (out.variants.size() >= limits.entries) return "more variants than are read";
+            if (out.variants.size() >= limits.entries) return "too many variants";
             next->uri = line;
             out.variants.push_back(std::move(*next));
             next.reset();
@@ -170,20 +173,20 @@
         constexpr std::string_view kTag = "#EXT-X-STREAM-INF:";
         if (line.substr(0, kTag.size()) != kTag) return "";
         const std::string_view list = line.substr(kTag.size());
-        Variant one;
+        Variant variant;
         const auto bandwidth = attribute(list, "BANDWIDTH");
-        const auto number = bandwidth ? numberOf<std::uint64_t>(*bandwidth) : std::nullopt;
-        if (!number) return "#EXT-X-STREAM-INF names no BANDWIDTH";
-        one.bandwidth = *number;
+        const auto number = bandwidth ? parseNumber<std::uint64_t>(*bandwidth) : std::nullopt;
+        if (!number) return "#EXT-X-STREAM-INF has no valid BANDWIDTH";
+        variant.bandwidth = *number;
         if (const auto average = attribute(list, "AVERAGE-BANDWIDTH"))
-            one.average = numberOf<std::uint64_t>(*average);
-        one.codecs = attribute(list, "CODECS").value_or("");
-        one.resolution = attribute(list, "RESOLUTION").value_or("");
-        next = std::move(one);
+            variant.average = parseNumber<std::uint64_t>(*average);
+        variant.codecs = attribute(list, "CODECS").value_or("");
+        variant.resolution = attribute(list, "RESOLUTION").value_or("");
+        next = std::move(variant);
         return "";
     });
     if (!why.empty()) return {std::nullopt, why};
-    if (out.variants.empty()) return {std::nullopt, "it names no variant"};
+    if (out.variants.empty()) return {std::nullopt, "the playlist has no variants"};
     return {std::move(out), ""};
 }
 
@@ -206,7 +209,7 @@
         if (s.range)
             out += "#EXT-X-BYTERANGE:" + std::to_string(s.range->length) + "@" +
                    std::to_string(s.range->offset) + "\n";
-        out += "#EXTINF:" + secondsText(s.duration) + ",\n" + s.uri + "\n";
+        out += "#EXTINF:" + formatSeconds(s.duration) + ",\n" + s.uri + "\n";
     }
     if (p.ended) out += "#EXT-X-ENDLIST\n";
     return out;
@@ -235,26 +238,26 @@
         joined = std::string(base.substr(0, base.substr(0, base.find('?')).rfind('/') + 1)) +
                  std::string(reference);
     const auto query = joined.find('?');
-    const std::string tail = query == std::string::npos ? "" : joined.substr(query);
+    const std::string queryPart = query == std::string::npos ? "" : joined.substr(query);
     std::string_view path = std::string_view(joined).substr(0, query);
-    std::vector<std::string_view> parts;
+    std::vector<std::string_view> segments;
     bool directory = false;
     while (!path.empty()) {
-        path.remove_prefix(1);  // its slash
+        path.remove_prefix(1);  // the slash
         const auto next = std::min(path.find('/'), path.size());
-        const std::string_view part = path.substr(0, next);
+        const std::string_view segment = path.substr(0, next);
         path.remove_prefix(next);
-        directory = part == "." || part == ".." || part.empty();
-        if (part == "..") {
-            if (!parts.empty()) parts.pop_back();
-        } else if (part != "." && !(part.empty() && path.empty())) {
-            parts.push_back(part);
+        directory = segment == "." || segment == ".." || segment.empty();
+        if (segment == "..") {
+            if (!segments.empty()) segments.pop_back();
+        } else if (segment != "." && !(segment.empty() && path.empty())) {
+            segments.push_back(segment);
         }
     }
     std::string out;
-    for (const std::string_view part : parts) out += "/" + std::string(part);
+    for (const std::string_view segment : segments) out += "/" + std::string(segment);
     if (directory || out.empty()) out += "/";
-    return out + tail;
+    return out + queryPart;
 }
 
 }  // namespace valekeel::hls
--- a/src/hls/playlist.hpp
+++ b/src/hls/playlist.hpp
@@ -1,5 +1,5 @@
-// HLS playlists (RFC 8216): what the boxes hand out is read, what viewers get is written. Only what a front
-// needs is kept; tags that it does not know are passed over, as section 6.3.1 asks of clients.
+// HLS playlists (RFC 8216): parses those of the media servers and serializes those for viewers. Keeps only
+// what a front needs; unknown tags are ignored, as section 6.3.1 requires of clients.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace valekeel::hls {
 
-struct Range {  // EXT-X-BYTERANGE, section 4.3.2.2
+// EXT-X-BYTERANGE, section 4.3.2.2, in bytes.
+struct Range {
     std::uint64_t length = 0, offset = 0;
     bool operator==(const Range&) const = default;
 };
@@ -20,11 +21,12 @@
     std::string uri;
     Micros duration = 0;
     std::optional<Range> range;
-    int map = -1;  // place in the list of maps; -1: none
+    int map = -1;  // index into MediaPlaylist::maps; -1: none
     bool discontinuity = false;
     bool operator==(const Segment&) const = default;
 };
-struct Map {  // EXT-X-MAP: how the segments behind it begin
+// EXT-X-MAP: the initialization section of the segments that follow it.
+struct Map {
     std::string uri;
     std::optional<Range> range;
     bool operator==(const Map&) const = default;
@@ -34,13 +36,14 @@
     std::uint64_t mediaSequence = 0;  // EXT-X-MEDIA-SEQUENCE
     std::vector<Map> maps;
     std::vector<Segment> segments;
-    bool ended = false;
+    bool ended = false;  // EXT-X-ENDLIST
     bool operator==(const MediaPlaylist&) const = default;
 };
+// EXT-X-STREAM-INF with its URI.
 struct Variant {
     std::string uri;
-    std::uint64_t bandwidth = 0;  // bit/s, the peak
-    std::optional<std::uint64_t> average;
+    std::uint64_t bandwidth = 0;           // peak, bit/s
+    std::optional<std::uint64_t> average;  // bit/s
     std::string codecs, resolution;
     bool operator==(const Variant&) const = default;
 };
@@ -49,23 +52,25 @@
     bool operator==(const Multivariant&) const = default;
 };
 
+// Limits on one playlist: its size, and its number of segments, maps or variants.
 struct PlaylistLimits {
     std::size_t bytes = 262'144, entries = 10'000;
 };
 
-// Nothing, with why, if it is none: the first line, a needed tag or a number is missing or broken.
-template <class What>
+// The playlist; or empty with the reason, such as a missing or malformed first line, tag or number.
+template <class Playlist>
 struct ParseResult {
-    std::optional<What> playlist;
+    std::optional<Playlist> playlist;
     std::string why;
 };
 ParseResult<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& = {});
 ParseResult<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& = {});
+// Serialize a playlist.
 std::string write(const MediaPlaylist&);
 std::string write(const Multivariant&);
 
-// A reference against the path it was found at (RFC 3986, section 5, for paths alone). Nothing if it leads to
-// another host.
+// Resolves a reference against the path of the playlist that contains it (RFC 3986, section 5, paths only).
+// Empty if the reference is empty or names another host or a scheme.
 std::optional<std::string> resolveReference(std::string_view base, std::string_view reference);
 
 }  // namespace valekeel::hls
