--- a/fuzz/sip.cpp
+++ b/fuzz/sip.cpp
@@ -1,4 +1,4 @@
-// The wire entry of SIP: a datagram, a stream in pieces, an offer. What can be answered is answered readably.
+// Fuzzes SIP parsing of a datagram, a stream in pieces, an SDP offer and the prefilter.
 #include <cstdint>
 #include <cstdlib>
 
@@ -15,11 +15,12 @@
     if (parsed.partial && parsed.partial->method == "ACK") std::abort();
     if (const auto offer = parseOffer(text))
         writeAnswer(*offer, *valekeel::net::parseEndpoint("127.0.0.1:9"), 1'000, 1, 1);
-    // What is refused at a glance must be an answer that the whole reader takes, to the same request.
-    if (const auto g = prefilter(text)) {
-        const ParseResult back = parse(
-            refusal(*g, "503 Service Unavailable", "t", "", 1, *valekeel::net::parseEndpoint("127.0.0.1:9")));
-        if (parsed.message && (!back.message || back.message->callId != parsed.message->callId)) std::abort();
+    // A refusal built from the prefilter must parse, as a response to the same request.
+    if (const auto prefiltered = prefilter(text)) {
+        const ParseResult reparsed = parse(refusal(*prefiltered, "503 Service Unavailable", "t", "", 1,
+                                                   *valekeel::net::parseEndpoint("127.0.0.1:9")));
+        if (parsed.message && (!reparsed.message || reparsed.message->callId != parsed.message->callId))
+            std::abort();
     }
     Framer framer(2'000);
     for (std::size_t at = 0, step = 1; at < size; at += step, step = step * 2 % 61 + 1) {
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -4,10 +4,11 @@
 
 namespace valekeel::http {
 
-Connection::Connection(net::Net& net, const net::Endpoint& to, const HttpLimits& limits, Micros within)
+Connection::Connection(net::Net& net, const net::Endpoint& to, const HttpLimits& limits,
+                       Micros connectTimeout)
     : net_(net), limits_(limits), connecting_(net, [this] { fail(FetchError::NoConnection); }) {
     stream_ = net_.connect(to, *this);
-    connecting_.after(within);
+    connecting_.after(connectTimeout);
     idleSince_ = net.now();
 }
 
@@ -15,13 +16,13 @@
     *alive_ = false;
 }
 
-void Connection::fetch(std::string head, bool headOnly, FetchHandler& user) {
-    user_ = &user;
+void Connection::fetch(std::string request, bool headOnly, FetchHandler& handler) {
+    handler_ = &handler;
     ++fetches_;
-    out_ = std::move(head);
-    wroteAny_ = gotAny_ = headTold_ = paused_ = false;
+    out_ = std::move(request);
+    wroteAny_ = gotAny_ = headReported_ = paused_ = false;
     parser_ = std::make_unique<Parser>(Parser::Kind::Response, limits_, static_cast<ParserHandler&>(*this));
-    if (headOnly) parser_->answersHead();
+    if (headOnly) parser_->expectNoBody();
     if (connected_) flush();
 }
 
@@ -41,26 +42,26 @@
 
 void Connection::flush() {
     if (!stream_ || out_.empty()) return;
-    const net::IoResult put = stream_->write(out_);
-    if (put.bytes > 0) wroteAny_ = true;
-    out_.erase(0, put.bytes);
-    if (put.status == net::IoResult::Status::Broken) {
-        mayRead_ = true;  // an answer may have come before the peer broke (a turn-away, say): read that first
-        work();
+    const net::IoResult written = stream_->write(out_);
+    if (written.bytes > 0) wroteAny_ = true;
+    out_.erase(0, written.bytes);
+    if (written.status == net::IoResult::Status::Broken) {
+        // The peer may have sent a response, such as a refusal, before it closed: read that first.
+        mayRead_ = true;
+        readResponse();
     }
 }
 
 void Connection::onReadable() {
     mayRead_ = true;
-    work();
+    readResponse();
 }
 
 void Connection::abandon() {
     connecting_.cancel();
-    user_ = nullptr;
+    handler_ = nullptr;
     ended_ = true;
-    // Not a mere close: a server may take that for the end of the asking alone, and go on with what was
-    // asked.
+    // A reset, not a close: a server may take a close for the end of the request only and go on serving it.
     if (stream_) stream_->reset();
     stream_.reset();
 }
@@ -72,94 +73,95 @@
 void Connection::resume() {
     if (!paused_) return;
     paused_ = false;
-    work();
+    readResponse();
 }
 
-// What was parsed is told after the parser has returned: its user may delete this object, or ask anew.
-bool Connection::tell() {
+// Reports only after the parser has returned, because the handler may delete this object or start another
+// fetch.
+bool Connection::report() {
     const auto alive = alive_;
-    if (parser_->headDone() && !headTold_) {
-        headTold_ = true;
-        user_->onHead(parser_->response());
+    if (parser_->isHeadDone() && !headReported_) {
+        headReported_ = true;
+        handler_->onHead(parser_->response());
         if (!*alive) return false;
     }
-    if (!pieces_.empty() && user_) {
-        std::string pieces;
-        pieces.swap(pieces_);
-        user_->onBody(pieces);
+    if (!body_.empty() && handler_) {
+        std::string body;
+        body.swap(body_);
+        handler_->onBody(body);
         if (!*alive) return false;
-        if (pieces_.empty()) {
-            pieces.clear();
-            pieces.swap(pieces_);  // keeps its room for the next
+        if (body_.empty()) {
+            body.clear();
+            body.swap(body_);  // keeps the capacity for the next piece
         }
     }
     return true;
 }
 
-void Connection::finished(bool kept) {
+void Connection::complete(bool kept) {
     idleSince_ = net_.now();
     parser_.reset();
-    std::string().swap(pieces_);
+    std::string().swap(body_);
     if (!kept) {
         ended_ = true;
         stream_.reset();
     }
-    if (FetchHandler* user = std::exchange(user_, nullptr)) user->onFetched(kept);
+    if (FetchHandler* handler = std::exchange(handler_, nullptr)) handler->onFetched(kept);
 }
 
-void Connection::work() {
-    if (working_ || paused_) return;
+void Connection::readResponse() {
+    if (reading_ || paused_) return;
     const auto alive = alive_;
-    working_ = true;
+    reading_ = true;
     std::array<char, 65'536> buffer;
     while (stream_ && mayRead_ && !paused_) {
-        const net::IoResult got = stream_->read(buffer);
-        if (got.bytes > 0) {
-            if (!user_) {  // bytes that nobody asked for: this connection can't be trusted any more
-                ended_ = unasked_ = true;
+        const net::IoResult received = stream_->read(buffer);
+        if (received.bytes > 0) {
+            if (!handler_) {  // unsolicited bytes: the connection must not be used again
+                ended_ = receivedUnsolicited_ = true;
                 stream_.reset();
                 break;
             }
             gotAny_ = true;
-            // What lies there is parsed where it lies; only what the parser leaves is kept.
-            std::string_view bytes(buffer.data(), got.bytes);
+            // Parsed in place; only the bytes that the parser leaves are copied.
+            std::string_view bytes(buffer.data(), received.bytes);
             if (!in_.empty()) bytes = in_.append(bytes);
-            const Parser::Fed fed = parser_->feed(bytes);
-            std::string left(bytes.substr(fed.used));
-            in_.swap(left);
-            if (!tell()) return;
-            if (fed.badStatus || in_.size() > limits_.headBytes) {
+            const Parser::FeedResult result = parser_->feed(bytes);
+            std::string rest(bytes.substr(result.used));
+            in_.swap(rest);
+            if (!report()) return;
+            if (result.errorStatus || in_.size() > limits_.headBytes) {
                 fail(FetchError::BadAnswer);
                 if (!*alive) return;
                 break;
             }
-            if (user_ && parser_ && parser_->done()) {
-                if (parser_->response().status / 100 == 1) {  // interim: the answer is still to come
+            if (handler_ && parser_ && parser_->isDone()) {
+                if (parser_->response().status / 100 == 1) {  // an interim response: the final one follows
                     parser_ = std::make_unique<Parser>(Parser::Kind::Response, limits_,
                                                        static_cast<ParserHandler&>(*this));
-                    headTold_ = false;
+                    headReported_ = false;
                     continue;
                 }
                 const bool kept = parser_->keepsConnection() && in_.empty() && out_.empty();
-                working_ = false;
-                finished(kept);
+                reading_ = false;
+                complete(kept);
                 if (!*alive) return;
-                working_ = true;
+                reading_ = true;
             }
             continue;
         }
         mayRead_ = false;
-        if (got.status == net::IoResult::Status::WouldBlock) break;
-        if (!user_) {
+        if (received.status == net::IoResult::Status::WouldBlock) break;
+        if (!handler_) {
             ended_ = true;
             stream_.reset();
             break;
         }
-        if (got.status == net::IoResult::Status::EndOfStream &&
-            parser_->ended()) {  // an answer that ends with the connection
-            if (!tell()) return;
-            working_ = false;
-            finished(false);
+        if (received.status == net::IoResult::Status::EndOfStream &&
+            parser_->finish()) {  // the body extends to the end of the connection
+            if (!report()) return;
+            reading_ = false;
+            complete(false);
             return;
         }
         fail(gotAny_     ? FetchError::BrokenAnswer
@@ -167,14 +169,14 @@
                          : FetchError::NeverWritten);
         if (!*alive) return;
     }
-    working_ = false;
+    reading_ = false;
 }
 
-void Connection::fail(FetchError how) {
+void Connection::fail(FetchError error) {
     connecting_.cancel();
     ended_ = true;
     stream_.reset();
-    if (FetchHandler* user = std::exchange(user_, nullptr)) user->onFailed(how);
+    if (FetchHandler* handler = std::exchange(handler_, nullptr)) handler->onFailed(error);
 }
 
 std::string requestBytes(std::string_view method, std::string_view target, const net::Endpoint& host,
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -1,5 +1,5 @@
-// The asking side of HTTP/1.1: one connection, one request out at a time, answers streamed with
-// back-pressure. Which connection to use, and whether to keep it, is for others to say.
+// An HTTP/1.1 client connection: one request in flight at a time, responses streamed with back-pressure. Does
+// not pool connections: callers choose which to use and whether to keep it.
 #pragma once
 
 #include <memory>
@@ -11,46 +11,48 @@
 
 namespace valekeel::http {
 
-// How far a fetch had come when it failed: what that proves is for the caller's own table to say.
+// How far a fetch had got when it failed. Callers decide what each case implies about the server.
 enum class FetchError {
-    Refused,       // nobody listens there
-    NoConnection,  // no route, no descriptor, or not connected in time
-    NeverWritten,  // connected, and broken before a byte of the request was handed to the kernel
-    BrokenOut,     // broken after bytes went out, before any of the answer
-    BrokenAnswer,  // the answer was cut short
-    BadAnswer,     // the answer was no HTTP, or over a limit
+    Refused,       // connection refused
+    NoConnection,  // no route, no descriptor, or connect timeout
+    NeverWritten,  // connected, but broken before any byte of the request was written
+    BrokenOut,     // broken after bytes of the request were written, before any byte of the response
+    BrokenAnswer,  // the response was cut short
+    BadAnswer,     // the response was not HTTP, or over a limit
 };
 
+// Callbacks of one fetch: a head, any number of body pieces, then onFetched(); or onFailed() at any point.
+// Any of them may delete the connection; onFetched(true) may also start the next fetch.
 class FetchHandler {
   public:
     virtual ~FetchHandler() = default;
     virtual void onHead(const ResponseHead&) = 0;
     virtual void onBody(std::string_view) = 0;
-    // The connection may be used again where `kept`. It may be deleted within either of these.
-    virtual void onFetched(bool kept) = 0;
+    virtual void onFetched(bool kept) = 0;  // `kept`: the connection can be used for another fetch
     virtual void onFailed(FetchError) = 0;
 };
 
+// A client connection to one server. Handlers must outlive their fetch or call abandon().
 class Connection final : net::StreamHandler, ParserHandler {
   public:
-    // Connects at once; the first request may be handed over before it stands.
-    Connection(net::Net&, const net::Endpoint&, const HttpLimits&, Micros connectWithin);
+    // Starts to connect. The first fetch may be started before the connection is established.
+    Connection(net::Net&, const net::Endpoint&, const HttpLimits&, Micros connectTimeout);
     ~Connection() override;
 
-    // `head` is the request as it goes out, body included. Not while another is out.
-    void fetch(std::string head, bool headOnly, FetchHandler&);
-    // Whoever asked wants to hear no more: the stream is closed, and its user is not called again.
+    // Sends `request`, the serialized head and body. `headOnly`: the response has no body (to HEAD). Must not
+    // be called while another fetch is in flight.
+    void fetch(std::string request, bool headOnly, FetchHandler&);
+    // Cancels the fetch: the stream is reset and the handler is not called again.
     void abandon();
-    void pause();  // no more pieces are wanted now: the peer is made to wait
+    void pause();  // stops reading, so that the peer has to wait
     void resume();
-    bool isIdle() const { return !user_ && stream_ && !ended_; }
-    bool isReused() const { return fetches_ > 1; }  // the request out now is not its first
-    Micros idleSince() const { return idleSince_; }
-    bool hasWritten() const { return wroteAny_; }
-    // The peer closed it while nothing was out.
+    bool isIdle() const { return !handler_ && stream_ && !ended_; }
+    bool isReused() const { return fetches_ > 1; }   // the current or last fetch was not the first
+    Micros idleSince() const { return idleSince_; }  // the end of the last fetch, or the creation
+    bool hasWritten() const { return wroteAny_; }    // whether any byte of the current request was written
     bool isClosed() const { return ended_ || !stream_; }
-    // It sent bytes that nobody had asked for: a second answer, say.
-    bool receivedUnsolicitedBytes() const { return unasked_; }
+    // Whether the server sent bytes while no fetch was in flight, for example a second response.
+    bool receivedUnsolicitedBytes() const { return receivedUnsolicited_; }
 
   private:
     void onConnected() override;
@@ -58,12 +60,12 @@
     void onReadable() override;
     void onWritable() override;
     void onHeadParsed() override {}
-    void onBodyParsed(std::string_view piece) override { pieces_ += piece; }
+    void onBodyParsed(std::string_view piece) override { body_ += piece; }
     void onEndParsed() override {}
     void flush();
-    void work();
-    bool tell();  // false once this object is gone
-    void finished(bool kept);
+    void readResponse();
+    bool report();  // calls onHead() and onBody() for what was parsed; false if this object was deleted
+    void complete(bool kept);
     void fail(FetchError);
 
     net::Net& net_;
@@ -71,17 +73,17 @@
     std::unique_ptr<net::Stream> stream_;
     net::Timer connecting_;
     std::unique_ptr<Parser> parser_;
-    std::string out_, in_, pieces_;
-    FetchHandler* user_ = nullptr;
+    std::string out_, in_, body_;
+    FetchHandler* handler_ = nullptr;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     int fetches_ = 0;
     Micros idleSince_ = 0;
     bool connected_ = false, wroteAny_ = false, gotAny_ = false, mayRead_ = false, paused_ = false;
-    bool headTold_ = false, ended_ = false, working_ = false, unasked_ = false;
+    bool headReported_ = false, ended_ = false, reading_ = false, receivedUnsolicited_ = false;
 };
 
-// A request as bytes. Control characters in values are replaced by spaces, so nothing of a caller's can
-// end a line.
+// Serializes a request. CR, LF and NUL in field values are replaced by spaces, and control characters and
+// spaces in the target by "_", so that a caller's text can't inject a line.
 std::string requestBytes(std::string_view method, std::string_view target, const net::Endpoint& host,
                          const Fields&, std::string_view body = {});
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -9,7 +9,7 @@
 char lower(char c) {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
 }
-int hexOf(char c) {
+int hexDigit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
     if (c >= 'A' && c <= 'F') return c - 'A' + 10;
@@ -51,8 +51,8 @@
     out.reserve(text.size());
     for (std::size_t i = 0; i < text.size(); ++i) {
         if (text[i] == '%') {
-            const int high = i + 2 < text.size() ? hexOf(text[i + 1]) : -1;
-            const int low = high >= 0 ? hexOf(text[i + 2]) : -1;
+            const int high = i + 2 < text.size() ? hexDigit(text[i + 1]) : -1;
+            const int low = high >= 0 ? hexDigit(text[i + 2]) : -1;
             if (low < 0 || (high == 0 && low == 0)) return std::nullopt;
             out += static_cast<char>(high * 16 + low);
             i += 2;
@@ -85,8 +85,8 @@
 }
 
 std::string RequestHead::query() const {
-    const auto mark = target.find('?');
-    return mark == std::string::npos ? "" : target.substr(mark + 1);
+    const auto questionMark = target.find('?');
+    return questionMark == std::string::npos ? "" : target.substr(questionMark + 1);
 }
 
 std::optional<std::string> queryValue(std::string_view query, std::string_view key) {
@@ -103,7 +103,7 @@
     return std::nullopt;
 }
 
-std::string_view reasonOf(int status) {
+std::string_view reasonPhrase(int status) {
     switch (status) {
         case 200:
             return "OK";
--- a/src/http/parse.cpp
+++ b/src/http/parse.cpp
@@ -5,28 +5,29 @@
 namespace valekeel::http {
 
 namespace beast = boost::beast::http;
-using Code = boost::beast::error_code;
-using View = boost::beast::string_view;
+using ErrorCode = boost::beast::error_code;
+using BeastView = boost::beast::string_view;
 
 namespace {
 
-std::string_view plain(View v) {
+std::string_view toStd(BeastView v) {
     return {v.data(), v.size()};
 }
 
-enum class Over { None, Fields, Target };
+enum class ExceededLimit { None, Fields, Target };
 
 }  // namespace
 
 template <bool isRequest>
-class Parser::Core final : public beast::basic_parser<isRequest> {
+class Parser::BeastParser final : public beast::basic_parser<isRequest> {
   public:
-    Core(const HttpLimits& limits, RequestHead& request, ResponseHead& response, ParserHandler& user)
-        : fieldsAtMost_(limits.fields),
-          targetAtMost_(limits.targetBytes),
+    BeastParser(const HttpLimits& limits, RequestHead& request, ResponseHead& response,
+                ParserHandler& handler)
+        : maxFields_(limits.fields),
+          maxTargetBytes_(limits.targetBytes),
           request_(request),
           response_(response),
-          user_(user) {
+          handler_(handler) {
         this->header_limit(limits.headBytes);
         if (isRequest)
             this->body_limit(limits.bodyBytes);
@@ -34,114 +35,114 @@
             this->body_limit(boost::none);
         this->eager(true);
     }
-    Over over = Over::None;
+    ExceededLimit exceeded = ExceededLimit::None;
 
   private:
-    void on_request_impl(beast::verb, View method, View target, int, Code& ec) override {
-        request_.method = plain(method);
-        request_.target = plain(target);
-        if (target.size() > targetAtMost_) {
-            over = Over::Target;
+    void on_request_impl(beast::verb, BeastView method, BeastView target, int, ErrorCode& ec) override {
+        request_.method = toStd(method);
+        request_.target = toStd(target);
+        if (target.size() > maxTargetBytes_) {
+            exceeded = ExceededLimit::Target;
             ec = beast::error::header_limit;
         }
     }
-    void on_response_impl(int status, View, int, Code&) override { response_.status = status; }
-    void on_field_impl(beast::field, View name, View value, Code& ec) override {
+    void on_response_impl(int status, BeastView, int, ErrorCode&) override { response_.status = status; }
+    void on_field_impl(beast::field, BeastView name, BeastView value, ErrorCode& ec) override {
         Fields& fields = isRequest ? request_.fields : response_.fields;
-        if (fields.all().size() >= fieldsAtMost_) {
-            over = Over::Fields;
+        if (fields.all().size() >= maxFields_) {
+            exceeded = ExceededLimit::Fields;
             ec = beast::error::header_limit;
             return;
         }
-        fields.add(plain(name), plain(value));
+        fields.add(toStd(name), toStd(value));
     }
-    void on_header_impl(Code&) override {}
-    void on_body_init_impl(const boost::optional<std::uint64_t>&, Code&) override {}
-    std::size_t on_body_impl(View body, Code&) override {
-        user_.onBodyParsed(plain(body));
+    void on_header_impl(ErrorCode&) override {}
+    void on_body_init_impl(const boost::optional<std::uint64_t>&, ErrorCode&) override {}
+    std::size_t on_body_impl(BeastView body, ErrorCode&) override {
+        handler_.onBodyParsed(toStd(body));
         return body.size();
     }
-    void on_chunk_header_impl(std::uint64_t, View, Code&) override {}
-    std::size_t on_chunk_body_impl(std::uint64_t, View body, Code&) override {
-        user_.onBodyParsed(plain(body));
+    void on_chunk_header_impl(std::uint64_t, BeastView, ErrorCode&) override {}
+    std::size_t on_chunk_body_impl(std::uint64_t, BeastView body, ErrorCode&) override {
+        handler_.onBodyParsed(toStd(body));
         return body.size();
     }
-    void on_finish_impl(Code&) override { user_.onEndParsed(); }
+    void on_finish_impl(ErrorCode&) override { handler_.onEndParsed(); }
 
-    std::size_t fieldsAtMost_, targetAtMost_;
+    std::size_t maxFields_, maxTargetBytes_;
     RequestHead& request_;
     ResponseHead& response_;
-    ParserHandler& user_;
+    ParserHandler& handler_;
 };
 
-struct Parser::Any {
-    std::unique_ptr<Core<true>> request;
-    std::unique_ptr<Core<false>> response;
-    template <class Do>
-    auto with(Do&& what) {
-        return request ? what(*request) : what(*response);
+struct Parser::EitherParser {
+    std::unique_ptr<BeastParser<true>> request;
+    std::unique_ptr<BeastParser<false>> response;
+    template <class Visitor>
+    auto visit(Visitor&& visitor) {
+        return request ? visitor(*request) : visitor(*response);
     }
 };
 
-Parser::Parser(Kind kind, const HttpLimits& limits, ParserHandler& user)
-    : user_(user), any_(std::make_unique<Any>()) {
+Parser::Parser(Kind kind, const HttpLimits& limits, ParserHandler& handler)
+    : handler_(handler), parser_(std::make_unique<EitherParser>()) {
     if (kind == Kind::Request)
-        any_->request = std::make_unique<Core<true>>(limits, request_, response_, user);
+        parser_->request = std::make_unique<BeastParser<true>>(limits, request_, response_, handler);
     else
-        any_->response = std::make_unique<Core<false>>(limits, request_, response_, user);
+        parser_->response = std::make_unique<BeastParser<false>>(limits, request_, response_, handler);
 }
 Parser::~Parser() = default;
 
-Parser::Fed Parser::feed(std::string_view bytes) {
-    Fed fed;
-    any_->with([&](auto& core) {
-        while (fed.used < bytes.size() && !core.is_done()) {
-            Code ec;
-            const std::size_t used =
-                core.put(boost::asio::const_buffer(bytes.data() + fed.used, bytes.size() - fed.used), ec);
-            fed.used += used;
-            // A head may come alone: its length must be known before the first byte of the body is.
-            if (core.is_header_done() && !headTold_) {
-                headTold_ = true;
-                if (const auto length = core.content_length()) response_.length = *length;
-                user_.onHeadParsed();
+Parser::FeedResult Parser::feed(std::string_view bytes) {
+    FeedResult result;
+    parser_->visit([&](auto& parser) {
+        while (result.used < bytes.size() && !parser.is_done()) {
+            ErrorCode ec;
+            const std::size_t used = parser.put(
+                boost::asio::const_buffer(bytes.data() + result.used, bytes.size() - result.used), ec);
+            result.used += used;
+            // The head may arrive alone: its length is recorded before any byte of the body is parsed.
+            if (parser.is_header_done() && !headReported_) {
+                headReported_ = true;
+                if (const auto length = parser.content_length()) response_.length = *length;
+                handler_.onHeadParsed();
             }
             if (ec == beast::error::need_more) break;
             if (ec) {
-                fed.why = ec.message();
-                fed.badStatus = core.over == Over::Target          ? 414
-                                : ec == beast::error::header_limit ? 431
-                                : ec == beast::error::body_limit   ? 413
-                                                                   : 400;
+                result.why = ec.message();
+                result.errorStatus = parser.exceeded == ExceededLimit::Target ? 414
+                                     : ec == beast::error::header_limit       ? 431
+                                     : ec == beast::error::body_limit         ? 413
+                                                                              : 400;
                 break;
             }
             if (used == 0) break;
         }
     });
-    return fed;
+    return result;
 }
 
-bool Parser::ended() {
-    return any_->with([](auto& core) {
-        if (core.is_done()) return true;
-        if (!core.got_some()) return false;
-        Code ec;
-        core.put_eof(ec);
-        return !ec && core.is_done();
+bool Parser::finish() {
+    return parser_->visit([](auto& parser) {
+        if (parser.is_done()) return true;
+        if (!parser.got_some()) return false;
+        ErrorCode ec;
+        parser.put_eof(ec);
+        return !ec && parser.is_done();
     });
 }
 
-void Parser::answersHead() {
-    if (any_->response) any_->response->skip(true);
+void Parser::expectNoBody() {
+    if (parser_->response) parser_->response->skip(true);
 }
-bool Parser::headDone() const {
-    return any_->with([](auto& core) { return core.is_header_done(); });
+bool Parser::isHeadDone() const {
+    return parser_->visit([](auto& parser) { return parser.is_header_done(); });
 }
-bool Parser::done() const {
-    return any_->with([](auto& core) { return core.is_done(); });
+bool Parser::isDone() const {
+    return parser_->visit([](auto& parser) { return parser.is_done(); });
 }
 bool Parser::keepsConnection() const {
-    return any_->with([](auto& core) { return core.keep_alive(); });
+    return parser_->visit([](auto& parser) { return parser.keep_alive(); });
 }
 
 }  // namespace valekeel::http
--- a/src/http/parse.hpp
+++ b/src/http/parse.hpp
@@ -1,6 +1,7 @@
-// HTTP/1.1 out of bytes, by Boost.Beast's parser fed from our own buffers: it has no sockets of its own here.
-// Chosen over a C parser since it bounds heads and bodies itself, knows chunked coding and trailers, and
-// refuses the smuggling kinds (two lengths, length beside chunked, bare CR) as RFC 9112 wants.
+// An incremental HTTP/1.1 parser for requests and responses, on Boost.Beast's parser but without its sockets.
+// Beast was chosen over a C parser because it limits heads and bodies itself, handles chunked coding and
+// trailers, and rejects request smuggling (two lengths, a length beside chunked, bare CR) as RFC 9112
+// requires.
 #pragma once
 
 #include <functional>
@@ -12,7 +13,8 @@
 
 namespace valekeel::http {
 
-// What a parser tells, in order: one head, pieces of body, one end.
+// Parser callbacks, in this order: one head, any number of body pieces, one end. Called from within
+// Parser::feed(), and onEndParsed() also from Parser::finish(); must not delete the parser.
 class ParserHandler {
   public:
     virtual ~ParserHandler() = default;
@@ -21,38 +23,39 @@
     virtual void onEndParsed() = 0;
 };
 
+// Parses one message. The handler must outlive the parser.
 class Parser {
   public:
     enum class Kind { Request, Response };
     Parser(Kind, const HttpLimits&, ParserHandler&);
     ~Parser();
 
-    struct Fed {
-        std::size_t used = 0;
-        int badStatus = 0;  // 400, 413, 414 or 431: what a request with this error is answered
-        std::string why;
+    struct FeedResult {
+        std::size_t used = 0;  // bytes that were parsed
+        int errorStatus = 0;   // 0, or the status to answer an invalid request with: 400, 413, 414 or 431
+        std::string why;       // the error as text
     };
-    // Takes what it can of these bytes; the rest must come again with more behind it.
-    Fed feed(std::string_view bytes);
-    // No more bytes will come. False if the message was cut short.
-    bool ended();
-    void answersHead();  // a response without body (to HEAD)
-
-    bool headDone() const;
-    bool done() const;
-    bool keepsConnection() const;
+    // Parses as much of `bytes` as possible. The caller feeds the rest again, with more bytes appended.
+    FeedResult feed(std::string_view bytes);
+    // Tells the parser that no more bytes will arrive. Returns false if the message was cut short.
+    bool finish();
+    void expectNoBody();  // for the response to a HEAD request
+
+    bool isHeadDone() const;
+    bool isDone() const;
+    bool keepsConnection() const;  // whether another message may follow on the connection
     RequestHead& request() { return request_; }
     ResponseHead& response() { return response_; }
 
   private:
     template <bool isRequest>
-    class Core;
-    struct Any;
-    ParserHandler& user_;
-    bool headTold_ = false;
+    class BeastParser;
+    struct EitherParser;
+    ParserHandler& handler_;
+    bool headReported_ = false;
     RequestHead request_;
     ResponseHead response_;
-    std::unique_ptr<Any> any_;
+    std::unique_ptr<EitherParser> parser_;
 };
 
 }  // namespace valekeel::http
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,5 +1,5 @@
-// The serving side of HTTP/1.1: connections, requests one after the other (pipelined ones wait their turn),
-// answers with back-pressure. It knows nothing of what is asked for.
+// An HTTP/1.1 server: connections, requests one after the other (pipelined ones are queued), responses with
+// back-pressure. It does not interpret the requests; a Handler answers them.
 #pragma once
 
 #include <functional>
@@ -13,75 +13,79 @@
 
 namespace valekeel::http {
 
-// Who answers a request hears of its connection, until the answer is finished.
+// Callbacks about the connection of an Exchange, until its response is finished.
 class ExchangeHandler {
   public:
     virtual ~ExchangeHandler() = default;
-    virtual void onDrained() {}           // less than half of the out buffer is filled again
-    virtual void onConnectionLost() = 0;  // the connection is lost; the exchange must not be touched any more
+    virtual void onDrained() {}           // the unsent bytes fell below half of HttpLimits::outBytes
+    virtual void onConnectionLost() = 0;  // the exchange must not be used any more
 };
 
-// One request that is owed an answer.
+// One request and its response. Owned by the server; valid until the response is finished or aborted, or
+// until ExchangeHandler::onConnectionLost().
 class Exchange {
   public:
     virtual ~Exchange() = default;
     virtual const RequestHead& head() const = 0;
     virtual const std::string& body() const = 0;
     virtual net::Endpoint peer() const = 0;
-    virtual void setHandler(ExchangeHandler*) = 0;
-    // A whole answer; the exchange is over with it.
+    virtual void setHandler(ExchangeHandler*) = 0;  // not owned; null for none
+    // Sends a whole response, which ends the exchange.
     virtual void respond(int status, const Fields&, std::string_view body) = 0;
-    // An answer in pieces, of a length that is known.
+    // Begins a response of known length, to be continued by send() and ended by finish().
     virtual void begin(int status, const Fields&, std::uint64_t length) = 0;
-    // An answer without a known end, in chunks (RFC 9112, section 7.1).
+    // Begins a response of unknown length, in chunks (RFC 9112, section 7.1).
     virtual void beginChunked(int status, const Fields&) = 0;
     virtual void send(std::string_view) = 0;
     virtual void finish() = 0;
-    virtual std::size_t unsent() const = 0;
-    // An answer that can't be finished: the peer must see that it was cut short.
+    virtual std::size_t unsent() const = 0;  // bytes
+    // Resets the connection, so that the peer sees that the response was cut short.
     virtual void abort() = 0;
 };
 
+// Callbacks of a Server.
 class Handler {
   public:
     virtual ~Handler() = default;
-    // Answered now or later, exactly once.
+    // Must answer the exchange exactly once, at once or later.
     virtual void onRequest(Exchange&) = 0;
-    // A connection came; false turns it away. `open` counts it.
+    // Called for a new connection that is within the limits; returning false resets it.
     virtual bool acceptsConnection(const net::Endpoint&) { return true; }
-    virtual void onConnectionClosed(const net::Endpoint&) {}
-    // A request that could not be read was answered by `status`.
+    virtual void onConnectionClosed(const net::Endpoint&) {}  // only of connections that were accepted
+    // Called when a request could not be parsed, or was over a limit, and is answered with `status`.
     virtual void onMalformedRequest(const net::Endpoint&, int /*status*/, const std::string& /*why*/) {}
 };
 
+// Accepts connections and owns them. The handler must outlive the server.
 class Server : net::ListenerHandler {
   public:
-    // Throws std::runtime_error if it can't listen there.
+    // Throws std::runtime_error if it can't listen on the endpoint.
     Server(net::Net&, const net::Endpoint&, const HttpLimits&, Handler&);
     ~Server() override;
-    net::Endpoint endpoint() const { return at_; }
+    net::Endpoint endpoint() const { return endpoint_; }
     std::size_t connections() const { return open_.size(); }
     void stopListening() { listener_.reset(); }
-    // No new requests; connections close as their answers are done. `idle` is called when none is left.
-    void shutDown(std::function<void()> idle);
-    void resetAll();  // every connection ends at once with a reset
+    // Stops listening and closes each connection when its current response is sent. Calls `onIdle` when none
+    // is left, possibly from within this call.
+    void shutDown(std::function<void()> onIdle);
+    void resetAll();  // resets every connection
     void listenAgain();
 
   private:
-    class Conn;
+    class ServerConnection;
     void onAccepted(std::unique_ptr<net::Stream>) override;
-    void drop(Conn&);
+    void drop(ServerConnection&);
     net::Net& net_;
     HttpLimits limits_;
     Handler& handler_;
-    net::Endpoint at_;
+    net::Endpoint endpoint_;
     std::unique_ptr<net::Listener> listener_;
-    std::map<std::uint64_t, std::unique_ptr<Conn>> open_;
-    std::vector<std::unique_ptr<Conn>> dead_;
-    net::Timer bury_;
-    std::uint64_t next_ = 0;
-    bool finishing_ = false;
-    std::function<void()> idle_;
+    std::map<std::uint64_t, std::unique_ptr<ServerConnection>> open_;
+    std::vector<std::unique_ptr<ServerConnection>> closed_;  // deleted by deletion_: they may be on the stack
+    net::Timer deletion_;
+    std::uint64_t nextKey_ = 0;
+    bool shuttingDown_ = false;
+    std::function<void()> onIdle_;
 };
 
 }  // namespace valekeel::http
--- a/src/sip/message.cpp
+++ b/src/sip/message.cpp
@@ -12,11 +12,11 @@
 namespace valekeel::sip {
 namespace {
 
-void prepare() {
+void initializeParser() {
     static std::once_flag once;
     std::call_once(once, [] {
         parser_init();
-        // What is wrong with a message is ours to say, in our own log.
+        // osip's own traces are off: errors are reported by this module's callers.
         for (int level = 0; level < END_TRACE_LEVEL; ++level)
             osip_trace_disable_level(static_cast<osip_trace_level_t>(level));
         osip_trace_initialize_func(TRACE_LEVEL0,
@@ -26,72 +26,74 @@
     });
 }
 
-std::string lower(std::string_view text) {
+std::string toLower(std::string_view text) {
     std::string out(text);
     for (char& c : out)
         if (c >= 'A' && c <= 'Z') c = static_cast<char>(c + 32);
     return out;
 }
 std::string trimmed(std::string_view text) {
-    const auto from = text.find_first_not_of(" \t\r\n");
-    if (from == std::string_view::npos) return "";
-    return std::string(text.substr(from, text.find_last_not_of(" \t\r\n") - from + 1));
+    const auto first = text.find_first_not_of(" \t\r\n");
+    if (first == std::string_view::npos) return "";
+    return std::string(text.substr(first, text.find_last_not_of(" \t\r\n") - first + 1));
 }
-std::string textOf(const char* text) {
+std::string toString(const char* text) {
     return text ? text : "";
 }
-std::optional<int> numberOf(std::string_view text) {
+std::optional<int> parseNumber(std::string_view text) {
     const std::string clean = trimmed(text.substr(0, text.find(';')));
     int value = 0;
-    const auto [end, bad] = std::from_chars(clean.data(), clean.data() + clean.size(), value);
-    if (bad != std::errc{} || end != clean.data() + clean.size() || value < 0) return std::nullopt;
+    const auto [end, error] = std::from_chars(clean.data(), clean.data() + clean.size(), value);
+    if (error != std::errc{} || end != clean.data() + clean.size() || value < 0) return std::nullopt;
     return value;
 }
-void splitInto(std::vector<std::string>& out, std::string_view list) {
+void appendListItems(std::vector<std::string>& out, std::string_view list) {
     while (!list.empty()) {
         const auto comma = std::min(list.find(','), list.size());
-        if (const std::string one = lower(trimmed(list.substr(0, comma))); !one.empty()) out.push_back(one);
+        if (const std::string item = toLower(trimmed(list.substr(0, comma))); !item.empty())
+            out.push_back(item);
         list.remove_prefix(std::min(comma + 1, list.size()));
     }
 }
 
-struct Freed {
+struct OsipDeleter {
     void operator()(osip_message_t* m) const { osip_message_free(m); }
     void operator()(sdp_message_t* m) const { sdp_message_free(m); }
     void operator()(char* text) const { osip_free(text); }
 };
-using Text = std::unique_ptr<char, Freed>;
+using OsipText = std::unique_ptr<char, OsipDeleter>;
 
-template <class Of, class How>
-std::string written(const Of* of, How how) {
+template <class Element, class ToStr>
+std::string serialized(const Element* element, ToStr toStr) {
     char* out = nullptr;
-    if (!of || how(of, &out) != 0 || !out) return "";
-    return Text(out).get();
+    if (!element || toStr(element, &out) != 0 || !out) return "";
+    return OsipText(out).get();
 }
 
-std::map<std::string, std::string> paramsOf(const osip_list_t& list) {
+std::map<std::string, std::string> parseParams(const osip_list_t& list) {
     std::map<std::string, std::string> out;
     for (int i = 0; i < osip_list_size(&list); ++i) {
         const auto* p = static_cast<const osip_generic_param_t*>(osip_list_get(&list, i));
-        if (p && p->gname) out.emplace(lower(p->gname), textOf(p->gvalue));
+        if (p && p->gname) out.emplace(toLower(p->gname), toString(p->gvalue));
     }
     return out;
 }
 
-NameAddr addressOf(osip_from_t* from) {
+NameAddr parseNameAddr(osip_from_t* from) {
     NameAddr out;
-    out.written = written(from, [](const osip_from_t* f, char** to) { return osip_from_to_str(f, to); });
+    out.written = serialized(from, [](const osip_from_t* f, char** to) { return osip_from_to_str(f, to); });
     if (from->url)
-        out.uri = written(from->url, [](const osip_uri_t* u, char** to) { return osip_uri_to_str(u, to); });
+        out.uri =
+            serialized(from->url, [](const osip_uri_t* u, char** to) { return osip_uri_to_str(u, to); });
     osip_generic_param_t* tag = nullptr;
-    char name[] = "tag";  // osip's own macro hands a literal to a char*, which clang refuses
+    char name[] = "tag";  // osip's macro passes a string literal as char*, which clang rejects
     osip_generic_param_get_byname(&from->gen_params, name, &tag);
-    if (tag) out.tag = textOf(tag->gvalue);
+    if (tag) out.tag = toString(tag->gvalue);
     return out;
 }
 
-// What osip takes for well-formed and the RFC does not, checked here.
-std::string wrongWith(const Message& m) {
+// Checks what RFC 3261 requires and osip does not check. Returns the error, or an empty string.
+std::string headerError(const Message& m) {
     if (m.vias.empty()) return "Via is missing";
     if (m.callId.empty()) return "Call-ID is missing";
     if (m.from.tag.empty() && m.request) return "From has no tag";
@@ -108,7 +110,7 @@
 }
 
 ParseResult parse(std::string_view bytes, const SipLimits& limits) {
-    prepare();
+    initializeParser();
     ParseResult out;
     if (bytes.size() > limits.bytes) {
         out.status = 0;
@@ -117,7 +119,7 @@
     }
     if (bytes.find('\0') < bytes.find("\r\n\r\n")) {
         out.status = 0;
-        out.why = "a NUL within the head";
+        out.why = "a NUL in the head";
         return out;
     }
     osip_message_t* raw = nullptr;
@@ -125,82 +127,82 @@
         out.status = 0;
         return out;
     }
-    const std::unique_ptr<osip_message_t, Freed> whole(raw);
-    const std::string copy(bytes);  // osip wants a NUL behind it
-    const bool read = osip_message_parse(raw, copy.c_str(), copy.size()) == 0;
+    const std::unique_ptr<osip_message_t, OsipDeleter> owner(raw);
+    const std::string copy(bytes);  // osip requires a terminating NUL
+    const bool parsed = osip_message_parse(raw, copy.c_str(), copy.size()) == 0;
 
     Message m;
     m.request = MSG_IS_REQUEST(raw);
-    m.method = textOf(raw->sip_method);
+    m.method = toString(raw->sip_method);
     m.status = raw->status_code;
     if (raw->req_uri) {
         m.requestUri =
-            written(raw->req_uri, [](const osip_uri_t* u, char** to) { return osip_uri_to_str(u, to); });
-        m.user = textOf(raw->req_uri->username);
+            serialized(raw->req_uri, [](const osip_uri_t* u, char** to) { return osip_uri_to_str(u, to); });
+        m.user = toString(raw->req_uri->username);
         for (int i = 0; i < osip_list_size(&raw->req_uri->url_params); ++i) {
             const auto* p = static_cast<const osip_uri_param_t*>(osip_list_get(&raw->req_uri->url_params, i));
-            if (p && p->gname) m.uriParams.emplace(lower(p->gname), textOf(p->gvalue));
+            if (p && p->gname) m.uriParams.emplace(toLower(p->gname), toString(p->gvalue));
         }
     }
     for (int i = 0; i < osip_list_size(&raw->vias); ++i) {
         auto* via = static_cast<osip_via_t*>(osip_list_get(&raw->vias, i));
         Via v;
-        v.written = written(via, [](const osip_via_t* one, char** to) { return osip_via_to_str(one, to); });
-        v.transport = lower(textOf(via->protocol));
-        v.host = textOf(via->host);
-        if (via->port) v.port = numberOf(via->port).value_or(0);
-        v.params = paramsOf(via->via_params);
+        v.written = serialized(via, [](const osip_via_t* element, char** to) { return osip_via_to_str(element, to); });
+        v.transport = toLower(toString(via->protocol));
+        v.host = toString(via->host);
+        if (via->port) v.port = parseNumber(via->port).value_or(0);
+        v.params = parseParams(via->via_params);
         v.rport = v.params.count("rport") > 0;
         if (const auto b = v.params.find("branch"); b != v.params.end()) v.branch = b->second;
         m.vias.push_back(std::move(v));
     }
-    if (raw->from) m.from = addressOf(raw->from);
-    if (raw->to) m.to = addressOf(raw->to);
+    if (raw->from) m.from = parseNameAddr(raw->from);
+    if (raw->to) m.to = parseNameAddr(raw->to);
     if (raw->call_id)
-        m.callId = written(raw->call_id,
-                           [](const osip_call_id_t* c, char** to) { return osip_call_id_to_str(c, to); });
+        m.callId = serialized(raw->call_id,
+                              [](const osip_call_id_t* c, char** to) { return osip_call_id_to_str(c, to); });
     std::string cseqMethod;
-    bool cseqGood = false;
+    bool isCseqValid = false;
     if (raw->cseq) {
-        cseqMethod = textOf(raw->cseq->method);
+        cseqMethod = toString(raw->cseq->method);
         std::uint32_t number = 0;
-        const std::string digits = textOf(raw->cseq->number);
-        const auto [end, bad] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
-        cseqGood = bad == std::errc{} && end == digits.data() + digits.size() && number < 0x80000000u;
+        const std::string digits = toString(raw->cseq->number);
+        const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
+        isCseqValid = error == std::errc{} && end == digits.data() + digits.size() && number < 0x80000000u;
         m.cseq = number;
     }
     if (!m.request) m.method = cseqMethod;
     if (osip_list_size(&raw->contacts) > 0)
-        m.contact = addressOf(static_cast<osip_contact_t*>(osip_list_get(&raw->contacts, 0)));
+        m.contact = parseNameAddr(static_cast<osip_contact_t*>(osip_list_get(&raw->contacts, 0)));
     for (int i = 0; i < osip_list_size(&raw->record_routes); ++i)
-        m.recordRoutes.push_back(
-            written(static_cast<osip_record_route_t*>(osip_list_get(&raw->record_routes, i)),
-                    [](const osip_record_route_t* r, char** to) { return osip_record_route_to_str(r, to); }));
+        m.recordRoutes.push_back(serialized(
+            static_cast<osip_record_route_t*>(osip_list_get(&raw->record_routes, i)),
+            [](const osip_record_route_t* r, char** to) { return osip_record_route_to_str(r, to); }));
     for (int i = 0; i < osip_list_size(&raw->allows); ++i)
         if (const auto* a = static_cast<const osip_allow_t*>(osip_list_get(&raw->allows, i)))
-            splitInto(m.allow, textOf(a->value));
+            appendListItems(m.allow, toString(a->value));
     const int others = osip_list_size(&raw->headers);
     for (int i = 0; i < others; ++i) {
         const auto* h = static_cast<const osip_header_t*>(osip_list_get(&raw->headers, i));
         if (!h || !h->hname) continue;
-        std::string name = lower(h->hname);
-        const std::string value = textOf(h->hvalue);
-        if (name == "x") name = "session-expires";  // compact forms that osip leaves as they are
+        std::string name = toLower(h->hname);
+        const std::string value = toString(h->hvalue);
+        if (name == "x") name = "session-expires";  // compact forms that osip does not expand
         if (name == "k") name = "supported";
-        if (name == "max-forwards") m.maxForwards = numberOf(value);
-        if (name == "expires") m.expires = numberOf(value);
-        if (name == "min-se") m.minSe = numberOf(value);
+        if (name == "max-forwards") m.maxForwards = parseNumber(value);
+        if (name == "expires") m.expires = parseNumber(value);
+        if (name == "min-se") m.minSe = parseNumber(value);
         if (name == "session-expires") {
-            m.sessionExpires = numberOf(value);
-            const auto at = lower(value).find("refresher=");
-            if (at != std::string::npos) m.refresher = trimmed(lower(value).substr(at + 10, 3));
+            m.sessionExpires = parseNumber(value);
+            const auto at = toLower(value).find("refresher=");
+            if (at != std::string::npos) m.refresher = trimmed(toLower(value).substr(at + 10, 3));
         }
-        if (name == "require") splitInto(m.require, value);
-        if (name == "supported") splitInto(m.supported, value);
+        if (name == "require") appendListItems(m.require, value);
+        if (name == "supported") appendListItems(m.supported, value);
         m.others.emplace(std::move(name), value);
     }
     if (raw->content_type)
-        m.contentType = lower(written(raw->content_type, [](const osip_content_type_t* c, char** to) {
+        m.contentType = toLower(serialized(raw->content_type, [](const osip_content_type_t* c, char** to) {
             return osip_content_type_to_str(c, to);
         }));
     if (osip_list_size(&raw->bodies) > 0) {
@@ -208,23 +210,24 @@
         if (body && body->body) m.body.assign(body->body, body->length);
     }
 
-    std::string why = read ? wrongWith(m) : "it is no SIP message";
+    std::string why = parsed ? headerError(m) : "not a SIP message";
     if (why.empty() && (!raw->from || !raw->to)) why = "From or To is missing";
-    if (why.empty() && !cseqGood) why = "CSeq is broken";
+    if (why.empty() && !isCseqValid) why = "CSeq is malformed";
     if (why.empty() && m.request && cseqMethod != m.method) why = "CSeq names another method";
     if (why.empty() && m.request && m.maxForwards && *m.maxForwards > 255)
         why = "Max-Forwards is out of range";
     if (why.empty() && raw->sip_version && std::strcmp(raw->sip_version, "SIP/2.0") != 0) {
-        why = "another version of SIP";
+        why = "unsupported SIP version";
         out.status = 505;
     }
-    if (why.empty() && others > static_cast<int>(limits.headers)) why = "more headers than are read";
+    if (why.empty() && others > static_cast<int>(limits.headers)) why = "too many headers";
     if (why.empty()) {
         out.message = std::move(m);
         return out;
     }
     out.why = why;
-    // An answer needs a way back and something to match it by; an ACK or an answer is never answered.
+    // A response needs a Via to be routed by and headers to be matched by. An ACK or a response is never
+    // answered.
     if (m.request && m.method != "ACK" && !m.method.empty() && !m.vias.empty() && !m.callId.empty() &&
         raw->cseq && raw->from && raw->to)
         out.partial = std::move(m);
@@ -234,10 +237,10 @@
 }
 
 std::optional<Offer> parseOffer(std::string_view sdp) {
-    prepare();
+    initializeParser();
     sdp_message_t* raw = nullptr;
     if (sdp_message_init(&raw) != 0) return std::nullopt;
-    const std::unique_ptr<sdp_message_t, Freed> whole(raw);
+    const std::unique_ptr<sdp_message_t, OsipDeleter> owner(raw);
     const std::string copy(sdp);
     if (copy.find('\0') != std::string::npos || sdp_message_parse(raw, copy.c_str()) != 0)
         return std::nullopt;
@@ -249,38 +252,38 @@
             const char* value = sdp_message_b_bandwidth_get(raw, media, i);
             if (!kind || !value) return;
             std::uint64_t number = 0;
-            const auto [end, bad] = std::from_chars(value, value + std::strlen(value), number);
+            const auto [end, error] = std::from_chars(value, value + std::strlen(value), number);
             (void)end;
-            if (bad != std::errc{}) continue;
-            const std::string name = lower(kind);
+            if (error != std::errc{}) continue;
+            const std::string name = toLower(kind);
             if (name == "tias") out.maxBitrate = number;
             if (name == "as" && !out.maxBitrate && number < 1'000'000'000) out.maxBitrate = number * 1'000;
         }
     };
     bandwidth(-1);
     for (int media = 0; !sdp_message_endof_media(raw, media) && media < 64; ++media) {
-        const std::string kind = textOf(sdp_message_m_media_get(raw, media));
-        std::string line = kind + " " + "0 " + textOf(sdp_message_m_proto_get(raw, media));
+        const std::string kind = toString(sdp_message_m_media_get(raw, media));
+        std::string line = kind + " " + "0 " + toString(sdp_message_m_proto_get(raw, media));
         std::vector<std::string> formats;
         for (int i = 0; const char* payload = sdp_message_m_payload_get(raw, media, i); ++i)
             formats.push_back(payload);
         for (const std::string& f : formats) line += " " + f;
         out.mediaLines.push_back(line);
         if (kind != "video" || out.hasVideo) continue;
-        const int port = numberOf(textOf(sdp_message_m_port_get(raw, media))).value_or(0);
+        const int port = parseNumber(toString(sdp_message_m_port_get(raw, media))).value_or(0);
         if (port <= 0 || port > 65'535) continue;
         out.hasVideo = true;
-        out.videoAt = static_cast<std::size_t>(media);
+        out.videoIndex = static_cast<std::size_t>(media);
         out.videoPort = port;
         out.formats = formats;
         if (const char* address = sdp_message_c_addr_get(raw, media, 0)) out.address = address;
         bandwidth(media);
         for (int i = 0; const char* field = sdp_message_a_att_field_get(raw, media, i); ++i) {
-            const std::string name = lower(field);
+            const std::string name = toLower(field);
             if (name == "sendonly" || name == "inactive") out.wantsVideo = false;
         }
     }
-    out.medias = out.mediaLines.size();
+    out.mediaCount = out.mediaLines.size();
     return out;
 }
 
@@ -292,7 +295,7 @@
                       media.ip.to_string() + "\r\nt=0 0\r\n";
     for (std::size_t i = 0; i < offer.mediaLines.size(); ++i) {
         std::string line = offer.mediaLines[i];
-        if (i != offer.videoAt || !offer.hasVideo) {
+        if (i != offer.videoIndex || !offer.hasVideo) {
             out += "m=" + line + "\r\n";
             continue;
         }
@@ -307,16 +310,16 @@
                      const std::vector<std::pair<std::string, std::string>>& more, std::string_view body,
                      const net::Endpoint* received) {
     std::string out = "SIP/2.0 " + std::to_string(status) + " ";
-    out += reasonOf(status);
+    out += reasonPhrase(status);
     out += "\r\n";
     bool first = true;
     for (const Via& via : request.vias) {
         std::string value = headerSafe(via.written);
         if (std::exchange(first, false) && received) {
-            // Where it really came from (section 18.2.1; RFC 3581).
+            // The actual source of the request (section 18.2.1; RFC 3581).
             if (via.host != received->ip.to_string()) value += ";received=" + received->ip.to_string();
             if (via.rport && via.params.at("rport").empty()) {
-                const auto at = lower(value).find(";rport");
+                const auto at = toLower(value).find(";rport");
                 if (at != std::string::npos) value.insert(at + 6, "=" + std::to_string(received->port));
             }
         }
@@ -336,7 +339,7 @@
     return out;
 }
 
-std::string_view reasonOf(int status) {
+std::string_view reasonPhrase(int status) {
     switch (status) {
         case 100:
             return "Trying";
@@ -390,14 +393,14 @@
 }
 
 bool Framer::feed(std::string_view bytes) {
-    if (lost_) return false;
+    if (outOfSync_) return false;
     in_ += bytes;
-    return in_.size() <= 2 * most_;
+    return in_.size() <= 2 * maxMessageBytes_;
 }
 
 std::optional<std::string> Framer::next() {
-    while (!lost_) {
-        // CRLFs between messages keep a connection alive (section 7.5).
+    while (!outOfSync_) {
+        // CRLFs between messages are ignored (section 7.5); peers use them as keep-alives.
         const auto from = in_.find_first_not_of("\r\n");
         if (from == std::string::npos) {
             in_.clear();
@@ -406,7 +409,7 @@
         in_.erase(0, from);
         const auto end = in_.find("\r\n\r\n");
         if (end == std::string::npos) {
-            lost_ = in_.size() > most_;
+            outOfSync_ = in_.size() > maxMessageBytes_;
             return std::nullopt;
         }
         std::optional<std::size_t> length;
@@ -416,25 +419,25 @@
             const std::string_view line = std::string_view(in_).substr(at, next - at);
             const auto colon = line.find(':');
             const std::string name =
-                colon == std::string_view::npos ? "" : lower(trimmed(line.substr(0, colon)));
+                colon == std::string_view::npos ? "" : toLower(trimmed(line.substr(0, colon)));
             if (name == "content-length" || name == "l") {
-                const auto number = numberOf(line.substr(colon + 1));
+                const auto number = parseNumber(line.substr(colon + 1));
                 if (!number || (length && *length != static_cast<std::size_t>(*number))) {
-                    lost_ = true;  // where the next message begins can't be told
+                    outOfSync_ = true;  // the start of the next message is unknown
                     return std::nullopt;
                 }
                 length = static_cast<std::size_t>(*number);
             }
             at = next + 2;
         }
-        if (!length || end + 4 + *length > most_) {  // over a stream it must be there (section 20.14)
-            lost_ = true;
+        if (!length || end + 4 + *length > maxMessageBytes_) {  // required on a stream (section 20.14)
+            outOfSync_ = true;
             return std::nullopt;
         }
-        const std::size_t whole = end + 4 + *length;
-        if (in_.size() < whole) return std::nullopt;
-        std::string out = in_.substr(0, whole);
-        in_.erase(0, whole);
+        const std::size_t messageBytes = end + 4 + *length;
+        if (in_.size() < messageBytes) return std::nullopt;
+        std::string out = in_.substr(0, messageBytes);
+        in_.erase(0, messageBytes);
         return out;
     }
     return std::nullopt;
--- a/src/sip/message.hpp
+++ b/src/sip/message.hpp
@@ -1,5 +1,6 @@
-// SIP messages (RFC 3261) and their SDP (RFC 8866, RFC 3264), parsed by osip2 and held as plain values.
-// Written by hand: an answer copies what it must of the request to the letter (section 8.2.6.2).
+// SIP messages (RFC 3261) and their SDP (RFC 8866, RFC 3264). Parsed by osip2 into plain values. Responses
+// are serialized by this module's own code, since they copy several headers of the request unchanged (section
+// 8.2.6.2).
 #pragma once
 
 #include <cstdint>
@@ -13,85 +14,98 @@
 
 namespace valekeel::sip {
 
+// One Via value.
 struct Via {
-    std::string written;  // the whole value, as it came
+    std::string written;  // the whole value as text
     std::string transport, host, branch;
     int port = 5060;
-    bool rport = false;
+    bool rport = false;                         // whether it has the parameter rport (RFC 3581)
     std::map<std::string, std::string> params;  // names in lower case
 };
 
+// The value of From, To or Contact: as text, its URI, and its tag (empty if none).
 struct NameAddr {
     std::string written, uri, tag;
 };
 
+// A request or response. Strings are empty and optionals unset where the message has no such header.
 struct Message {
-    bool request = true;
-    std::string method;  // of the request, or of the CSeq for an answer
-    int status = 0;
-    std::string requestUri, user;                  // user part of the request URI, unescaped
-    std::map<std::string, std::string> uriParams;  // of the request URI
+    bool request = true;                           // or a response
+    std::string method;                            // of a response: the method in its CSeq
+    int status = 0;                                // of a response
+    std::string requestUri, user;                  // `user`: user part of the request URI, unescaped
+    std::map<std::string, std::string> uriParams;  // of the request URI, names in lower case
     std::vector<Via> vias;
     NameAddr from, to;
     std::optional<NameAddr> contact;
     std::string callId;
     std::uint32_t cseq = 0;
-    std::optional<int> maxForwards, expires, sessionExpires, minSe;
-    std::string refresher;  // of Session-Expires
-    std::vector<std::string> recordRoutes, require, supported, allow;
-    std::map<std::string, std::string> others;  // further headers, names in lower case
+    std::optional<int> maxForwards, expires, sessionExpires, minSe;    // times in seconds
+    std::string refresher;                                             // of Session-Expires: uac or uas
+    std::vector<std::string> recordRoutes, require, supported, allow;  // all but the routes in lower case
+    std::map<std::string, std::string>
+        others;  // headers that osip does not parse; names in lower case, first values
     std::string contentType, body;
 };
 
+// Limits on one message.
 struct SipLimits {
     std::size_t bytes = 65'535;
     std::size_t headers = 100;
 };
 
+// The parsed message; or, if it is malformed, how to answer it.
 struct ParseResult {
     std::optional<Message> message;
-    int status = 400;  // what a request that is broken is answered, if it can be answered
-    std::string why;
-    std::optional<Message> partial;  // what could be read of a broken request: enough to answer it
+    int status = 400;                // the status to answer a malformed request with; 0: it can't be answered
+    std::string why;                 // the error as text
+    std::optional<Message> partial;  // what was parsed of a malformed request, sufficient to answer it
 };
-// Of one whole message. A status of 0 means that silence is owed: nothing of it can be answered.
+// Parses one whole message.
 ParseResult parse(std::string_view bytes, const SipLimits& = {});
 
-struct Offer {  // what a caller's SDP asks for
+// A caller's SDP offer.
+struct Offer {
     std::string address;
     int videoPort = 0;
-    bool hasVideo = false, wantsVideo = true;  // wantsVideo: not recvonly/inactive the wrong way about
-    std::vector<std::string> formats;
-    std::optional<std::uint64_t> maxBitrate;  // b=TIAS, or b=AS as bits
-    std::size_t medias = 0;
-    std::vector<std::string> mediaLines;  // m= of each, to be refused where it is not the video's
-    std::size_t videoAt = 0;
+    bool hasVideo = false, wantsVideo = true;  // wantsVideo: the video is neither sendonly nor inactive
+    std::vector<std::string> formats;          // payload types of the video
+    std::optional<std::uint64_t> maxBitrate;   // bit/s, from b=TIAS, or else b=AS
+    std::size_t mediaCount = 0;
+    std::vector<std::string> mediaLines;  // the m= line of each media, without "m=" and with port 0
+    std::size_t videoIndex = 0;           // of the video in `mediaLines`
 };
+// Returns the offer, with its first video that has a port; empty if the SDP is malformed.
 std::optional<Offer> parseOffer(std::string_view sdp);
-// The answer of RFC 3264, section 6: the same media in the same order, all but the video refused by port 0.
+// Returns the answer (RFC 3264, section 6): the same media in the same order, all but the video rejected with
+// port 0. `bits` is the bitrate in bit/s; `session` and `version` go into the origin line.
 std::string writeAnswer(const Offer&, const net::Endpoint& media, std::uint64_t bits, std::uint64_t session,
                         std::uint64_t version);
 
-// An answer's head: Vias, From, To (with the tag), Call-ID, CSeq and Record-Route copied from the request.
+// Serializes a response: Vias, From, To (with the tag), Call-ID, CSeq and Record-Route copied from the
+// request, then `more` headers and an SDP body. With `received`, the source of the request, the topmost Via
+// gets the parameters received and rport.
 std::string response(const Message& request, int status, std::string_view toTag,
                      const std::vector<std::pair<std::string, std::string>>& more, std::string_view body = {},
                      const net::Endpoint* received = nullptr);
-std::string_view reasonOf(int status);
-std::string headerSafe(std::string_view);  // control characters replaced
+std::string_view reasonPhrase(int status);  // "Status" if unknown
+std::string headerSafe(std::string_view);   // replaces control characters by spaces
 
-// Streams carry messages one behind the other; Content-Length parts them (section 18.3).
+// Splits a byte stream into messages by their Content-Length (section 18.3).
 class Framer {
   public:
-    explicit Framer(std::size_t most) : most_(most) {}
-    // False once the stream can't be followed any more.
+    explicit Framer(std::size_t maxMessageBytes) : maxMessageBytes_(maxMessageBytes) {}
+    // Appends received bytes. Returns false if the stream can't be split any more, or if more than twice the
+    // message limit is buffered.
     bool feed(std::string_view bytes);
+    // Returns the next complete message; empty if there is none yet.
     std::optional<std::string> next();
-    std::size_t waiting() const { return in_.size(); }
+    std::size_t bufferedBytes() const { return in_.size(); }
 
   private:
-    std::size_t most_;
+    std::size_t maxMessageBytes_;
     std::string in_;
-    bool lost_ = false;
+    bool outOfSync_ = false;
 };
 
 }  // namespace valekeel::sip
--- a/src/sip/overload.hpp
+++ b/src/sip/overload.hpp
@@ -1,10 +1,10 @@
-// Overload control between SIP hops (RFC 7339, loss based; RFC 7415, rate based): what this server tells
-// those who send to it, and what it turns away itself from those who don't listen. Decides only: no I/O, no
-// clock.
+// Overload control between SIP hops (RFC 7339, loss based; RFC 7415, rate based): the feedback that this
+// server sends to its clients, and which requests it sheds itself from clients that ignore the feedback. No
+// I/O, no clock.
 //
-// Two measures: how much of what may wait for an answer is taken (which the gate finds from how long answers
-// take), and how long messages lay unread before this front came to them. Over either's target the share to
-// be shed rises; under both it falls slowly, so that it settles without swinging.
+// Two inputs: the fill ratio of the admission queue, whose limit the admission controller derives from answer
+// times, and the queueing delay of messages before they are read. Above the target of either, the share to
+// shed rises; below both it falls slowly, so that it settles without oscillating.
 #pragma once
 
 #include <cstdint>
@@ -15,49 +15,54 @@
 
 namespace valekeel::sip {
 
+// Settings of Overload. Shares are parts of 1; times are in microseconds.
 struct OverloadSettings {
-    double targetFill = 0.5;              // of what may wait, at which shedding begins
-    Micros targetQueueingDelay = 20'000;  // for which messages may lie unread, likewise
-    Micros updateInterval = 200'000;      // between looks
-    Micros validity = 1'000'000;          // what is told holds so long (oc-validity)
-    double maxLoss = 0.98;                // never all: some must come for it to be seen that it is over
-    double ratePerSecond = 1'000;         // what is told to rate-based clients at no load
+    double targetFill = 0.5;              // fill ratio of the admission queue above which shedding begins
+    Micros targetQueueingDelay = 20'000;  // queueing delay of messages above which shedding begins
+    Micros updateInterval = 200'000;      // between calls of update()
+    Micros validity = 1'000'000;          // how long clients may use the feedback (oc-validity)
+    double maxLoss = 0.98;  // below 1, since some requests must pass to detect that the overload is over
+    double ratePerSecond = 1'000;  // rate sent to rate-based clients without overload
 };
 
-// What was turned away without a transaction, so that each copy of it is turned away too and no request has
-// two final answers. A table of fixed size: a newcomer takes the place of an older one, never of more than
+// The requests that were refused without a transaction, by a hash, so that their retransmissions are refused
+// too and no request gets two final responses. A table of fixed size: a new entry replaces at most one older
 // one.
 class RefusedRequests {
   public:
-    explicit RefusedRequests(std::size_t places);  // rounded up to a power of two
-    void insert(std::uint64_t name) { places_[name & (places_.size() - 1)] = name | 1; }
-    bool contains(std::uint64_t name) const { return places_[name & (places_.size() - 1)] == (name | 1); }
+    explicit RefusedRequests(std::size_t slots);  // rounded up to a power of two
+    void insert(std::uint64_t hash) { slots_[hash & (slots_.size() - 1)] = hash | 1; }
+    bool contains(std::uint64_t hash) const { return slots_[hash & (slots_.size() - 1)] == (hash | 1); }
 
   private:
-    std::vector<std::uint64_t> places_;
+    std::vector<std::uint64_t> slots_;
 };
 
+// The control loop: computes the share of new INVITEs to shed from periodic measurements.
 class Overload {
   public:
-    explicit Overload(const OverloadSettings& terms) : terms_(terms) {}
+    explicit Overload(const OverloadSettings& settings) : settings_(settings) {}
 
-    // What was seen since the last look: how full the waiting room is, how long messages lay unread, new
-    // INVITEs that came, and those that the front brought to an end with a placement or a reasoned refusal.
-    void update(Micros now, double fill, Micros unread, std::uint64_t came, std::uint64_t served);
-    // The share of new INVITEs to be shed, 0 to 1.
+    // Takes the measurements since the last update: the fill ratio of the admission queue, the queueing delay
+    // of messages, the new INVITEs that arrived, and those answered with a placement or a reasoned
+    // refusal.
+    void update(Micros now, double fill, Micros queueingDelay, std::uint64_t arrived, std::uint64_t served);
+    // Returns the share of new INVITEs to shed, 0 to 1.
     double loss() const { return loss_; }
+    // Returns the rate for rate-based clients, in requests per second.
     double rate() const { return rate_; }
-    // Whether this new INVITE is shed here. `draw` in 0 to 1; `listens`: its Via offered oc, so its sender
-    // sheds by itself, and only what is over twice the bound is shed here too. Emergencies are never shed.
-    bool shouldShed(double draw, bool listens, bool emergency, double fill) const;
-    // Parameters for the topmost Via of an answer, to one that offered oc; empty if it named no algorithm of
-    // ours.
+    // Returns whether to shed a new INVITE. `draw` is random, in 0 to 1. `supportsControl`: its Via offered
+    // oc, so the client sheds by itself, and this server sheds only if `fill` is more than halfway from the
+    // target to 1. A full queue sheds every INVITE but emergency calls, which are never shed.
+    bool shouldShed(double draw, bool supportsControl, bool emergency, double fill) const;
+    // Returns parameters for the topmost Via of a response to a client that offered oc with these algorithms.
+    // Empty if none of them is supported.
     std::string viaParameters(const std::string& algorithms) const;
 
   private:
-    OverloadSettings terms_;
+    OverloadSettings settings_;
     double loss_ = 0, rate_ = 1e9;
-    Micros lookedAt_ = 0;
+    Micros lastUpdate_ = 0;
     std::uint64_t sequence_ = 0;
 };
 
--- a/src/sip/prefilter.cpp
+++ b/src/sip/prefilter.cpp
@@ -5,7 +5,7 @@
 namespace valekeel::sip {
 namespace {
 
-constexpr std::size_t kMost = 8'192;
+constexpr std::size_t kMaxBytes = 8'192;
 
 bool sameName(std::string_view a, std::string_view lowerName) {
     if (a.size() != lowerName.size()) return false;
@@ -20,15 +20,15 @@
     while (!text.empty() && text.back() == ' ') text.remove_suffix(1);
     return text;
 }
-// The value of ";name=", as far as the next semicolon.
-std::string_view parameter(std::string_view value, std::string_view named) {
-    const auto at = value.find(named);
+// Returns the value of the parameter that `prefix` (";name=") begins, up to the next semicolon.
+std::string_view parameter(std::string_view value, std::string_view prefix) {
+    const auto at = value.find(prefix);
     if (at == std::string_view::npos) return {};
-    const auto from = at + named.size();
+    const auto from = at + prefix.size();
     return value.substr(from, value.find(';', from) - from);
 }
 
-// Of an address: behind its brackets, so that no display name is taken for one.
+// Looks only behind the address's brackets, so that text in a display name is not taken for a tag.
 bool hasTag(std::string_view address) {
     const auto close = address.rfind('>');
     return address.find(";tag=", close == std::string_view::npos ? 0 : close) != std::string_view::npos;
@@ -45,9 +45,9 @@
 
 std::optional<PrefilteredRequest> prefilter(std::string_view bytes) {
     const auto end = bytes.find("\r\n\r\n");
-    if (end == std::string_view::npos || bytes.size() > kMost) return std::nullopt;
+    if (end == std::string_view::npos || bytes.size() > kMaxBytes) return std::nullopt;
     const std::string_view head = bytes.substr(0, end);
-    // A lone CR or LF, a NUL, or what is not ASCII: for the other reader.
+    // Messages with a lone CR or LF, a control character or non-ASCII text are left to parse().
     for (std::size_t i = 0; i < head.size(); ++i) {
         const auto c = static_cast<unsigned char>(head[i]);
         if (c == '\r' && i + 1 < head.size() && head[i + 1] == '\n') {
@@ -74,43 +74,43 @@
         if (colon == std::string_view::npos || colon < 2 || line[0] == ' ' || line[colon - 1] == ' ')
             return std::nullopt;
         const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
-        std::string_view* place = sameName(name, "via")       ? &out.via
-                                  : sameName(name, "from")    ? &out.from
-                                  : sameName(name, "to")      ? &out.to
-                                  : sameName(name, "call-id") ? &out.callId
-                                  : sameName(name, "cseq")    ? &out.cseq
-                                                              : nullptr;
+        std::string_view* target = sameName(name, "via")       ? &out.via
+                                   : sameName(name, "from")    ? &out.from
+                                   : sameName(name, "to")      ? &out.to
+                                   : sameName(name, "call-id") ? &out.callId
+                                   : sameName(name, "cseq")    ? &out.cseq
+                                                               : nullptr;
         if (sameName(name, "resource-priority") || sameName(name, "record-route")) return std::nullopt;
-        if (!place) continue;
-        if (!place->empty() || value.empty()) return std::nullopt;
-        *place = value;
+        if (!target) continue;
+        if (!target->empty() || value.empty()) return std::nullopt;
+        *target = value;
     }
-    for (const std::string_view v : {out.via, out.from, out.to, out.callId, out.cseq})
-        if (v.empty()) return std::nullopt;
+    for (const std::string_view value : {out.via, out.from, out.to, out.callId, out.cseq})
+        if (value.empty()) return std::nullopt;
     if (out.via.substr(0, 12) != "SIP/2.0/UDP " || out.via.find_first_of(",\"") != std::string_view::npos ||
         out.from.find('\\') != std::string_view::npos || out.to.find('\\') != std::string_view::npos ||
         !hasTag(out.from) || out.callId.find(' ') != std::string_view::npos)
         return std::nullopt;
-    const std::string_view sent = out.via.substr(12);
-    const auto semicolon = sent.find(';');
+    const std::string_view viaValue = out.via.substr(12);
+    const auto semicolon = viaValue.find(';');
     if (semicolon == std::string_view::npos) return std::nullopt;
-    out.sentBy = sent.substr(0, semicolon);
+    out.sentBy = viaValue.substr(0, semicolon);
     out.branch = parameter(out.via, ";branch=");
-    const auto token = [](std::string_view text, std::string_view also) {
+    const auto consistsOf = [](std::string_view text, std::string_view punctuation) {
         return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
             return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-                   also.find(c) != std::string_view::npos;
+                   punctuation.find(c) != std::string_view::npos;
         });
     };
     const auto colon = out.sentBy.find(':');
-    if (colon != std::string_view::npos) {  // a port as a number is written: it is part of a name
+    if (colon != std::string_view::npos) {  // without leading zeros: it becomes part of the key
         const std::string_view port = out.sentBy.substr(colon + 1);
         if (port.empty() || port.size() > 5 || port[0] == '0' ||
             port.find_first_not_of("0123456789") != std::string_view::npos)
             return std::nullopt;
     }
-    if (!token(out.sentBy.substr(0, colon), ".-") || out.branch.substr(0, 7) != "z9hG4bK" ||
-        !token(out.branch, "-._~+!*%'`"))
+    if (!consistsOf(out.sentBy.substr(0, colon), ".-") || out.branch.substr(0, 7) != "z9hG4bK" ||
+        !consistsOf(out.branch, "-._~+!*%'`"))
         return std::nullopt;
     const auto methodAt = out.cseq.find(' ');
     if (methodAt == std::string_view::npos || methodAt > 9 || out.cseq.substr(methodAt + 1) != out.method ||
@@ -121,26 +121,28 @@
     return out;
 }
 
-std::string refusal(const PrefilteredRequest& g, std::string_view statusLine, std::string_view toTag,
-                    std::string_view viaMore, long retryAfterSeconds, const net::Endpoint& from) {
+std::string refusal(const PrefilteredRequest& request, std::string_view statusLine, std::string_view toTag,
+                    std::string_view viaParameters, long retryAfterSeconds, const net::Endpoint& from) {
     std::string out;
-    out.reserve(g.via.size() + g.from.size() + g.to.size() + g.callId.size() + viaMore.size() + 220);
-    const auto put = [&](std::initializer_list<std::string_view> parts) {
+    out.reserve(request.via.size() + request.from.size() + request.to.size() + request.callId.size() +
+                viaParameters.size() + 220);
+    const auto append = [&](std::initializer_list<std::string_view> parts) {
         for (const std::string_view p : parts) out += p;
     };
-    put({"SIP/2.0 ", statusLine, "\r\nVia: "});
-    const auto rport = g.via.find(";rport");
-    const bool asks = rport != std::string_view::npos &&
-                      (rport + 6 == g.via.size() || g.via[rport + 6] == ';');  // RFC 3581
+    append({"SIP/2.0 ", statusLine, "\r\nVia: "});
+    const auto rport = request.via.find(";rport");
+    const bool wantsRport = rport != std::string_view::npos &&
+                            (rport + 6 == request.via.size() || request.via[rport + 6] == ';');  // RFC 3581
     const std::string ip = from.ip.to_string();
-    if (asks)
-        put({g.via.substr(0, rport), ";rport=", std::to_string(from.port), ";received=", ip,
-             g.via.substr(rport + 6)});
+    if (wantsRport)
+        append({request.via.substr(0, rport), ";rport=", std::to_string(from.port), ";received=", ip,
+                request.via.substr(rport + 6)});
     else
-        put({g.via, g.sentBy.substr(0, g.sentBy.rfind(':')) == ip ? "" : ";received=" + ip});
-    put({viaMore, "\r\nFrom: ", g.from, "\r\nTo: ", g.to, ";tag=", toTag, "\r\nCall-ID: ", g.callId,
-         "\r\nCSeq: ", g.cseq, "\r\nRetry-After: ", std::to_string(retryAfterSeconds),
-         "\r\nContent-Length: 0\r\n\r\n"});
+        append({request.via,
+                request.sentBy.substr(0, request.sentBy.rfind(':')) == ip ? "" : ";received=" + ip});
+    append({viaParameters, "\r\nFrom: ", request.from, "\r\nTo: ", request.to, ";tag=", toTag,
+            "\r\nCall-ID: ", request.callId, "\r\nCSeq: ", request.cseq,
+            "\r\nRetry-After: ", std::to_string(retryAfterSeconds), "\r\nContent-Length: 0\r\n\r\n"});
     return out;
 }
 
--- a/src/sip/prefilter.hpp
+++ b/src/sip/prefilter.hpp
@@ -1,6 +1,6 @@
-// The least that must be read of a request to turn it away, or to know that it was: no copy is made and no
-// list built. Only of the plainest form, as all common callers write it: full header names, one Via, nothing
-// folded. What is written otherwise is read whole by parse().
+// A minimal parser for INVITE and ACK, to refuse a request under load, or to recognize one that was refused,
+// without copying or building lists. Accepts only the plain form that common callers send: full header names,
+// one Via, no folded lines. All other requests go through parse().
 #pragma once
 
 #include <optional>
@@ -11,19 +11,21 @@
 
 namespace valekeel::sip {
 
-struct PrefilteredRequest {                                // views into the message
-    std::string_view method, via, from, to, callId, cseq;  // values, as written
-    std::string_view branch, sentBy;
+// Views into the message, which must outlive them.
+struct PrefilteredRequest {
+    std::string_view method, via, from, to, callId, cseq;  // header values as written
+    std::string_view branch, sentBy;                       // of the Via
     bool toHasTag = false;
-    // As Transactions::keyOf() names the INVITE that this is, or belongs to.
+    // Returns Transactions::keyOf() of the INVITE that this request is or acknowledges.
     std::string inviteKey() const;
 };
 
-// Nothing where it is no such request, or anything about it is out of the ordinary.
+// Empty if the message is not an INVITE or ACK in the plain form.
 std::optional<PrefilteredRequest> prefilter(std::string_view bytes);
 
-// A refusal of it, whole. `viaMore`: parameters for the Via, each with its semicolon.
-std::string refusal(const PrefilteredRequest&, std::string_view statusLine, std::string_view toTag,
-                    std::string_view viaMore, long retryAfterSeconds, const net::Endpoint& from);
+// Returns a whole refusal response. `statusLine` is the status and its reason phrase; `viaParameters` are
+// appended to the Via, each with its semicolon; `from` is the source of the request.
+std::string refusal(const PrefilteredRequest& request, std::string_view statusLine, std::string_view toTag,
+                    std::string_view viaParameters, long retryAfterSeconds, const net::Endpoint& from);
 
 }  // namespace valekeel::sip
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -4,90 +4,91 @@
 
 namespace valekeel::sip {
 
-Transactions::Transactions(net::Net& net, const SipTimers& times, std::size_t atMost,
-                           TransactionHandler& user)
-    : net_(net), times_(times), atMost_(atMost), user_(user) {}
+Transactions::Transactions(net::Net& net, const SipTimers& timers, std::size_t maxTransactions,
+                           TransactionHandler& handler)
+    : net_(net), timers_(timers), maxTransactions_(maxTransactions), handler_(handler) {}
 Transactions::~Transactions() = default;
 
 std::string Transactions::keyOf(const Message& m) {
     const Via& via = m.vias.front();
     const std::string method = m.method == "ACK" || m.method == "CANCEL" ? "INVITE" : m.method;
-    const std::string own = m.method == "CANCEL" ? "|CANCEL" : "";
+    const std::string suffix = m.method == "CANCEL" ? "|CANCEL" : "";
     if (via.branch.compare(0, 7, "z9hG4bK") == 0)
-        return via.branch + "|" + via.host + ":" + std::to_string(via.port) + "|" + method + own;
+        return via.branch + "|" + via.host + ":" + std::to_string(via.port) + "|" + method + suffix;
     return m.callId + "|" + std::to_string(m.cseq) + "|" + m.from.tag + "|" + m.requestUri + "|" +
-           via.written + "|" + method + own;
+           via.written + "|" + method + suffix;
 }
 
-Transactions::RequestDisposition Transactions::request(const Message& m, const ReplyRoute& way) {
+Transactions::RequestDisposition Transactions::request(const Message& m, const ReplyRoute& route) {
     const std::string key = keyOf(m);
     const auto it = all_.find(key);
     if (it != all_.end()) {
         ++absorbed_;
-        One& one = it->second;
-        one.way = way;  // from another port, after a NAT's whim: the answer goes where it was last asked
-        const bool still =
-            one.state == TransactionState::Proceeding || one.state == TransactionState::Completed;
-        if (still && !one.last.empty()) user_.sendTo(one.way, one.last);
+        Transaction& transaction = it->second;
+        transaction.route = route;  // a NAT may have changed the port: answer to the latest source
+        const bool canResend = transaction.state == TransactionState::Proceeding ||
+                               transaction.state == TransactionState::Completed;
+        if (canResend && !transaction.lastResponse.empty())
+            handler_.sendTo(transaction.route, transaction.lastResponse);
         return RequestDisposition::Absorbed;
     }
-    if (all_.size() >= atMost_) return RequestDisposition::Full;
-    One& one = all_[key];
-    one.invite = m.method == "INVITE";
-    one.way = way;
+    if (all_.size() >= maxTransactions_) return RequestDisposition::Full;
+    Transaction& transaction = all_[key];
+    transaction.invite = m.method == "INVITE";
+    transaction.route = route;
     return RequestDisposition::New;
 }
 
 bool Transactions::respond(const std::string& key, int status, std::string bytes) {
     const auto it = all_.find(key);
     if (it == all_.end() || it->second.state != TransactionState::Proceeding) return false;
-    One& one = it->second;
-    one.last = std::move(bytes);
-    user_.sendTo(one.way, one.last);
+    Transaction& transaction = it->second;
+    transaction.lastResponse = std::move(bytes);
+    handler_.sendTo(transaction.route, transaction.lastResponse);
     if (status < 200) return true;
-    one.end = std::make_unique<net::Timer>(net_, [this, key] { over(key); });
-    if (!one.invite) {
-        one.state = TransactionState::Completed;
-        one.end->after(one.way.stream ? 0 : 64 * times_.t1);  // timer J
+    transaction.end = std::make_unique<net::Timer>(net_, [this, key] { terminate(key); });
+    if (!transaction.invite) {
+        transaction.state = TransactionState::Completed;
+        transaction.end->after(transaction.route.stream ? 0 : 64 * timers_.t1);  // timer J
         return true;
     }
-    one.state = status < 300 ? TransactionState::Accepted : TransactionState::Completed;
-    one.end->after(64 * times_.t1);  // timers H and L
-    // Timer G; a 200 is sent again by its dialog over any transport (section 13.3.1.4), which is done here
-    // too.
-    if (status < 300 || !one.way.stream) {
-        one.wait = times_.t1;
-        one.again = std::make_unique<net::Timer>(net_, [this, key] { repeat(key); });
-        one.again->after(one.wait);
+    transaction.state = status < 300 ? TransactionState::Accepted : TransactionState::Completed;
+    transaction.end->after(64 * timers_.t1);  // timers H and L
+    // Timer G. The dialog retransmits a 200 over any transport (section 13.3.1.4); that is done here too.
+    if (status < 300 || !transaction.route.stream) {
+        transaction.retransmitInterval = timers_.t1;
+        transaction.retransmit = std::make_unique<net::Timer>(net_, [this, key] { retransmitResponse(key); });
+        transaction.retransmit->after(transaction.retransmitInterval);
     }
     return true;
 }
 
-void Transactions::repeat(const std::string& key) {
+void Transactions::retransmitResponse(const std::string& key) {
     const auto it = all_.find(key);
     if (it == all_.end()) return;
-    One& one = it->second;
-    user_.sendTo(one.way, one.last);
-    one.wait = std::min(2 * one.wait, times_.t2);
-    one.again->after(one.wait);
+    Transaction& transaction = it->second;
+    handler_.sendTo(transaction.route, transaction.lastResponse);
+    transaction.retransmitInterval = std::min(2 * transaction.retransmitInterval, timers_.t2);
+    transaction.retransmit->after(transaction.retransmitInterval);
 }
 
 bool Transactions::ack(const Message& m) {
     const auto it = all_.find(keyOf(m));
     if (it == all_.end()) return false;
-    One& one = it->second;
-    if (one.state == TransactionState::Completed) {
-        one.state = TransactionState::Confirmed;
-        if (one.again) one.again->cancel();
-        one.end->after(one.way.stream ? 0 : times_.t4);  // timer I: later ACKs are absorbed
+    Transaction& transaction = it->second;
+    if (transaction.state == TransactionState::Completed) {
+        transaction.state = TransactionState::Confirmed;
+        if (transaction.retransmit) transaction.retransmit->cancel();
+        // Timer I: later ACKs are absorbed.
+        transaction.end->after(transaction.route.stream ? 0 : timers_.t4);
     }
-    return one.state != TransactionState::Accepted;
+    return transaction.state != TransactionState::Accepted;
 }
 
 void Transactions::onAcknowledged(const std::string& key) {
     const auto it = all_.find(key);
     if (it == all_.end() || it->second.state != TransactionState::Accepted) return;
-    if (it->second.again) it->second.again->cancel();
+    if (it->second.retransmit) it->second.retransmit->cancel();
     it->second.state = TransactionState::Confirmed;
 }
 
@@ -97,15 +98,15 @@
     return it->second.state;
 }
 
-void Transactions::over(const std::string& key) {
+void Transactions::terminate(const std::string& key) {
     const auto it = all_.find(key);
     if (it == all_.end()) return;
-    const bool unheard = it->second.state == TransactionState::Accepted;
-    spent_.clear();
-    spent_.push_back(std::move(it->second.end));  // this very call lies in it
-    if (it->second.again) it->second.again->cancel();
+    const bool unacknowledged = it->second.state == TransactionState::Accepted;
+    expiredTimers_.clear();
+    expiredTimers_.push_back(std::move(it->second.end));  // its callback is running
+    if (it->second.retransmit) it->second.retransmit->cancel();
     all_.erase(it);
-    if (unheard) user_.onAckTimeout(key);
+    if (unacknowledged) handler_.onAckTimeout(key);
 }
 
 }  // namespace valekeel::sip
--- a/src/sip/transactions.hpp
+++ b/src/sip/transactions.hpp
@@ -1,9 +1,9 @@
-// Server transactions (RFC 3261, section 17.2, with RFC 6026's Accepted state). No I/O and no clock of its
-// own: the face hands in what came, and sends what it is told to. osip2's own transaction machines read the
-// wall clock and keep their own timer lists, which neither a virtual clock nor our limits could reach; so
-// only its parser is used.
+// SIP server transactions (RFC 3261, section 17.2, with RFC 6026's Accepted state). No sockets: the SIP
+// frontend passes in requests and sends the responses. osip2's own transaction machines are not used, because
+// they read the wall clock and keep their own timer lists, out of reach of a virtual clock and of this
+// project's limits.
 //
-// A retransmission is absorbed here: it costs a look-up and, at most, the last answer sent again.
+// Retransmissions are absorbed here: each costs a look-up and at most one resend of the last response.
 #pragma once
 
 #include <functional>
@@ -17,68 +17,75 @@
 
 namespace valekeel::sip {
 
-struct SipTimers {  // section 17.1.1.1; longer ones are multiples
+// The base timers of section 17.1.1.1 in microseconds; longer ones are multiples of them.
+struct SipTimers {
     Micros t1 = 500'000, t2 = 4'000'000, t4 = 5'000'000;
 };
 
-// Where a request came from, and answers go.
+// The source of a request, to which responses are sent.
 struct ReplyRoute {
-    bool stream = false;
-    std::uint64_t connection = 0;  // of a stream
+    bool stream = false;           // a stream connection, otherwise datagrams
+    std::uint64_t connection = 0;  // id of the stream connection
     net::Endpoint peer;
     auto operator<=>(const ReplyRoute&) const = default;
 };
 
 enum class TransactionState { Proceeding, Completed, Confirmed, Accepted, Terminated };
 
+// Callbacks of Transactions.
 class TransactionHandler {
   public:
     virtual ~TransactionHandler() = default;
     virtual void sendTo(const ReplyRoute&, const std::string& bytes) = 0;
-    // A 200 to an INVITE was never acknowledged; or a failure's ACK never came (nothing more is done then).
+    // Called when a 200 to an INVITE was not acknowledged in time, after the transaction was deleted.
     virtual void onAckTimeout(const std::string& key) = 0;
 };
 
+// The set of active server transactions, by key. The handler must outlive it.
 class Transactions {
   public:
-    Transactions(net::Net&, const SipTimers&, std::size_t atMost, TransactionHandler&);
+    Transactions(net::Net&, const SipTimers&, std::size_t maxTransactions, TransactionHandler&);
     ~Transactions();
 
-    // Matched as section 17.2.3 says: by branch, sent-by and method (an ACK's and a CANCEL's by the
-    // INVITE's). Without the magic cookie, by the older rules' fields.
+    // Returns the key that matches a request to its transaction (section 17.2.3): by branch, sent-by and
+    // method, where an ACK has its INVITE's key and a CANCEL a variant of it. Without the magic cookie in the
+    // branch, by the fields of the older rules.
     static std::string keyOf(const Message&);
 
     enum class RequestDisposition { New, Absorbed, Full };
-    // A request that is no ACK. New: the user owes it an answer by respond().
+    // Takes a request other than ACK. New: the caller must answer it by respond(). Absorbed: a
+    // retransmission. Full: `maxTransactions` are active; no transaction was created.
     RequestDisposition request(const Message&, const ReplyRoute&);
-    // An ACK to a failure is absorbed; one to a 200 is for the dialog, and tells so by false.
+    // Takes an ACK. Returns true if it was absorbed, as the ACK to a failure is; false if it is for the
+    // dialog.
     bool ack(const Message&);
-    // A provisional answer, or the final one. Each transaction takes one final answer; more are refused.
+    // Sends a provisional or final response. Returns false if there is no such transaction, or if it has its
+    // final response.
     bool respond(const std::string& key, int status, std::string bytes);
-    // The dialog heard the ACK of its 200: it is sent no more.
+    // Called when the dialog has received the ACK to its 200, to stop retransmissions of it.
     void onAcknowledged(const std::string& key);
     bool contains(const std::string& key) const { return all_.count(key) > 0; }
     std::optional<TransactionState> stateOf(const std::string& key) const;
     std::size_t size() const { return all_.size(); }
-    std::uint64_t absorbed() const { return absorbed_; }
+    std::uint64_t absorbed() const { return absorbed_; }  // retransmitted requests so far
 
   private:
-    struct One {
+    struct Transaction {
         bool invite = false;
-        ReplyRoute way;
+        ReplyRoute route;
         TransactionState state = TransactionState::Proceeding;
-        std::string last;
-        Micros wait = 0, until = 0;
-        std::unique_ptr<net::Timer> again, end;
+        std::string lastResponse;
+        Micros retransmitInterval = 0, until = 0;
+        std::unique_ptr<net::Timer> retransmit, end;
     };
-    void repeat(const std::string& key);
-    void over(const std::string& key);
+    void retransmitResponse(const std::string& key);
+    void terminate(const std::string& key);
     net::Net& net_;
-    SipTimers times_;
-    std::size_t atMost_;
-    TransactionHandler& user_;
-    std::map<std::string, One> all_;
-    std::vector<std::unique_ptr<net::Timer>> spent_;
+    SipTimers timers_;
+    std::size_t maxTransactions_;
+    TransactionHandler& handler_;
+    std::map<std::string, Transaction> all_;
+    std::vector<std::unique_ptr<net::Timer>> expiredTimers_;
     std::uint64_t absorbed_ = 0;
 };
 
