--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -1,3 +1,5 @@
+// Fuzzes the server list parsers: the SSE reader, and the list file, which must keep its entries when
+// formatted.
 #include <cstdint>
 #include <cstdlib>
 
--- a/fuzz/node.cpp
+++ b/fuzz/node.cpp
@@ -1,25 +1,28 @@
+// Fuzzes the node messages: a parsed line must serialize and parse to the same message, and change events
+// must be the same whether the bytes are fed whole or in two parts.
 #include <cstdint>
 #include <cstdlib>
 
 #include "node/changelog.hpp"
 #include "node/message.hpp"
 
-// A line that is read, written and read again is the same; frames cut in two are the same as whole.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace valekeel::node;
     const std::string_view bytes(reinterpret_cast<const char*>(data), size);
     if (const auto message = messageOf(bytes)) {
         const std::string line = lineOf(*message);
-        const auto again = messageOf(std::string_view(line).substr(0, line.size() - 1));
-        if (!again || again->tag != message->tag || again->description != message->description ||
-            again->cause != message->cause || again->opts != message->opts)
+        const auto reparsed = messageOf(std::string_view(line).substr(0, line.size() - 1));
+        if (!reparsed || reparsed->tag != message->tag || reparsed->description != message->description ||
+            reparsed->cause != message->cause || reparsed->opts != message->opts)
             std::abort();
     }
-    std::size_t whole = 0, cut = 0;
-    FrameReader one(2, 2, 16), two(2, 2, 16);
-    const bool readable = one.feed(bytes, [&](const ChangeEvent& e, bool) { whole += 1 + e.boxes.size(); });
-    const auto count = [&](const ChangeEvent& e, bool) { cut += 1 + e.boxes.size(); };
-    const bool both = two.feed(bytes.substr(0, size / 2), count) && two.feed(bytes.substr(size / 2), count);
-    if (readable != both || whole != cut) std::abort();
+    std::size_t wholeCount = 0, splitCount = 0;
+    FrameReader wholeReader(2, 2, 16), splitReader(2, 2, 16);
+    const bool wholeParsed =
+        wholeReader.feed(bytes, [&](const ChangeEvent& e, bool) { wholeCount += 1 + e.boxes.size(); });
+    const auto count = [&](const ChangeEvent& e, bool) { splitCount += 1 + e.boxes.size(); };
+    const bool splitParsed =
+        splitReader.feed(bytes.substr(0, size / 2), count) && splitReader.feed(bytes.substr(size / 2), count);
+    if (wholeParsed != splitParsed || wholeCount != splitCount) std::abort();
     return 0;
 }
