--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -65,11 +65,11 @@
         if (!seenIds.insert(entry.sfu.id.v).second)
             box.fail("box " + std::to_string(entry.sfu.id.v) + " is listed twice");
         const std::string standing = box.choice("standing", {"on", "fading", "off"}, "on");
-        entry.sfu.standing = standing == "on"       ? ServerState::On
-                             : standing == "fading" ? ServerState::Draining
-                                                    : ServerState::Off;
-        if (entry.sfu.standing != ServerState::Off || box.has("at")) entry.endpoint = box.address("at");
-        entry.sfu.cell = Cell{static_cast<std::uint32_t>(box.whole("cell", 0, 1'000'000, 0))};
+        entry.sfu.state = standing == "on"       ? ServerState::On
+                          : standing == "fading" ? ServerState::Draining
+                                                 : ServerState::Off;
+        if (entry.sfu.state != ServerState::Off || box.has("at")) entry.endpoint = box.address("at");
+        entry.sfu.cell = Cell{static_cast<std::uint32_t>(box.integer("cell", 0, 1'000'000, 0))};
         entry.sfu.size = box.number("size", 0.001, 1'000'000, 1);
         if (!names.kinds.empty())
             entry.sfu.kind = MachineKindId{indexOfName(box, "kind", names.kinds, "a kind of machine")};
@@ -81,7 +81,7 @@
                 box.failProperty("launched", "expected a time in UTC, such as \"2026-12-01T09:00:00Z\"");
             entry.sfu.launched = *time;
         }
-        if (box.has("launched-us")) entry.sfu.launched = box.whole("launched-us", 0, 4'000'000'000'000'000);
+        if (box.has("launched-us")) entry.sfu.launched = box.integer("launched-us", 0, 4'000'000'000'000'000);
         box.rejectUnread();
         out.servers.push_back(entry);
     }
@@ -108,9 +108,9 @@
             box.properties.emplace_back(name, std::move(v));
         };
         if (entry.endpoint.port != 0) put("at", text(net::toString(entry.endpoint)));
-        put("standing", text(entry.sfu.standing == ServerState::On         ? "on"
-                             : entry.sfu.standing == ServerState::Draining ? "fading"
-                                                                           : "off"));
+        put("standing", text(entry.sfu.state == ServerState::On         ? "on"
+                             : entry.sfu.state == ServerState::Draining ? "fading"
+                                                                        : "off"));
         put("cell", number(entry.sfu.cell.v));
         if (entry.sfu.kind.v < names.kinds.size()) put("kind", text(names.kinds[entry.sfu.kind.v]));
         if (entry.sfu.zone.v < names.zones.size()) put("zone", text(names.zones[entry.sfu.zone.v]));
--- a/src/evidence/evidence_file.cpp
+++ b/src/evidence/evidence_file.cpp
@@ -31,10 +31,10 @@
             box.fail("'box' must be followed by one integer, different for each box");
         EvidenceEntry entry;
         entry.evidence.id = SfuId{static_cast<std::uint32_t>(id[0])};
-        entry.launched = box.whole("launched-us", 0, 4'000'000'000'000'000, 0);
+        entry.launched = box.integer("launched-us", 0, 4'000'000'000'000'000, 0);
         entry.evidence.evidence = box.number("evidence", -100, 100, 0);
         if (box.has("link-use")) entry.evidence.linkUse = box.number("link-use", 0, 100);
-        entry.evidence.age = box.time("age", 0, kMaxAge, 0);
+        entry.evidence.age = box.duration("age", 0, kMaxAge, 0);
         box.rejectUnread();
         out.servers.push_back(entry);
     }
--- a/src/upstream/join_client.cpp
+++ b/src/upstream/join_client.cpp
@@ -23,19 +23,19 @@
         RequestResult result = RequestResult::ErrorStatus;
         if (head_.status == 200) {
             auto playlist = hls::parseMultivariantPlaylist(body_, owner_.limits_);
-            result = playlist.got && playlist.got->variants.size() >= owner_.rungs_
+            result = playlist.playlist && playlist.playlist->variants.size() >= owner_.rungs_
                          ? RequestResult::Answered200
                          : RequestResult::BadAnswer;
             if (result == RequestResult::Answered200)
                 owner_.responses_[id_] = JoinResponse{
-                    std::move(*playlist.got), path_, head_.fields.joined("CMSD-Static").value_or(""),
+                    std::move(*playlist.playlist), path_, head_.fields.joined("CMSD-Static").value_or(""),
                     head_.fields.joined("CMSD-Dynamic").value_or(""), toHead_};
         } else if (head_.status == 503) {
             result = RequestResult::Rejected;
             for (const auto& entry :
                  hints::parseCmsdDynamic(head_.fields.joined("CMSD-Dynamic").value_or(""))) {
-                const hints::Bare* unseen = entry.custom.find("org.valekeel-unseen");
-                if (unseen && *unseen == hints::Bare(true)) result = RequestResult::RejectedUnseen;
+                const hints::BareItem* unseen = entry.custom.find("org.valekeel-unseen");
+                if (unseen && *unseen == hints::BareItem(true)) result = RequestResult::RejectedUnseen;
             }
         }
         owner_.finish(id_, joinNo_, result, load, owner_.net_.now() - startedAt_);
--- a/src/upstream/upstream_client.cpp
+++ b/src/upstream/upstream_client.cpp
@@ -45,7 +45,7 @@
     void resume() override {
         if (connection_) connection_->resume();
     }
-    bool wroteAny() const override { return connection_ && connection_->wroteAny(); }
+    bool wroteAny() const override { return connection_ && connection_->hasWritten(); }
     RequestResult cancel() override {
         const bool sent = wroteAny();
         abandon(false);
@@ -127,7 +127,7 @@
         connection_ = nullptr;
         const auto it = server_->connections.find(id_);
         if (it == server_->connections.end()) return;
-        if (keep && it->second.connection->idle()) {
+        if (keep && it->second.connection->isIdle()) {
             it->second.busy = false;
             server_->reuse.onIdle(client_.net_.now(), id_);
         } else {
@@ -262,7 +262,7 @@
         if (choice.action == Action::Wait) return;
         if (choice.action == Action::Use) {
             const auto it = server.connections.find(choice.connection);
-            if (it->second.connection->lost()) {  // closed by the media server while it was idle
+            if (it->second.connection->isClosed()) {  // closed by the media server while it was idle
                 server.reuse.onClosed(choice.connection, false);
                 server.connections.erase(it);
                 continue;
@@ -295,7 +295,7 @@
             server->connections.erase(*expired);
         }
         for (auto it = server->connections.begin(); it != server->connections.end();) {
-            if (!it->second.busy && it->second.connection->lost()) {
+            if (!it->second.busy && it->second.connection->isClosed()) {
                 server->reuse.onClosed(it->first, false);
                 it = server->connections.erase(it);
             } else {
