--- a/src/fakes/platform.cpp
+++ b/src/fakes/platform.cpp
@@ -6,211 +6,215 @@
 
 using Json = nlohmann::json;
 
-// ================= lines =================
+// ================= PlatformConnection =================
 
-PlatformConnection::PlatformConnection(std::unique_ptr<net::Stream> stream, Heard heard)
-    : heard_(std::move(heard)), ready_(true), stream_(std::move(stream)) {
+PlatformConnection::PlatformConnection(std::unique_ptr<net::Stream> stream, MessageHandler onMessage)
+    : onMessage_(std::move(onMessage)), isOpen_(true), stream_(std::move(stream)) {
     stream_->setHandler(*this);
 }
-PlatformConnection::PlatformConnection(net::Net& net, const net::Endpoint& to, Heard heard)
-    : heard_(std::move(heard)), ready_(false), stream_(net.connect(to, *this)) {}
+PlatformConnection::PlatformConnection(net::Net& net, const net::Endpoint& endpoint, MessageHandler onMessage)
+    : onMessage_(std::move(onMessage)), isOpen_(false), stream_(net.connect(endpoint, *this)) {}
 
 void PlatformConnection::onConnected() {
-    ready_ = true;
-    std::string all;
-    all.swap(out_);
-    bytes(all);
-}
-void PlatformConnection::bytes(const std::string& all) {
-    if (ended_) return;
-    if (!ready_)
-        out_ += all;
-    else if (!all.empty())
-        stream_->write(all);
+    isOpen_ = true;
+    std::string bytes;
+    bytes.swap(output_);
+    sendBytes(bytes);
+}
+void PlatformConnection::sendBytes(const std::string& bytes) {
+    if (isClosed_) return;
+    if (!isOpen_)
+        output_ += bytes;
+    else if (!bytes.empty())
+        stream_->write(bytes);
 }
 void PlatformConnection::close(bool hard) {
-    if (hard && !ended_) stream_->reset();
-    ended_ = true;
-    ready_ = false;
+    if (hard && !isClosed_) stream_->reset();
+    isClosed_ = true;
+    isOpen_ = false;
     stream_.reset();
 }
 void PlatformConnection::onReadable() {
     std::array<char, 4096> buffer;
-    while (!ended_ && ready_) {
-        const net::IoResult got = stream_->read(buffer);
-        if (got.status == net::IoResult::Status::WouldBlock) return;
-        if (got.status != net::IoResult::Status::Ready) return close(false);
-        in_.append(buffer.data(), got.bytes);
-        for (auto end = in_.find('\n'); end != std::string::npos; end = in_.find('\n')) {
-            const Json message = Json::parse(in_.substr(0, end), nullptr, false);
-            in_.erase(0, end + 1);
-            if (message.is_object()) heard_(*this, message);
-            if (ended_) return;
+    while (!isClosed_ && isOpen_) {
+        const net::IoResult result = stream_->read(buffer);
+        if (result.status == net::IoResult::Status::WouldBlock) return;
+        if (result.status != net::IoResult::Status::Ready) return close(false);
+        input_.append(buffer.data(), result.bytes);
+        for (auto end = input_.find('\n'); end != std::string::npos; end = input_.find('\n')) {
+            const Json message = Json::parse(input_.substr(0, end), nullptr, false);
+            input_.erase(0, end + 1);
+            if (message.is_object()) onMessage_(*this, message);
+            if (isClosed_) return;
         }
     }
 }
 
-// ================= media servers =================
+// ================= PlatformServer =================
 
-PlatformServer::PlatformServer(net::Net& net, const net::Endpoint& at)
-    : net_(net), listener_(net.listen(at, *this)) {}
+PlatformServer::PlatformServer(net::Net& net, const net::Endpoint& endpoint)
+    : net_(net), listener_(net.listen(endpoint, *this)) {}
 
 void PlatformServer::onAccepted(std::unique_ptr<net::Stream> stream) {
-    ++connections;
-    lines_.push_back(std::make_unique<PlatformConnection>(
-        std::move(stream), [this](PlatformConnection& line, const Json& message) { heard(line, message); }));
+    ++connectionCount;
+    connections_.push_back(std::make_unique<PlatformConnection>(
+        std::move(stream),
+        [this](PlatformConnection& connection, const Json& message) { onMessage(connection, message); }));
 }
 
-void PlatformServer::start(PlatformConnection& line, const std::string& tag) {
+void PlatformServer::start(PlatformConnection& connection, const std::string& tag) {
     playing.insert(tag);
-    by_[tag] = &line;
-    if (saysFirst > 0) sendNotice(tag, "link_use", saysFirst);
-    line.send({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}, {"blob", "words of " + tag}});
+    connectionByTag_[tag] = &connection;
+    if (linkUseBeforeAnswer > 0) sendNotice(tag, "link_use", linkUseBeforeAnswer);
+    connection.send(
+        {{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}, {"blob", "words of " + tag}});
 }
 
-void PlatformServer::heard(PlatformConnection& line, const Json& message) {
+void PlatformServer::onMessage(PlatformConnection& connection, const Json& message) {
     const std::string verb = message.at("verb"), tag = message.at("tag");
-    if (verb == "ECHO") ++tests;
-    if (verb == "RATE") rungs.emplace_back(tag, std::stoi(message.at("opts").at("rung").get<std::string>()));
+    if (verb == "ECHO") ++testCount;
+    if (verb == "RATE")
+        rungChanges.emplace_back(tag, std::stoi(message.at("opts").at("rung").get<std::string>()));
     if (verb == "FINISH") {
-        ++cuts;
+        ++finishCount;
         if (playing.erase(tag))
-            line.send({{"verb", "FINISH"}, {"tag", tag}, {"opts", Json::object()}, {"rc", 31}});
+            connection.send({{"verb", "FINISH"}, {"tag", tag}, {"opts", Json::object()}, {"rc", 31}});
     }
     if (verb != "START") return;
     const Json& opts = message.at("opts");
     setups.push_back({tag, opts.at("key"), opts.at("class"), message.at("blob"), net_.now(),
                       std::stoi(opts.value("rung", "0"))});
     const auto refuse = [&](int cause) {
-        line.send({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
+        connection.send({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
     };
     switch (reaction(tag)) {
         case SetupReaction::Play:
-            return start(line, tag);
+            return start(connection, tag);
         case SetupReaction::RefuseFull:
             return refuse(34);
         case SetupReaction::RefuseError:
             return refuse(47);
         case SetupReaction::Reset:
-            return line.close(true);
+            return connection.close(true);
         case SetupReaction::NoAnswer:
             return;
         case SetupReaction::Garbage:
             playing.insert(tag);
-            return line.bytes("\x01\xff{noise\n");
+            return connection.sendBytes("\x01\xff{noise\n");
         case SetupReaction::PartialLine:
             playing.insert(tag);
-            return line.bytes("{\"verb\":\"STARTED\",\"tag\":\"" + tag);
+            return connection.sendBytes("{\"verb\":\"STARTED\",\"tag\":\"" + tag);
         case SetupReaction::PlayTwice:
-            start(line, tag);
-            return start(line, tag);
+            start(connection, tag);
+            return start(connection, tag);
         case SetupReaction::UnknownTagFirst:
-            line.send(
+            connection.send(
                 {{"verb", "STARTED"}, {"tag", "00000000deadbeef"}, {"opts", Json::object()}, {"blob", "x"}});
-            return start(line, tag);
+            return start(connection, tag);
         case SetupReaction::NoDescription:
             playing.insert(tag);
-            return line.send({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}});
+            return connection.send({{"verb", "STARTED"}, {"tag", tag}, {"opts", Json::object()}});
     }
 }
 
-// On the connection of the set-up, otherwise on any that stands.
-PlatformConnection* PlatformServer::lineOf(const std::string& tag) {
-    const auto it = by_.find(tag);
-    if (it != by_.end() && !it->second->ended()) return it->second;
-    for (const auto& line : lines_)
-        if (!line->ended()) return line.get();
+// Returns the connection of the set-up, else any open one, else null.
+PlatformConnection* PlatformServer::connectionFor(const std::string& tag) {
+    const auto it = connectionByTag_.find(tag);
+    if (it != connectionByTag_.end() && !it->second->isClosed()) return it->second;
+    for (const auto& connection : connections_)
+        if (!connection->isClosed()) return connection.get();
     return nullptr;
 }
 void PlatformServer::end(const std::string& tag, int cause) {
     playing.erase(tag);
-    if (PlatformConnection* line = lineOf(tag))
-        line->send({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
+    if (PlatformConnection* connection = connectionFor(tag))
+        connection->send({{"verb", "FINISH"}, {"tag", tag}, {"opts", {{"load", "x0:0.5"}}}, {"rc", cause}});
 }
 void PlatformServer::sendNotice(const std::string& tag, const std::string& kind, double value) {
-    if (PlatformConnection* line = lineOf(tag))
-        line->send({{"verb", "NOTICE"}, {"tag", tag}, {"opts", {{"note", kind}, {"value", value}}}});
+    if (PlatformConnection* connection = connectionFor(tag))
+        connection->send({{"verb", "NOTICE"}, {"tag", tag}, {"opts", {{"note", kind}, {"value", value}}}});
 }
 void PlatformServer::resetConnections() {
-    for (const auto& line : lines_) line->close(true);
+    for (const auto& connection : connections_) connection->close(true);
 }
-void PlatformServer::die() {
+void PlatformServer::crash() {
     listener_.reset();
     playing.clear();
     resetConnections();
 }
 
-// ================= the change log =================
+// ================= PlatformChangeLog =================
 
-PlatformChangeLog::PlatformChangeLog(net::Net& net, const net::Endpoint& at)
-    : net_(net), listener_(net.listen(at, *this)), beat_(net, [this] { beat(); }) {}
+PlatformChangeLog::PlatformChangeLog(net::Net& net, const net::Endpoint& endpoint)
+    : net_(net), listener_(net.listen(endpoint, *this)), heartbeatTimer_(net, [this] { sendHeartbeat(); }) {}
 
-std::string PlatformChangeLog::frame(std::uint64_t number, int kind, const std::vector<Box>& boxes) {
+std::string PlatformChangeLog::makeFrame(std::uint64_t sequenceNumber, int kind,
+                                         const std::vector<Server>& servers) {
     std::string body;
-    const auto put = [](std::string& to, std::uint64_t value, int bytes) {
-        for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8)
-            to += static_cast<char>(value >> shift & 0xff);
+    const auto append = [](std::string& out, std::uint64_t value, int width) {
+        for (int shift = 8 * (width - 1); shift >= 0; shift -= 8)
+            out += static_cast<char>(value >> shift & 0xff);
     };
-    put(body, number, 8);
-    put(body, static_cast<std::uint64_t>(kind), 1);
-    for (const Box& box : boxes) {
-        put(body, box.id, 4);
-        put(body, box.at.ip.to_v4().to_uint(), 4);
-        put(body, box.at.port, 2);
-        put(body, static_cast<std::uint64_t>(box.state), 1);
-        put(body, 0, 2);  // zone, kind
-        put(body, static_cast<std::uint64_t>(box.cell), 2);
-        put(body, 1000, 4);
-        put(body, box.startedMs, 8);
+    append(body, sequenceNumber, 8);
+    append(body, static_cast<std::uint64_t>(kind), 1);
+    for (const Server& server : servers) {
+        append(body, server.id, 4);
+        append(body, server.endpoint.ip.to_v4().to_uint(), 4);
+        append(body, server.endpoint.port, 2);
+        append(body, static_cast<std::uint64_t>(server.state), 1);
+        append(body, 0, 2);  // indexes of zone and machine type
+        append(body, static_cast<std::uint64_t>(server.cell), 2);
+        append(body, 1000, 4);  // size, in thousandths
+        append(body, server.startedMs, 8);
     }
-    std::string all;
-    put(all, body.size(), 4);
-    return all + body;
+    std::string frame;
+    append(frame, body.size(), 4);
+    return frame + body;
 }
 
 void PlatformChangeLog::onAccepted(std::unique_ptr<net::Stream> stream) {
     stream_ = std::move(stream);
     stream_->setHandler(*this);
-    in_.clear();
-    following_ = false;
+    input_.clear();
+    isFollowing_ = false;
 }
 
 void PlatformChangeLog::onReadable() {
     std::array<char, 64> buffer;
     while (stream_) {
-        const net::IoResult got = stream_->read(buffer);
-        if (got.status == net::IoResult::Status::WouldBlock) return;
-        if (got.status != net::IoResult::Status::Ready) return stream_.reset();
-        in_.append(buffer.data(), got.bytes);
-        if (in_.size() < 8 || following_) continue;
+        const net::IoResult result = stream_->read(buffer);
+        if (result.status == net::IoResult::Status::WouldBlock) return;
+        if (result.status != net::IoResult::Status::Ready) return stream_.reset();
+        input_.append(buffer.data(), result.bytes);
+        if (input_.size() < 8 || isFollowing_) continue;
         std::uint64_t from = 0;
         for (int i = 0; i < 8; ++i)
-            from = from << 8 | static_cast<unsigned char>(in_[static_cast<std::size_t>(i)]);
-        asked.push_back(from);
-        following_ = true;
-        for (const auto& [number, bytesOf] : events_)
-            if (number > from && !silent) bytes(bytesOf);
-        beat();
+            from = from << 8 | static_cast<unsigned char>(input_[static_cast<std::size_t>(i)]);
+        requests.push_back(from);
+        isFollowing_ = true;
+        for (const auto& [sequenceNumber, frame] : events_)
+            if (sequenceNumber > from && !isSilent) sendBytes(frame);
+        sendHeartbeat();
     }
 }
 
-void PlatformChangeLog::beat() {
-    beat_.after(kSecond);
-    if (following_ && !silent) bytes(frame(last, 0, {}));
+void PlatformChangeLog::sendHeartbeat() {
+    heartbeatTimer_.after(kSecond);
+    if (isFollowing_ && !isSilent) sendBytes(makeFrame(last, 0, {}));
 }
-void PlatformChangeLog::add(const std::vector<Box>& boxes, bool whole) {
+void PlatformChangeLog::add(const std::vector<Server>& servers, bool isFullList) {
     ++last;
-    events_[last] = frame(last, whole ? 1 : 2, boxes);
-    if (!following_ || silent) return;
-    bytes(events_[last]);
-    if (twice) bytes(events_[last]);
+    events_[last] = makeFrame(last, isFullList ? 1 : 2, servers);
+    if (!isFollowing_ || isSilent) return;
+    sendBytes(events_[last]);
+    if (sendsTwice) sendBytes(events_[last]);
 }
-void PlatformChangeLog::bytes(const std::string& all) {
-    if (stream_) stream_->write(all);
+void PlatformChangeLog::sendBytes(const std::string& bytes) {
+    if (stream_) stream_->write(bytes);
 }
-void PlatformChangeLog::breakOff() {
+void PlatformChangeLog::closeConnection() {
     stream_.reset();
-    following_ = false;
+    isFollowing_ = false;
 }
 
 }  // namespace valekeel::fakes
--- a/src/fakes/platform.hpp
+++ b/src/fakes/platform.hpp
@@ -1,6 +1,6 @@
-// Stand-ins for what a front node of the platform speaks to: media servers, the change log, and one
-// connection of viewers. Written from the protocol's page alone: they share no code with the front's side of
-// it, and keep a ledger of what crossed their sockets.
+// Fakes of the front node's peers on the platform: media servers, the change log, and a connection of
+// viewers. Written from the protocol's specification and sharing no code with the front's side, so that a
+// misreading of the protocol shows up in tests. They record what crossed their sockets.
 #pragma once
 
 #include <functional>
@@ -15,40 +15,40 @@
 
 namespace valekeel::fakes {
 
-// One connection, cut into lines.
+// One connection that carries a JSON message per line.
 class PlatformConnection final : public net::StreamHandler {
   public:
-    using Heard = std::function<void(PlatformConnection&, const nlohmann::json&)>;
-    PlatformConnection(std::unique_ptr<net::Stream>, Heard);     // accepted
-    PlatformConnection(net::Net&, const net::Endpoint&, Heard);  // connects
-    void send(const nlohmann::json& message) { bytes(message.dump() + "\n"); }
-    void bytes(const std::string&);
-    void close(bool hard);
-    bool ended() const { return ended_; }
+    using MessageHandler = std::function<void(PlatformConnection&, const nlohmann::json&)>;
+    PlatformConnection(std::unique_ptr<net::Stream>, MessageHandler);     // accepted
+    PlatformConnection(net::Net&, const net::Endpoint&, MessageHandler);  // connects
+    void send(const nlohmann::json& message) { sendBytes(message.dump() + "\n"); }
+    void sendBytes(const std::string&);  // unchanged; once connected
+    void close(bool hard);               // with `hard` by a reset
+    bool isClosed() const { return isClosed_; }
 
   private:
     void onConnected() override;
-    void onConnectFailed(net::ConnectError) override { ended_ = true; }
+    void onConnectFailed(net::ConnectError) override { isClosed_ = true; }
     void onReadable() override;
     void onWritable() override {}
-    Heard heard_;
-    std::string in_, out_;
-    bool ready_, ended_ = false;
+    MessageHandler onMessage_;
+    std::string input_, output_;
+    bool isOpen_, isClosed_ = false;
     std::unique_ptr<net::Stream> stream_;
 };
 
-// What a media server does with a set-up.
+// How a media server reacts to a set-up.
 enum class SetupReaction {
     Play,
     RefuseFull,
     RefuseError,
-    Reset,
+    Reset,  // resets the connection
     NoAnswer,
-    Garbage,
-    PartialLine,
-    PlayTwice,
-    UnknownTagFirst,
-    NoDescription
+    Garbage,          // plays, but answers with bytes that are no message
+    PartialLine,      // plays, but never completes the answer's line
+    PlayTwice,        // answers twice
+    UnknownTagFirst,  // answers an unknown tag first
+    NoDescription     // plays, but the answer has no description
 };
 
 class PlatformServer final : private net::ListenerHandler {
@@ -58,64 +58,68 @@
     std::function<SetupReaction(const std::string& tag)> reaction = [](const std::string&) {
         return SetupReaction::Play;
     };
-    double saysFirst = 0;  // above 0: its link's use, in a note just before each answer
+    double linkUseBeforeAnswer = 0;  // if above 0: sent in a notice just before each answer
     void end(const std::string& tag, int cause);
     void sendNotice(const std::string& tag, const std::string& kind, double value);
-    void resetConnections();  // its connections; what stands goes on
-    void die();               // refuses from then on; all that stood is cut
+    void resetConnections();  // playback continues
+    void crash();             // ends all playback, resets all connections and refuses new ones
 
     struct Setup {
-        std::string tag, title, room, words;
-        Micros at;
+        std::string tag, title, room, description;
+        Micros receivedAt;
         int rung;
     };
-    std::vector<Setup> setups;  // all that arrived whole
-    std::set<std::string> playing;
-    std::vector<std::pair<std::string, int>> rungs;
-    int cuts = 0, tests = 0, connections = 0;
+    std::vector<Setup> setups;                             // all that were received
+    std::set<std::string> playing;                         // by tag
+    std::vector<std::pair<std::string, int>> rungChanges;  // received, by tag
+    int finishCount = 0, testCount = 0,
+        connectionCount = 0;  // FINISH and ECHO messages, accepted connections
 
   private:
     void onAccepted(std::unique_ptr<net::Stream>) override;
-    void heard(PlatformConnection&, const nlohmann::json&);
+    void onMessage(PlatformConnection&, const nlohmann::json&);
     void start(PlatformConnection&, const std::string& tag);
-    PlatformConnection* lineOf(const std::string& tag);
+    PlatformConnection* connectionFor(const std::string& tag);
     net::Net& net_;
     std::unique_ptr<net::Listener> listener_;
-    std::vector<std::unique_ptr<PlatformConnection>> lines_;
-    std::map<std::string, PlatformConnection*> by_;
+    std::vector<std::unique_ptr<PlatformConnection>> connections_;
+    std::map<std::string, PlatformConnection*> connectionByTag_;
 };
 
-// Events as frames; `asked` holds the numbers that it was asked from.
+// Sends events as frames, and a heartbeat each second, to the last client that connected.
 class PlatformChangeLog final : private net::ListenerHandler, private net::StreamHandler {
   public:
     PlatformChangeLog(net::Net&, const net::Endpoint&);
     net::Endpoint endpoint() const { return listener_->endpoint(); }
-    struct Box {
+    struct Server {
         std::uint32_t id;
-        net::Endpoint at;
-        int state = 0, cell = 0;
+        net::Endpoint endpoint;
+        int state = 0, cell = 0;  // state 0: active, 1: leaving, 2: left
         std::uint64_t startedMs = 0;
     };
-    void add(const std::vector<Box>&, bool whole = false);  // the next event, of changes; told at once
-    static std::string frame(std::uint64_t number, int kind, const std::vector<Box>&);
-    void bytes(const std::string&);  // as they are, on the connection that stands
-    void breakOff();
-    std::uint64_t last = 0;
-    bool silent = false, twice = false;
-    std::vector<std::uint64_t> asked;
+    // Appends the next event, a change or a full list, and sends it at once.
+    void add(const std::vector<Server>&, bool isFullList = false);
+    // Kind 0: heartbeat, 1: full list, 2: change.
+    static std::string makeFrame(std::uint64_t sequenceNumber, int kind, const std::vector<Server>&);
+    void sendBytes(const std::string&);  // unchanged, on the open connection
+    void closeConnection();
+    std::uint64_t last = 0;               // sequence number
+    bool isSilent = false;                // sends nothing, also no heartbeats
+    bool sendsTwice = false;              // each event
+    std::vector<std::uint64_t> requests;  // the sequence numbers after which clients requested events
 
   private:
     void onAccepted(std::unique_ptr<net::Stream>) override;
     void onReadable() override;
     void onWritable() override {}
-    void beat();
+    void sendHeartbeat();
     net::Net& net_;
     std::unique_ptr<net::Listener> listener_;
     std::unique_ptr<net::Stream> stream_;
-    std::string in_;
-    bool following_ = false;
+    std::string input_;
+    bool isFollowing_ = false;  // a request was received on the connection
     std::map<std::uint64_t, std::string> events_;
-    net::Timer beat_;
+    net::Timer heartbeatTimer_;
 };
 
 }  // namespace valekeel::fakes
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -87,7 +87,7 @@
     std::string configuration(int count) const {
         std::vector<net::Endpoint> places;
         for (int i = 0; i < count; ++i) places.push_back(place(i));
-        return nodetest::configurationOf(places, place(11), log->endpoint(), settings).dump();
+        return nodetest::makeConfiguration(places, place(11), log->endpoint(), settings).dump();
     }
     void ask(int n, std::size_t room = 0, int left = 0) {
         const Json& told = settings["request_classes"][room];
--- a/tests/manual_net.hpp
+++ b/tests/manual_net.hpp
@@ -1,4 +1,4 @@
-// A net without sockets, whose clock is moved by hand.
+// A Net without sockets whose clock tests advance by hand.
 #pragma once
 
 #include <algorithm>
@@ -8,14 +8,15 @@
 
 namespace valekeel {
 
+// Connects and listens to nothing: connect(), listen() and bind() return null.
 class ManualNet final : public net::Net {
   public:
     Micros time = 1'000'000;
-    net::TimerWheel wheel_{time};
-    std::mt19937_64 chance{1};
+    net::TimerWheel wheel{time};
+    std::mt19937_64 random{1};
     Micros now() const override { return time; }
     Micros wallNow() const override { return time; }
-    net::TimerWheel& timerWheel() override { return wheel_; }
+    net::TimerWheel& timerWheel() override { return wheel; }
     std::unique_ptr<net::Stream> connect(const net::Endpoint&, net::StreamHandler&) override {
         return nullptr;
     }
@@ -25,12 +26,13 @@
     std::unique_ptr<net::Datagrams> bind(const net::Endpoint&, net::DatagramHandler&) override {
         return nullptr;
     }
-    std::uint64_t randomBits() override { return chance(); }
-    void advance(Micros wait) {
-        const Micros end = time + wait;
+    std::uint64_t randomBits() override { return random(); }
+    // Advances the clock step by step and fires each timer that is due.
+    void advance(Micros duration) {
+        const Micros end = time + duration;
         while (time < end) {
-            time = std::min(end, std::max(time + 1, wheel_.next().value_or(end)));
-            while (net::TimerNode* node = wheel_.due(time)) net::Timer::fire(*node);
+            time = std::min(end, std::max(time + 1, wheel.next().value_or(end)));
+            while (net::TimerNode* node = wheel.due(time)) net::Timer::fire(*node);
         }
     }
 };
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -1,5 +1,5 @@
-// A day between stand-ins for the tests of the front node: its parts on machines of a virtual world, or on
-// loopback sockets.
+// Fixture for the tests of the front node: a node between fake media servers, a fake change log and a viewer,
+// on machines of a virtual network or on loopback sockets.
 #pragma once
 
 #include <cstdio>
@@ -19,6 +19,7 @@
 using Json = nlohmann::json;
 using fakes::SetupReaction;
 
+// Three cells; two room types, "talk" (free) and "paid" (paid, two seats).
 inline Json settings() {
     return Json::parse(R"({"balancers":2,"host_types":["k"],"zones":["z"],"zone":"z","weights":"nominal",
       "allowed":{"attempts_cap":3,"max_retry_after":0.5,"retry_after":true,"max_streams":32,
@@ -34,97 +35,105 @@
         "told_late":1,"told_every":2}})");
 }
 
+// The tag of subscription n.
 inline std::string idOf(int n) {
     char text[17];
     std::snprintf(text, sizeof text, "%016x", n);
     return text;
 }
 
-// What the platform tells a front node: media servers at these places, a cell and a zone after the other.
-inline Json configurationOf(const std::vector<net::Endpoint>& servers, const net::Endpoint& listen,
-                            const net::Endpoint& log, const Json& settings) {
-    Json boxes = Json::array();
+// A front node's configuration with these media servers, the i-th in cell i; the zones take turns.
+inline Json makeConfiguration(const std::vector<net::Endpoint>& servers, const net::Endpoint& listen,
+                              const net::Endpoint& changeLog, const Json& settings) {
+    Json instances = Json::array();
     for (std::size_t i = 0; i < servers.size(); ++i)
-        boxes.push_back({{"instanceId", "s-0000000" + std::to_string(i)},
-                         {"hostPort", net::toString(servers[i])},
-                         {"zone", settings["zones"][i % settings["zones"].size()]},
-                         {"machineType", settings["host_types"].back()},
-                         {"cell", i},
-                         {"lifecycle", "active"},
-                         {"weight", 1},
-                         {"startedAtMs", 0}});
-    return {{"name", "n0"},
-            {"listen", net::toString(listen)},
-            {"seed", "8c1f30d27a5be964"},
-            {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 256}}},
-            {"changelog", net::toString(log)},
-            {"known",
-             {{"seq", 1}, {"results", {{{"seq", 1}, {"fleet", {{"reset", true}, {"instances", boxes}}}}}}}},
-            {"settings", settings}};
+        instances.push_back({{"instanceId", "s-0000000" + std::to_string(i)},
+                             {"hostPort", net::toString(servers[i])},
+                             {"zone", settings["zones"][i % settings["zones"].size()]},
+                             {"machineType", settings["host_types"].back()},
+                             {"cell", i},
+                             {"lifecycle", "active"},
+                             {"weight", 1},
+                             {"startedAtMs", 0}});
+    return {
+        {"name", "n0"},
+        {"listen", net::toString(listen)},
+        {"seed", "8c1f30d27a5be964"},
+        {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 256}}},
+        {"changelog", net::toString(changeLog)},
+        {"known",
+         {{"seq", 1}, {"results", {{{"seq", 1}, {"fleet", {{"reset", true}, {"instances", instances}}}}}}}},
+        {"settings", settings}};
 }
 
+// Machines 0 and up: media servers; 10: change log; 11: front node; 12: viewers.
 template <class Machines>
-struct Day : Machines {
+struct NodeFixture : Machines {
     std::vector<std::unique_ptr<fakes::PlatformServer>> servers;
-    std::unique_ptr<fakes::PlatformChangeLog> log;
-    logging::Log record{"", logging::Level::Error, 1};
+    std::unique_ptr<fakes::PlatformChangeLog> changeLog;
+    logging::Log logger{"", logging::Level::Error, 1};
     std::unique_ptr<node::Node> front;
-    std::unique_ptr<fakes::PlatformConnection> viewers;
-    std::map<std::string, std::vector<Json>> heard;
+    std::unique_ptr<fakes::PlatformConnection> viewer;
+    std::map<std::string, std::vector<Json>> messages;  // received by viewers, by tag
 
-    explicit Day(int count = 3) {
+    explicit NodeFixture(int count = 3) {
         for (int i = 0; i < count; ++i)
             servers.push_back(std::make_unique<fakes::PlatformServer>(this->machine(i), this->place(i)));
-        log = std::make_unique<fakes::PlatformChangeLog>(this->machine(10), this->place(10));
-        log->last = 1;
-        front = std::make_unique<node::Node>(this->machine(11), "config.json", configuration(), record);
-        viewers = line();
+        changeLog = std::make_unique<fakes::PlatformChangeLog>(this->machine(10), this->place(10));
+        changeLog->last = 1;
+        front = std::make_unique<node::Node>(this->machine(11), "config.json", configuration(), logger);
+        viewer = connectViewer();
         this->run(50'000);
     }
     std::string configuration() {
-        std::vector<net::Endpoint> places;
-        for (const auto& server : servers) places.push_back(server->endpoint());
-        return configurationOf(places, this->place(11), log->endpoint(), settings()).dump();
+        std::vector<net::Endpoint> endpoints;
+        for (const auto& server : servers) endpoints.push_back(server->endpoint());
+        return makeConfiguration(endpoints, this->place(11), changeLog->endpoint(), settings()).dump();
     }
-    std::unique_ptr<fakes::PlatformConnection> line() {
+    std::unique_ptr<fakes::PlatformConnection> connectViewer() {
         return std::make_unique<fakes::PlatformConnection>(
-            this->machine(12), front->endpoint(),
-            [this](fakes::PlatformConnection&, const Json& m) { heard[m.value("tag", "")].push_back(m); });
+            this->machine(12), front->endpoint(), [this](fakes::PlatformConnection&, const Json& message) {
+                messages[message.value("tag", "")].push_back(message);
+            });
     }
-    static Json start(int n, const std::string& room = "talk", const std::string& title = "t") {
+    static Json startMessage(int n, const std::string& room = "talk", const std::string& title = "t") {
         return {{"verb", "START"},
                 {"tag", idOf(n)},
                 {"opts",
                  {{"class", room}, {"left", "3000"}, {"key", title}, {"extras", "home:0;copies:3;top:2"}}},
                 {"blob", "offer"}};
     }
-    void ask(int n, const std::string& room = "talk", const std::string& title = "t") {
-        viewers->send(start(n, room, title));
+    void request(int n, const std::string& room = "talk", const std::string& title = "t") {
+        viewer->send(startMessage(n, room, title));
     }
-    void end(int n) {
-        viewers->send({{"verb", "FINISH"}, {"tag", idOf(n)}, {"opts", Json::object()}, {"rc", 16}});
+    void sendFinish(int n) {
+        viewer->send({{"verb", "FINISH"}, {"tag", idOf(n)}, {"opts", Json::object()}, {"rc", 16}});
     }
-    // What was said of it: "+" that it plays, a cause of a release, in order.
-    std::string said(int n) {
+    // The responses to subscription n in order, separated by spaces: "+" if it plays, else the cause of a
+    // FINISH.
+    std::string responses(int n) {
         std::string out;
-        for (const Json& m : heard[idOf(n)])
+        for (const Json& message : messages[idOf(n)])
             out += (out.empty() ? "" : " ") +
-                   (m["verb"] == "STARTED" ? std::string("+") : std::to_string(m.value("rc", 0)));
+                   (message["verb"] == "STARTED" ? std::string("+") : std::to_string(message.value("rc", 0)));
         return out;
     }
-    fakes::PlatformServer* playerOf(int n) {
-        for (const auto& s : servers)
-            if (s->playing.count(idOf(n))) return s.get();
+    // Returns null if none plays it.
+    fakes::PlatformServer* serverPlaying(int n) {
+        for (const auto& server : servers)
+            if (server->playing.count(idOf(n))) return server.get();
         return nullptr;
     }
-    int setupsOf(int n) {
+    // Set-ups of subscription n that media servers received.
+    int setupCount(int n) {
         int count = 0;
-        for (const auto& s : servers)
-            for (const auto& one : s->setups) count += one.tag == idOf(n);
+        for (const auto& server : servers)
+            for (const auto& setup : server->setups) count += setup.tag == idOf(n);
         return count;
     }
 };
 
+// Each machine has its own address in a virtual network with a virtual clock.
 struct VirtualMachines {
     net::VirtualWorld world{5};
     std::map<int, net::VirtualNode*> nodes;
@@ -138,10 +147,10 @@
     }
     void run(Micros time) { world.runUntil(world.now() + time); }
 };
-using VirtualDay = Day<VirtualMachines>;
+using VirtualNodeFixture = NodeFixture<VirtualMachines>;
 
-// The same on loopback sockets, where connections really are refused and reset.
-struct Sockets {
+// All on loopback sockets, where the kernel refuses and resets connections.
+struct SocketMachines {
     Loop loop;
     net::Net& machine(int) { return loop.net; }
     static net::Endpoint place(int) { return Loop::any(); }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,5 +1,5 @@
-// The front node on the platform's protocol: its parts by hand, and the whole of it between stand-ins, on a
-// virtual clock and once on loopback sockets. The rules are judged from the stand-ins' ledgers.
+// Tests of the front node: its parsers alone, and the whole node between fakes, on a virtual clock and once
+// on loopback sockets. What the fakes recorded is checked.
 #include "node/node.hpp"
 
 #include <gtest/gtest.h>
@@ -16,9 +16,9 @@
 
 using namespace nodetest;
 
-// ================= parts =================
+// ================= parsers =================
 
-TEST(NodeMessage, ReadsWhatItWritesAndRefusesTheRest) {
+TEST(NodeMessage, RoundTripsAndRejectsInvalidMessages) {
     node::Message m;
     m.verb = "START";
     m.tag = "9b1f03aa5c7e2d41";
@@ -26,13 +26,13 @@
     m.cause = 34;
     m.description = "c=IN\r\n\"\\ é";
     const std::string line = node::formatMessage(m);
-    const auto back = node::parseMessage(line.substr(0, line.size() - 1));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->description, m.description);
-    EXPECT_EQ(back->cause, 34);
-    EXPECT_EQ(back->numberOption("left"), 1500);
-    EXPECT_EQ(back->numberOption("rung"), 2);
-    for (const char* none : {"odd", "words", "absent"}) EXPECT_FALSE(back->numberOption(none)) << none;
+    const auto parsed = node::parseMessage(line.substr(0, line.size() - 1));
+    ASSERT_TRUE(parsed);
+    EXPECT_EQ(parsed->description, m.description);
+    EXPECT_EQ(parsed->cause, 34);
+    EXPECT_EQ(parsed->numberOption("left"), 1500);
+    EXPECT_EQ(parsed->numberOption("rung"), 2);
+    for (const char* none : {"odd", "words", "absent"}) EXPECT_FALSE(parsed->numberOption(none)) << none;
     for (const char* bad :
          {"", "{", "[]", "17", "{}", R"({"verb":7})", R"({"verb":"A","opts":[]})",
           R"({"verb":"A","opts":{"x":{}}})", R"({"verb":"A","rc":"x"})", R"({"verb":"A","rc":-1})",
@@ -43,81 +43,83 @@
         EXPECT_FALSE(node::isValidTag(bad)) << bad;
 }
 
-// However the bytes are cut, the frames that come out are those that went in.
-TEST(NodeFrames, CutAnywhereTheyAreTheSame) {
-    std::mt19937 chance(7);
+// Frames are parsed the same wherever the byte stream is split.
+TEST(NodeFrames, ParsesFramesSplitAnywhere) {
+    std::mt19937 random(7);
     for (int round = 0; round < 200; ++round) {
         std::string bytes;
-        std::vector<std::pair<std::uint64_t, std::size_t>> put, got;
+        std::vector<std::pair<std::uint64_t, std::size_t>> expected, parsed;
         for (unsigned i = 0; i < 5; ++i) {
-            std::vector<fakes::PlatformChangeLog::Box> boxes(chance() % 4);
-            for (auto& box : boxes)
-                box = {static_cast<std::uint32_t>(chance() % 1000), *net::parseEndpoint("127.0.0.1:9"),
-                       static_cast<int>(chance() % 3)};
-            const int kind = boxes.empty() ? 0 : 1 + static_cast<int>(chance() % 2);
-            bytes += fakes::PlatformChangeLog::frame(i + 1, kind, boxes);
-            put.emplace_back(i + 1, boxes.size());
+            std::vector<fakes::PlatformChangeLog::Server> servers(random() % 4);
+            for (auto& server : servers)
+                server = {static_cast<std::uint32_t>(random() % 1000), *net::parseEndpoint("127.0.0.1:9"),
+                          static_cast<int>(random() % 3)};
+            const int kind = servers.empty() ? 0 : 1 + static_cast<int>(random() % 2);
+            bytes += fakes::PlatformChangeLog::makeFrame(i + 1, kind, servers);
+            expected.emplace_back(i + 1, servers.size());
         }
         node::FrameReader reader(1, 1, 100);
-        for (std::size_t from = 0; from < bytes.size();) {
-            const std::size_t n = std::min<std::size_t>(1 + chance() % 40, bytes.size() - from);
-            ASSERT_TRUE(reader.feed(
-                std::string_view(bytes).substr(from, n),
-                [&](const node::ChangeEvent& e, bool) { got.emplace_back(e.sequenceNumber, e.entries.size()); }));
-            from += n;
+        for (std::size_t offset = 0; offset < bytes.size();) {
+            const std::size_t length = std::min<std::size_t>(1 + random() % 40, bytes.size() - offset);
+            ASSERT_TRUE(reader.feed(std::string_view(bytes).substr(offset, length),
+                                    [&](const node::ChangeEvent& e, bool) {
+                                        parsed.emplace_back(e.sequenceNumber, e.entries.size());
+                                    }));
+            offset += length;
         }
-        EXPECT_EQ(put, got);
+        EXPECT_EQ(expected, parsed);
     }
     const auto ignore = [](const node::ChangeEvent&, bool) {};
-    const std::string endless(
+    const std::string tooLong(
         "\xff\xff\xff\xff"
         "12345678",
         12),
-        odd("\0\0\0\x0c"
+        misaligned(
+            "\0\0\0\x0c"
             "123456789012",
             16);
-    EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(endless, ignore));
-    EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(odd, ignore));
-    std::string unknownKind = fakes::PlatformChangeLog::frame(1, 7, {});
+    EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(tooLong, ignore));
+    EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(misaligned, ignore));
+    std::string unknownKind = fakes::PlatformChangeLog::makeFrame(1, 7, {});
     EXPECT_FALSE(node::FrameReader(1, 1, 100).feed(unknownKind, ignore));
 }
 
-// ================= the whole =================
+// ================= the node =================
 
-TEST(Node, PassesATestAndServes) {
-    VirtualDay day;
-    day.viewers->send({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
-    for (int n = 1; n <= 20; ++n) day.ask(n, n % 2 ? "talk" : "paid", "t" + std::to_string(n));
-    day.run(kSecond);
-    EXPECT_EQ(day.said(99), "1");
+TEST(Node, AnswersTestsAndServesSetups) {
+    VirtualNodeFixture fixture;
+    fixture.viewer->send({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}, {"rc", 0}});
+    for (int n = 1; n <= 20; ++n) fixture.request(n, n % 2 ? "talk" : "paid", "t" + std::to_string(n));
+    fixture.run(kSecond);
+    EXPECT_EQ(fixture.responses(99), "1");
     for (int n = 1; n <= 20; ++n) {
-        EXPECT_EQ(day.said(n), "+");
-        EXPECT_EQ(day.heard[idOf(n)][0]["blob"], "words of " + idOf(n));
-        EXPECT_EQ(day.setupsOf(n), 1);
+        EXPECT_EQ(fixture.responses(n), "+");
+        EXPECT_EQ(fixture.messages[idOf(n)][0]["blob"], "words of " + idOf(n));
+        EXPECT_EQ(fixture.setupCount(n), 1);
     }
-    for (const auto& s : day.servers) {
-        EXPECT_EQ(s->tests, 0);  // sites may forbid them
-        for (const auto& one : s->setups) EXPECT_EQ(one.words, "offer");
+    for (const auto& s : fixture.servers) {
+        EXPECT_EQ(s->testCount, 0);  // sites may forbid test messages
+        for (const auto& setup : s->setups) EXPECT_EQ(setup.description, "offer");
     }
-    day.playerOf(1)->end(idOf(1), 16);
-    day.playerOf(2)->end(idOf(2), 41);
-    fakes::PlatformServer* third = day.playerOf(3);
-    day.end(3);
-    day.run(kSecond);
-    EXPECT_EQ(day.said(1), "+ 16");
-    EXPECT_EQ(day.said(2), "+ 41");
-    EXPECT_EQ(day.said(3), "+");  // it left by itself: nothing is owed
-    EXPECT_EQ(third->playing.count(idOf(3)), 0u);
-    EXPECT_EQ(third->cuts, 1);  // one end for one subscription
+    fixture.serverPlaying(1)->end(idOf(1), 16);
+    fixture.serverPlaying(2)->end(idOf(2), 41);
+    fakes::PlatformServer* server = fixture.serverPlaying(3);
+    fixture.sendFinish(3);
+    fixture.run(kSecond);
+    EXPECT_EQ(fixture.responses(1), "+ 16");
+    EXPECT_EQ(fixture.responses(2), "+ 41");
+    EXPECT_EQ(fixture.responses(3), "+");  // the viewer left by itself: no release
+    EXPECT_EQ(server->playing.count(idOf(3)), 0u);
+    EXPECT_EQ(server->finishCount, 1);  // one FINISH for one subscription
 }
 
-// What a media server does to a set-up, and what becomes of a free and of a paid one. Nothing that may have
-// run is set up twice if it is paid; whatever stands nowhere in the end was cut.
-TEST(Node, ABadAnswerCostsNoMoreThanItsOwnSetup) {
+// Each faulty reaction of a media server, and the outcome for a free and a paid set-up. A paid set-up that
+// may have run is not retried, and whatever plays for no viewer is ended.
+TEST(Node, FaultyAnswerAffectsOnlyItsOwnSetup) {
     struct Case {
         SetupReaction reaction;
         const char *free, *paid;
-        bool paidAgain;
+        bool isPaidRetried;
     };
     for (const Case& c :
          {Case{SetupReaction::RefuseFull, "+", "+", true}, Case{SetupReaction::RefuseError, "+", "41", false},
@@ -126,264 +128,268 @@
           Case{SetupReaction::NoDescription, "+", "41", false},
           Case{SetupReaction::PlayTwice, "+", "+", false},
           Case{SetupReaction::UnknownTagFirst, "+", "+", false}}) {
-        VirtualDay day;
-        int bad = 0;
-        for (const auto& s : day.servers)
-            s->reaction = [&](const std::string&) { return bad++ == 0 ? c.reaction : SetupReaction::Play; };
-        day.ask(1, "talk", "a");
-        day.run(2 * kSecond);
-        EXPECT_EQ(day.said(1), c.free) << static_cast<int>(c.reaction);
-        bad = 0;
-        day.ask(2, "paid", "b");
-        day.run(2 * kSecond);
-        EXPECT_EQ(day.said(2), c.paid) << static_cast<int>(c.reaction);
-        EXPECT_EQ(day.setupsOf(2), c.paidAgain ? 2 : 1) << static_cast<int>(c.reaction);
-        std::size_t standing = 0;
-        for (const auto& s : day.servers) standing += s->playing.size();
-        EXPECT_EQ(standing, std::string(c.paid) == "+" ? 2u : 1u) << static_cast<int>(c.reaction);
+        VirtualNodeFixture fixture;
+        int setups = 0;
+        for (const auto& s : fixture.servers)
+            s->reaction = [&](const std::string&) {
+                return setups++ == 0 ? c.reaction : SetupReaction::Play;
+            };
+        fixture.request(1, "talk", "a");
+        fixture.run(2 * kSecond);
+        EXPECT_EQ(fixture.responses(1), c.free) << static_cast<int>(c.reaction);
+        setups = 0;
+        fixture.request(2, "paid", "b");
+        fixture.run(2 * kSecond);
+        EXPECT_EQ(fixture.responses(2), c.paid) << static_cast<int>(c.reaction);
+        EXPECT_EQ(fixture.setupCount(2), c.isPaidRetried ? 2 : 1) << static_cast<int>(c.reaction);
+        std::size_t playing = 0;
+        for (const auto& s : fixture.servers) playing += s->playing.size();
+        EXPECT_EQ(playing, std::string(c.paid) == "+" ? 2u : 1u) << static_cast<int>(c.reaction);
     }
 }
 
-// Guards against one garbled answer that takes what stands behind the same connection with it.
-TEST(Node, WhatStandsOutlivesItsConnection) {
-    VirtualDay day(1);
-    day.ask(1);
-    day.run(kSecond);
-    day.servers[0]->resetConnections();
-    day.run(kSecond);
-    EXPECT_EQ(day.said(1), "+");
-    day.servers[0]->end(idOf(1), 16);  // on the connection that was opened since
-    day.run(kSecond);
-    EXPECT_EQ(day.said(1), "+ 16");
+// Guards against ending all subscriptions that were set up on a connection when it breaks.
+TEST(Node, PlaybackOutlivesItsConnection) {
+    VirtualNodeFixture fixture(1);
+    fixture.request(1);
+    fixture.run(kSecond);
+    fixture.servers[0]->resetConnections();
+    fixture.run(kSecond);
+    EXPECT_EQ(fixture.responses(1), "+");
+    fixture.servers[0]->end(idOf(1), 16);  // on the connection opened since
+    fixture.run(kSecond);
+    EXPECT_EQ(fixture.responses(1), "+ 16");
 }
 
-// Guards against losing the freshest figure there is: half of the notes at set-up come before the answer.
-TEST(Node, AFigureToldBeforeTheAnswerCounts) {
-    VirtualDay day;
-    for (const auto& s : day.servers) s->saysFirst = 0.1;
-    day.servers[1]->saysFirst = 3;  // far too much is asked of its link
+// Guards against losing the latest load figure: half of the notices at set-up arrive before the answer.
+TEST(Node, NoticeBeforeTheAnswerCounts) {
+    VirtualNodeFixture fixture;
+    for (const auto& s : fixture.servers) s->linkUseBeforeAnswer = 0.1;
+    fixture.servers[1]->linkUseBeforeAnswer = 3;  // its link is overloaded three times
     for (int n = 1; n <= 30; ++n) {
-        day.ask(n, "talk", "t" + std::to_string(n));
-        day.run(100'000);
+        fixture.request(n, "talk", "t" + std::to_string(n));
+        fixture.run(100'000);
     }
-    EXPECT_LE(day.servers[1]->setups.size(), 3u);
-    EXPECT_GE(day.servers[0]->setups.size(), 8u);
-    EXPECT_GE(day.servers[2]->setups.size(), 8u);
+    EXPECT_LE(fixture.servers[1]->setups.size(), 3u);
+    EXPECT_GE(fixture.servers[0]->setups.size(), 8u);
+    EXPECT_GE(fixture.servers[2]->setups.size(), 8u);
 }
 
-TEST(Node, TheViewersOfADeadServerHearOfItWithinASecond) {
-    VirtualDay day(1);
-    day.ask(1);
-    day.run(kSecond);
-    day.servers[0]->die();
-    day.run(kSecond);
-    EXPECT_EQ(day.said(1), "+ 41");
+TEST(Node, ViewersOfACrashedServerAreReleasedWithinASecond) {
+    VirtualNodeFixture fixture(1);
+    fixture.request(1);
+    fixture.run(kSecond);
+    fixture.servers[0]->crash();
+    fixture.run(kSecond);
+    EXPECT_EQ(fixture.responses(1), "+ 41");
 }
 
-TEST(Node, AVanishedServerIsFoundWithinEightSeconds) {
-    VirtualDay day(1);
-    day.ask(1);
-    day.run(kSecond);
-    day.nodes[0]->pause();
-    day.run(2 * kSecond);
-    EXPECT_EQ(day.said(1), "+");  // a pause is no loss
-    day.run(6 * kSecond);
-    EXPECT_EQ(day.said(1), "+ 41");
+TEST(Node, DetectsAVanishedServerWithinEightSeconds) {
+    VirtualNodeFixture fixture(1);
+    fixture.request(1);
+    fixture.run(kSecond);
+    fixture.nodes[0]->pause();
+    fixture.run(2 * kSecond);
+    EXPECT_EQ(fixture.responses(1), "+");  // a short pause is no loss
+    fixture.run(6 * kSecond);
+    EXPECT_EQ(fixture.responses(1), "+ 41");
 }
 
-// One that is merely quiet is asked for a connection, and goes on.
-TEST(Node, AQuietServerKeepsWhatItPlays) {
-    VirtualDay day(1);
-    day.ask(1);
-    day.run(40 * kSecond);
-    EXPECT_EQ(day.said(1), "+");
-    EXPECT_EQ(day.servers[0]->playing.size(), 1u);
+// A server that sends nothing but accepts connections is not lost.
+TEST(Node, QuietServerKeepsItsPlayback) {
+    VirtualNodeFixture fixture(1);
+    fixture.request(1);
+    fixture.run(40 * kSecond);
+    EXPECT_EQ(fixture.responses(1), "+");
+    EXPECT_EQ(fixture.servers[0]->playing.size(), 1u);
 }
 
-// What ends a subscription is said where its viewers are, not to whoever has connected last.
-TEST(Node, AReleaseFindsItsViewerOnAnotherConnection) {
-    VirtualDay day(1);
-    day.ask(1);
-    day.ask(2);
-    const auto other = day.line();
-    other->send(VirtualDay::start(3));
-    day.run(kSecond);
-    day.viewers->close(true);
-    int strange = 0;
-    fakes::PlatformConnection stranger(day.machine(13), day.front->endpoint(),
-                                       [&](auto&, const Json& m) { strange += m["verb"] == "FINISH"; });
+// If the viewer's connection is closed, a release goes to a connection of viewers that play, not to the
+// latest one.
+TEST(Node, ReleaseUsesAnotherConnectionOfItsViewer) {
+    VirtualNodeFixture fixture(1);
+    fixture.request(1);
+    fixture.request(2);
+    const auto other = fixture.connectViewer();
+    other->send(VirtualNodeFixture::startMessage(3));
+    fixture.run(kSecond);
+    fixture.viewer->close(true);
+    int misdirected = 0;
+    fakes::PlatformConnection stranger(fixture.machine(13), fixture.front->endpoint(),
+                                       [&](auto&, const Json& m) { misdirected += m["verb"] == "FINISH"; });
     stranger.send({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
-    day.run(100'000);
-    day.servers[0]->end(idOf(1), 16);
-    day.run(900'000);
-    EXPECT_EQ(day.said(1), "+ 16");
+    fixture.run(100'000);
+    fixture.servers[0]->end(idOf(1), 16);
+    fixture.run(900'000);
+    EXPECT_EQ(fixture.responses(1), "+ 16");
     other->close(true);
-    day.run(100'000);
-    day.servers[0]->end(idOf(2), 16);
-    day.run(500'000);
-    EXPECT_EQ(day.said(2), "+");  // waits for a better one
-    day.viewers = day.line();
-    day.ask(4);
-    day.run(500'000);
-    EXPECT_EQ(day.said(2), "+ 16");
-    EXPECT_EQ(strange, 0);
+    fixture.run(100'000);
+    fixture.servers[0]->end(idOf(2), 16);
+    fixture.run(500'000);
+    EXPECT_EQ(fixture.responses(2), "+");  // waits for a better connection
+    fixture.viewer = fixture.connectViewer();
+    fixture.request(4);
+    fixture.run(500'000);
+    EXPECT_EQ(fixture.responses(2), "+ 16");
+    EXPECT_EQ(misdirected, 0);
 }
 
-// Guards against a crowd of connects, each of which passes a test: it took the place of those that play.
-TEST(Node, ACrowdThatTestsCutsNobodyOff) {
-    VirtualDay day;
-    day.ask(1);
-    day.run(500'000);
+// Guards against many connections that each send a test and displace those of viewers that play.
+TEST(Node, ManyTestConnectionsDisplaceNoViewer) {
+    VirtualNodeFixture fixture;
+    fixture.request(1);
+    fixture.run(500'000);
     std::vector<std::unique_ptr<fakes::PlatformConnection>> crowd;
     for (int i = 0; i < 400; ++i) {
-        crowd.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
-                                                                    [](auto&, const Json&) {}));
+        crowd.push_back(std::make_unique<fakes::PlatformConnection>(
+            fixture.machine(13), fixture.front->endpoint(), [](auto&, const Json&) {}));
         crowd.back()->send({{"verb", "ECHO"}, {"tag", idOf(99)}, {"opts", Json::object()}});
     }
-    day.run(100'000);
-    EXPECT_FALSE(day.viewers->ended());
-    day.playerOf(1)->end(idOf(1), 16);
-    day.run(500'000);
-    EXPECT_EQ(day.said(1), "+ 16");
+    fixture.run(100'000);
+    EXPECT_FALSE(fixture.viewer->isClosed());
+    fixture.serverPlaying(1)->end(idOf(1), 16);
+    fixture.run(500'000);
+    EXPECT_EQ(fixture.responses(1), "+ 16");
 }
 
-// A viewer that stops waiting is owed nothing, and leaves nothing behind.
-TEST(Node, WhatIsGivenUpIsCalledOff) {
-    VirtualDay day(1);
-    day.servers[0]->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
-    day.ask(1);
-    day.run(200'000);
-    day.end(1);
-    day.run(kSecond);
-    EXPECT_EQ(day.said(1), "");
-    EXPECT_EQ(day.servers[0]->cuts, 1);
+// A viewer that gives up gets no response, and its pending join is ended.
+TEST(Node, AbandonedSetupIsCancelled) {
+    VirtualNodeFixture fixture(1);
+    fixture.servers[0]->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
+    fixture.request(1);
+    fixture.run(200'000);
+    fixture.sendFinish(1);
+    fixture.run(kSecond);
+    EXPECT_EQ(fixture.responses(1), "");
+    EXPECT_EQ(fixture.servers[0]->finishCount, 1);
 }
 
-// Each line of these is refused or its connection closed within 3 s, nothing reaches a media server, and the
-// usual viewer beside them plays.
-TEST(Node, WhatCannotBeUsedIsTurnedAwayAndCostsOthersNothing) {
-    VirtualDay day;
-    const auto with = [](const char* key, const Json& value) {
-        Json m = VirtualDay::start(77);
+// Each of these inputs is refused or its connection closed within 3 s, none reaches a media server, and a
+// normal viewer plays meanwhile.
+TEST(Node, RefusesUnusableInputWithoutAffectingOthers) {
+    VirtualNodeFixture fixture;
+    const auto setupWith = [](const char* key, const Json& value) {
+        Json message = VirtualNodeFixture::startMessage(77);
         if (value.is_null())
-            m["opts"].erase(key);
+            message["opts"].erase(key);
         else
-            m["opts"][key] = value;
-        return m.dump() + "\n";
+            message["opts"][key] = value;
+        return message.dump() + "\n";
     };
-    Json noTag = VirtualDay::start(77), shortTag = noTag, noWords = noTag;
+    Json noTag = VirtualNodeFixture::startMessage(77), shortTag = noTag, noDescription = noTag;
     noTag.erase("tag");
     shortTag["tag"] = "12";
-    noWords.erase("blob");
-    std::vector<std::string> bad = {
-        "noise\n",
-        std::string(20'000, 'x'),
-        "{\"verb\":\"START\"",
-        "",
-        "\n",
-        std::string(9'000, '[') + "\n",
-        with("class", "unheard"),
-        with("class", 3),
-        with("class", nullptr),
-        with("left", "-5"),
-        with("left", "0"),
-        with("left", "soon"),
-        with("left", "1e300"),
-        with("left", "nan"),
-        with("hint", "inf"),
-        with("hint", "-1"),
-        with("extras", "home:-1;copies:3;top:2"),
-        with("extras", "home:0;copies:99;top:2"),
-        with("extras", "home:0;copies:3;top:x"),
-        with("extras", "x"),
-        with("extras", nullptr),
-        with("key", nullptr),
-        with("key", ""),
-        noTag.dump() + "\n",
-        shortTag.dump() + "\n",
-        noWords.dump() + "\n",
-        VirtualDay::start(77).dump() + "\n" + VirtualDay::start(77, "talk", "u").dump() + "\n"};
-    std::vector<std::unique_ptr<fakes::PlatformConnection>> callers;
-    int answered = 0;
-    for (const std::string& bytes : bad) {
-        callers.push_back(std::make_unique<fakes::PlatformConnection>(
-            day.machine(13), day.front->endpoint(), [&](fakes::PlatformConnection&, const Json& m) {
+    noDescription.erase("blob");
+    std::vector<std::string> inputs = {"noise\n",
+                                       std::string(20'000, 'x'),
+                                       "{\"verb\":\"START\"",
+                                       "",
+                                       "\n",
+                                       std::string(9'000, '[') + "\n",
+                                       setupWith("class", "unheard"),
+                                       setupWith("class", 3),
+                                       setupWith("class", nullptr),
+                                       setupWith("left", "-5"),
+                                       setupWith("left", "0"),
+                                       setupWith("left", "soon"),
+                                       setupWith("left", "1e300"),
+                                       setupWith("left", "nan"),
+                                       setupWith("hint", "inf"),
+                                       setupWith("hint", "-1"),
+                                       setupWith("extras", "home:-1;copies:3;top:2"),
+                                       setupWith("extras", "home:0;copies:99;top:2"),
+                                       setupWith("extras", "home:0;copies:3;top:x"),
+                                       setupWith("extras", "x"),
+                                       setupWith("extras", nullptr),
+                                       setupWith("key", nullptr),
+                                       setupWith("key", ""),
+                                       noTag.dump() + "\n",
+                                       shortTag.dump() + "\n",
+                                       noDescription.dump() + "\n",
+                                       VirtualNodeFixture::startMessage(77).dump() + "\n" +
+                                           VirtualNodeFixture::startMessage(77, "talk", "u").dump() + "\n"};
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> connections;
+    int responses = 0;
+    for (const std::string& bytes : inputs) {
+        connections.push_back(std::make_unique<fakes::PlatformConnection>(
+            fixture.machine(13), fixture.front->endpoint(), [&](fakes::PlatformConnection&, const Json& m) {
                 EXPECT_NE(m["verb"], "STARTED");
-                ++answered;
+                ++responses;
             }));
-        callers.back()->bytes(bytes);
+        connections.back()->sendBytes(bytes);
     }
-    day.ask(1);
-    day.run(2'900'000);
-    EXPECT_EQ(day.said(1), "+");
-    for (std::size_t i = 0; i < callers.size(); ++i)
-        EXPECT_TRUE(callers[i]->ended()) << bad[i].substr(0, 200);
-    EXPECT_GT(answered, 15);
-    EXPECT_EQ(day.setupsOf(77), 0);
+    fixture.request(1);
+    fixture.run(2'900'000);
+    EXPECT_EQ(fixture.responses(1), "+");
+    for (std::size_t i = 0; i < connections.size(); ++i)
+        EXPECT_TRUE(connections[i]->isClosed()) << inputs[i].substr(0, 200);
+    EXPECT_GT(responses, 15);
+    EXPECT_EQ(fixture.setupCount(77), 0);
 }
 
-// Guards against connects that say nothing and keep out those that ask.
-TEST(Node, SilentConnectsKeepNobodyOut) {
-    VirtualDay day;
+// Guards against silent connections that keep out viewers with requests.
+TEST(Node, SilentConnectionsKeepNobodyOut) {
+    VirtualNodeFixture fixture;
     std::vector<std::unique_ptr<fakes::PlatformConnection>> silent;
     for (int i = 0; i < 400; ++i)
-        silent.push_back(std::make_unique<fakes::PlatformConnection>(day.machine(13), day.front->endpoint(),
-                                                                     [](auto&, const Json&) {}));
-    day.run(100'000);
-    day.viewers = day.line();
-    day.ask(1);
-    day.run(500'000);
-    EXPECT_EQ(day.said(1), "+");
+        silent.push_back(std::make_unique<fakes::PlatformConnection>(
+            fixture.machine(13), fixture.front->endpoint(), [](auto&, const Json&) {}));
+    fixture.run(100'000);
+    fixture.viewer = fixture.connectViewer();
+    fixture.request(1);
+    fixture.run(500'000);
+    EXPECT_EQ(fixture.responses(1), "+");
 }
 
-TEST(Node, IdOfAnOpenSetupEndsItForNobodyElse) {
-    VirtualDay day;
-    day.ask(1);
-    const auto other = day.line();
-    other->send(VirtualDay::start(1, "talk", "another"));
-    day.run(kSecond);
-    EXPECT_TRUE(other->ended());
-    EXPECT_EQ(day.said(1), "+");
-    EXPECT_EQ(day.setupsOf(1), 1);
+TEST(Node, DuplicateTagOnAnotherConnectionDoesNotEndASetup) {
+    VirtualNodeFixture fixture;
+    fixture.request(1);
+    const auto other = fixture.connectViewer();
+    other->send(VirtualNodeFixture::startMessage(1, "talk", "another"));
+    fixture.run(kSecond);
+    EXPECT_TRUE(other->isClosed());
+    EXPECT_EQ(fixture.responses(1), "+");
+    EXPECT_EQ(fixture.setupCount(1), 1);
 }
 
-TEST(Node, WhatIsHandedOverIsHeldWhateverWaitItNames) {
-    VirtualDay day;
-    Json m = VirtualDay::start(1);
+TEST(Node, HandedOverSubscriptionIsHeldWhateverItsTimeLeft) {
+    VirtualNodeFixture fixture;
+    Json m = VirtualNodeFixture::startMessage(1);
     m["opts"]["left"] = "4294967";
     m["opts"]["extras"] = "home:0;copies:3;top:2;at:s-00000001";
-    day.viewers->send(m);
-    day.viewers->send(m);  // told again: held already
-    Json gone = m;
-    gone["tag"] = idOf(2);
-    gone["opts"]["extras"] = "home:0;copies:3;top:2;at:s-0000000f";
-    day.viewers->send(gone);
-    day.run(500'000);
-    EXPECT_EQ(day.said(1), "");
-    EXPECT_EQ(day.said(2), "41");  // nobody there could ever say that it is over
-    day.end(1);
-    day.run(500'000);
-    EXPECT_EQ(day.servers[1]->cuts, 1);
+    fixture.viewer->send(m);
+    fixture.viewer->send(m);  // sent again: held already
+    Json unknownServer = m;
+    unknownServer["tag"] = idOf(2);
+    unknownServer["opts"]["extras"] = "home:0;copies:3;top:2;at:s-0000000f";
+    fixture.viewer->send(unknownServer);
+    fixture.run(500'000);
+    EXPECT_EQ(fixture.responses(1), "");
+    EXPECT_EQ(fixture.responses(2), "41");  // no server could ever report its end
+    fixture.sendFinish(1);
+    fixture.run(500'000);
+    EXPECT_EQ(fixture.servers[1]->finishCount, 1);
 }
 
-TEST(Node, SeatsCountUntilTheMediaServerHasEndedIt) {
-    VirtualDay day;
-    for (int n = 1; n <= 3; ++n) day.ask(n, "paid");  // two seats
-    day.run(2 * kSecond);
-    EXPECT_EQ((day.said(1) == "+") + (day.said(2) == "+") + (day.said(3) == "+"), 2);
-    std::size_t most = 0;
-    for (const auto& s : day.servers) most += s->playing.size();
-    EXPECT_EQ(most, 2u);
+TEST(Node, SeatLimitIsKept) {
+    VirtualNodeFixture fixture;
+    for (int n = 1; n <= 3; ++n) fixture.request(n, "paid");  // two seats
+    fixture.run(2 * kSecond);
+    EXPECT_EQ((fixture.responses(1) == "+") + (fixture.responses(2) == "+") + (fixture.responses(3) == "+"),
+              2);
+    std::size_t playing = 0;
+    for (const auto& s : fixture.servers) playing += s->playing.size();
+    EXPECT_EQ(playing, 2u);
 }
 
-// A refusal is final and at once, with a time to come back; it is not kept until the viewer has gone.
-TEST(Node, ARefusalIsSaidAtOnceWithATimeToComeBack) {
-    VirtualDay day;
-    for (int n = 1; n <= 3; ++n) day.ask(n, "paid");
-    day.run(900'000);
+// A refusal is final, sent at once and names a time to retry; it is not held back until the client timeout.
+TEST(Node, RefusesAtOnceWithATimeToRetry) {
+    VirtualNodeFixture fixture;
+    for (int n = 1; n <= 3; ++n) fixture.request(n, "paid");
+    fixture.run(900'000);
     int refused = 0;
     for (int n = 1; n <= 3; ++n)
-        for (const Json& m : day.heard[idOf(n)])
+        for (const Json& m : fixture.messages[idOf(n)])
             if (m.value("rc", 0) == 42) {
                 ++refused;
                 EXPECT_GE(std::stoi(m["opts"]["wait"].get<std::string>()), 1);
@@ -393,150 +399,151 @@
 
 // ================= the change log =================
 
-TEST(NodeList, ADrainIsKeptWhateverTheLogDoes) {
-    for (const int trouble : {0, 1, 2, 3}) {
-        VirtualDay day;
-        if (trouble == 1) day.log->twice = true;
-        if (trouble == 2) {  // breaks off in the middle of an event
-            day.log->bytes(
-                fakes::PlatformChangeLog::frame(2, 2, {{0, day.servers[0]->endpoint(), 1}}).substr(0, 20));
-            day.run(10'000);
-            day.log->breakOff();
+TEST(NodeList, DrainIsAppliedDespiteChangeLogFaults) {
+    for (const int fault : {0, 1, 2, 3}) {
+        VirtualNodeFixture fixture;
+        if (fault == 1) fixture.changeLog->sendsTwice = true;
+        if (fault == 2) {  // closes in the middle of an event
+            fixture.changeLog->sendBytes(
+                fakes::PlatformChangeLog::makeFrame(2, 2, {{0, fixture.servers[0]->endpoint(), 1}})
+                    .substr(0, 20));
+            fixture.run(10'000);
+            fixture.changeLog->closeConnection();
         }
-        if (trouble == 3) day.log->silent = true;
-        day.log->add({{0, day.servers[0]->endpoint(), 1, 0}});
-        day.run(200'000);
-        day.log->silent = false;
-        day.run(3 * kSecond);  // a silence is found out
-        const std::size_t before = day.servers[0]->setups.size();
-        day.viewers = day.line();
-        for (int n = 1; n <= 10; ++n) day.ask(n, "talk", "t" + std::to_string(n));
-        day.run(kSecond);
-        EXPECT_EQ(day.servers[0]->setups.size(), before) << trouble;
-        for (int n = 1; n <= 10; ++n) EXPECT_EQ(day.said(n), "+") << trouble;
-        if (trouble >= 2) {
-            EXPECT_EQ(day.log->asked.back(), 1u) << trouble;  // from the last whole event
+        if (fault == 3) fixture.changeLog->isSilent = true;
+        fixture.changeLog->add({{0, fixture.servers[0]->endpoint(), 1, 0}});
+        fixture.run(200'000);
+        fixture.changeLog->isSilent = false;
+        fixture.run(3 * kSecond);  // time to detect a silence
+        const std::size_t before = fixture.servers[0]->setups.size();
+        fixture.viewer = fixture.connectViewer();
+        for (int n = 1; n <= 10; ++n) fixture.request(n, "talk", "t" + std::to_string(n));
+        fixture.run(kSecond);
+        EXPECT_EQ(fixture.servers[0]->setups.size(), before) << fault;
+        for (int n = 1; n <= 10; ++n) EXPECT_EQ(fixture.responses(n), "+") << fault;
+        if (fault >= 2) {
+            EXPECT_EQ(fixture.changeLog->requests.back(), 1u) << fault;  // from the last complete event
         }
     }
 }
 
-TEST(NodeList, ANewServerAtTheAddressOfOneThatIsGone) {
-    VirtualDay day(1);
-    day.ask(1);
-    day.run(kSecond);
-    const net::Endpoint at = day.servers[0]->endpoint();
-    day.log->add({{0, at, 2, 0}, {7, at, 0, 0}});
-    day.run(500'000);
-    EXPECT_EQ(day.said(1), "+ 41");  // what the old one played is over
-    day.ask(2);
-    day.run(kSecond);
-    EXPECT_EQ(day.said(2), "+");
+TEST(NodeList, NewServerAtTheAddressOfARemovedOne) {
+    VirtualNodeFixture fixture(1);
+    fixture.request(1);
+    fixture.run(kSecond);
+    const net::Endpoint endpoint = fixture.servers[0]->endpoint();
+    fixture.changeLog->add({{0, endpoint, 2, 0}, {7, endpoint, 0, 0}});
+    fixture.run(500'000);
+    EXPECT_EQ(fixture.responses(1), "+ 41");  // the old server's playback is over
+    fixture.request(2);
+    fixture.run(kSecond);
+    EXPECT_EQ(fixture.responses(2), "+");
 }
 
-TEST(NodeList, IsAskedForWhereTheNewConfigurationSays) {
-    VirtualDay day;
-    fakes::PlatformChangeLog other(day.machine(14), VirtualMachines::place(14));
+TEST(NodeList, ReloadSwitchesToTheNewChangeLog) {
+    VirtualNodeFixture fixture;
+    fakes::PlatformChangeLog other(fixture.machine(14), VirtualMachines::place(14));
     other.last = 1;
-    day.front->reloadConfiguration("{ not JSON");  // passed over
-    Json all = Json::parse(day.configuration());
+    fixture.front->reloadConfiguration("{ not JSON");  // ignored
+    Json all = Json::parse(fixture.configuration());
     all["changelog"] = net::toString(other.endpoint());
-    day.front->reloadConfiguration(all.dump());
-    day.run(500'000);
-    ASSERT_EQ(other.asked, std::vector<std::uint64_t>{1});
-    other.add({{0, day.servers[0]->endpoint(), 1, 0}});
-    day.run(500'000);
-    day.ask(1);
-    day.run(kSecond);
-    EXPECT_EQ(day.said(1), "+");
-    EXPECT_TRUE(day.servers[0]->setups.empty());
+    fixture.front->reloadConfiguration(all.dump());
+    fixture.run(500'000);
+    ASSERT_EQ(other.requests, std::vector<std::uint64_t>{1});
+    other.add({{0, fixture.servers[0]->endpoint(), 1, 0}});
+    fixture.run(500'000);
+    fixture.request(1);
+    fixture.run(kSecond);
+    EXPECT_EQ(fixture.responses(1), "+");
+    EXPECT_TRUE(fixture.servers[0]->setups.empty());
 }
 
-// ================= the end, and the start =================
+// ================= stop and start =================
 
-TEST(Node, APlannedEndAnswersAllThatWasTaken) {
-    VirtualDay day;
-    for (const auto& s : day.servers)
+TEST(Node, PlannedStopAnswersAllAcceptedSetups) {
+    VirtualNodeFixture fixture;
+    for (const auto& s : fixture.servers)
         s->reaction = [](const std::string& tag) {
             return tag == idOf(2) ? SetupReaction::NoAnswer : SetupReaction::Play;
         };
-    bool over = false;
-    day.front->stop([&] { over = true; });
-    day.run(300'000);
-    day.ask(1);  // requests still come for a while
-    day.ask(2, "paid", "u");
-    day.run(2 * kSecond);
-    EXPECT_FALSE(over);
-    EXPECT_EQ(day.said(1), "+");
-    day.run(1'700'000);
-    EXPECT_TRUE(over);
-    EXPECT_EQ(day.said(1), "+ 41");  // released, not just cut off
-    EXPECT_EQ(day.said(2), "110");
+    bool isStopped = false;
+    fixture.front->stop([&] { isStopped = true; });
+    fixture.run(300'000);
+    fixture.request(1);  // requests still arrive for a while
+    fixture.request(2, "paid", "u");
+    fixture.run(2 * kSecond);
+    EXPECT_FALSE(isStopped);
+    EXPECT_EQ(fixture.responses(1), "+");
+    fixture.run(1'700'000);
+    EXPECT_TRUE(isStopped);
+    EXPECT_EQ(fixture.responses(1), "+ 41");  // released, not just disconnected
+    EXPECT_EQ(fixture.responses(2), "110");
 }
 
-TEST(Node, SaysWhatIsWrongWithItsConfiguration) {
-    VirtualDay day;
-    const Json good = Json::parse(day.configuration());
+TEST(Node, ReportsConfigurationErrors) {
+    VirtualNodeFixture fixture;
+    const Json valid = Json::parse(fixture.configuration());
     logging::Log log{"", logging::Level::Error, 1};
-    const auto wrong = [&](const std::string& text) -> std::string {
+    const auto errorFor = [&](const std::string& text) -> std::string {
         try {
-            node::Node(day.machine(15), "c.json", text, log);
+            node::Node(fixture.machine(15), "c.json", text, log);
         } catch (const setup::InvalidValue& e) {
             return e.what();
         }
-        return "taken";
+        return "accepted";
     };
-    EXPECT_EQ(wrong("{\n \"a\": ,}"), "c.json:2:7: invalid JSON");
-    Json one = good;
-    one["setting"] = one["settings"];
-    one.erase("settings");
-    EXPECT_EQ(wrong(one.dump()), "c.json: 'settings' is missing; there is a 'setting'");
-    one = good;
-    one["changelog"] = "nowhere";
-    EXPECT_NE(wrong(one.dump()).find("'changelog' is 'nowhere'"), std::string::npos);
-    one = good;
-    one["settings"]["rules"].erase("cold");
-    EXPECT_NE(wrong(one.dump()).find("c.json: settings: 'cold' is missing"), std::string::npos);
-    one = good;
-    one["known"]["results"][0]["fleet"]["instances"][0]["instanceId"] = "7";
-    EXPECT_NE(wrong(one.dump()).find("known.results[0]"), std::string::npos);
+    EXPECT_EQ(errorFor("{\n \"a\": ,}"), "c.json:2:7: invalid JSON");
+    Json changed = valid;
+    changed["setting"] = changed["settings"];
+    changed.erase("settings");
+    EXPECT_EQ(errorFor(changed.dump()), "c.json: 'settings' is missing; there is a 'setting'");
+    changed = valid;
+    changed["changelog"] = "nowhere";
+    EXPECT_NE(errorFor(changed.dump()).find("'changelog' is 'nowhere'"), std::string::npos);
+    changed = valid;
+    changed["settings"]["rules"].erase("cold");
+    EXPECT_NE(errorFor(changed.dump()).find("c.json: settings: 'cold' is missing"), std::string::npos);
+    changed = valid;
+    changed["known"]["results"][0]["fleet"]["instances"][0]["instanceId"] = "7";
+    EXPECT_NE(errorFor(changed.dump()).find("known.results[0]"), std::string::npos);
 }
 
-TEST(NodeOnSockets, KeepsItsRulesWhileServersResetAndDie) {
-    Day<Sockets> day;
-    std::mt19937 chance(3);
-    for (const auto& s : day.servers)
+TEST(NodeOnSockets, KeepsItsRulesWhileServersResetAndCrash) {
+    NodeFixture<SocketMachines> fixture;
+    std::mt19937 random(3);
+    for (const auto& s : fixture.servers)
         s->reaction = [&](const std::string&) {
-            const auto drawn = chance() % 20;
-            return drawn == 0   ? SetupReaction::Reset
-                   : drawn == 1 ? SetupReaction::Garbage
-                   : drawn == 2 ? SetupReaction::RefuseFull
-                                : SetupReaction::Play;
+            const auto choice = random() % 20;
+            return choice == 0   ? SetupReaction::Reset
+                   : choice == 1 ? SetupReaction::Garbage
+                   : choice == 2 ? SetupReaction::RefuseFull
+                                 : SetupReaction::Play;
         };
     for (int n = 1; n <= 60; ++n) {
-        day.ask(n, n % 3 ? "talk" : "paid", "t" + std::to_string(n));
-        if (n % 20 == 0) day.run(30'000);
+        fixture.request(n, n % 3 ? "talk" : "paid", "t" + std::to_string(n));
+        if (n % 20 == 0) fixture.run(30'000);
     }
-    EXPECT_TRUE(day.loop.until([&] {
+    EXPECT_TRUE(fixture.loop.until([&] {
         for (int n = 1; n <= 60; ++n)
-            if (day.said(n).empty()) return false;
+            if (fixture.responses(n).empty()) return false;
         return true;
     }));
-    day.servers[0]->die();
-    const auto left = [&] {
+    fixture.servers[0]->crash();
+    const auto hasUnreleased = [&] {
         for (int n = 1; n <= 60; ++n)
-            if (day.said(n) == "+" && !day.playerOf(n)) return true;
+            if (fixture.responses(n) == "+" && !fixture.serverPlaying(n)) return true;
         return false;
     };
-    EXPECT_TRUE(day.loop.until([&] { return !left(); }, kSecond));
-    for (int n = 3; n <= 60; n += 3) {  // a paid one: again only after "full"
-        int ran = 0;
-        for (const auto& s : day.servers)
-            for (const auto& one : s->setups) ran += one.tag == idOf(n);
-        if (day.said(n) == "41") {
-            EXPECT_LE(ran, 1) << n;
+    EXPECT_TRUE(fixture.loop.until([&] { return !hasUnreleased(); }, kSecond));
+    for (int n = 3; n <= 60; n += 3) {  // paid: retried only after "full"
+        int sent = 0;
+        for (const auto& s : fixture.servers)
+            for (const auto& setup : s->setups) sent += setup.tag == idOf(n);
+        if (fixture.responses(n) == "41") {
+            EXPECT_LE(sent, 1) << n;
         }
     }
-    for (int n = 1; n <= 60; ++n) EXPECT_LE(day.heard[idOf(n)].size(), 2u) << n;
+    for (int n = 1; n <= 60; ++n) EXPECT_LE(fixture.messages[idOf(n)].size(), 2u) << n;
 }
 
 }  // namespace
