--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -17,7 +17,7 @@
         case 34:
             return {JoinResult::Full, true, "full: the protocol guarantees that it never ran"};
         case 47:
-            return {JoinResult::Error, false, "error: the media server processed it"};
+            return {JoinResult::Error, false, "error: the media server looked at it"};
         case 102:
             return {JoinResult::NeverSent, true, "moot: it was never sent"};
         default:
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -354,12 +354,12 @@
 
 TEST(Node, HandedOverSubscriptionIsHeldWhateverItsTimeLeft) {
     VirtualNodeFixture fixture;
-    Json m = VirtualNodeFixture::startMessage(1);
-    m["opts"]["left"] = "4294967";
-    m["opts"]["extras"] = "home:0;copies:3;top:2;at:s-00000001";
-    fixture.viewer->send(m);
-    fixture.viewer->send(m);  // sent again: held already
-    Json unknownServer = m;
+    Json handover = VirtualNodeFixture::startMessage(1);
+    handover["opts"]["left"] = "4294967";
+    handover["opts"]["extras"] = "home:0;copies:3;top:2;at:s-00000001";
+    fixture.viewer->send(handover);
+    fixture.viewer->send(handover);  // sent again: held already
+    Json unknownServer = handover;
     unknownServer["tag"] = idOf(2);
     unknownServer["opts"]["extras"] = "home:0;copies:3;top:2;at:s-0000000f";
     fixture.viewer->send(unknownServer);
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -54,9 +54,9 @@
 TEST(NodeViewers, UnsentResponsesSurviveTheClose) {
     VirtualNodeFixture fixture;
     LateReader reader(fixture.machine(13), fixture.front->endpoint());
-    std::string all;
-    for (int i = 0; i < 6000; ++i) all += kTestLine;
-    reader.send(all + "noise\n");
+    std::string tests;
+    for (int i = 0; i < 6000; ++i) tests += kTestLine;
+    reader.send(tests + "noise\n");
     fixture.run(300'000);
     while (reader.readAvailable()) fixture.run(1'000);
     EXPECT_EQ(reader.lineCount(), 6000);
@@ -78,23 +78,23 @@
 // Guards against a descriptor that is held for a peer that neither reads nor closes.
 TEST(NodeViewers, LingeringCloseEnds) {
     VirtualNodeFixture fixture;
-    LateReader endless(fixture.machine(13), fixture.front->endpoint());
+    LateReader sender(fixture.machine(13), fixture.front->endpoint());
     const std::string bad = VirtualNodeFixture::startMessage(77, "unheard").dump() + "\n";
-    endless.send(bad + bad + bad + bad);
+    sender.send(bad + bad + bad + bad);
     fixture.run(100'000);
     for (int i = 0; i < 100; ++i) {
-        endless.send(std::string(10'000, 'x'));
+        sender.send(std::string(10'000, 'x'));
         fixture.run(1'000);
     }
-    endless.readAvailable();
-    EXPECT_TRUE(endless.isBroken);  // it kept sending: the byte limit
-    LateReader still(fixture.machine(13), fixture.front->endpoint());
-    still.send(bad + bad + bad + bad);
+    sender.readAvailable();
+    EXPECT_TRUE(sender.isBroken);  // it kept sending: the byte limit
+    LateReader idleReader(fixture.machine(13), fixture.front->endpoint());
+    idleReader.send(bad + bad + bad + bad);
     fixture.run(1'500'000);
-    still.send("x");
+    idleReader.send("x");
     fixture.run(100'000);
-    still.readAvailable();
-    EXPECT_TRUE(still.isBroken);  // the time limit
+    idleReader.readAvailable();
+    EXPECT_TRUE(idleReader.isBroken);  // the time limit
 }
 
 // If all connections are needed, the set-up on a further one is refused, not just disconnected.
@@ -102,16 +102,16 @@
     VirtualNodeFixture fixture;
     for (const auto& s : fixture.servers)
         s->reaction = [](const std::string&) { return SetupReaction::NoAnswer; };
-    std::vector<std::unique_ptr<fakes::PlatformConnection>> all;
+    std::vector<std::unique_ptr<fakes::PlatformConnection>> connections;
     for (int n = 1; n <= 130; ++n) {
-        all.push_back(fixture.connectViewer());
-        all.back()->send(VirtualNodeFixture::startMessage(n, "talk", "t" + std::to_string(n)));
+        connections.push_back(fixture.connectViewer());
+        connections.back()->send(VirtualNodeFixture::startMessage(n, "talk", "t" + std::to_string(n)));
         fixture.run(1'000);
     }
     for (int n = 121; n <= 130; ++n) EXPECT_EQ(fixture.responses(n), "42") << n;
     fixture.run(100'000);
-    EXPECT_TRUE(all.back()->isClosed());
-    EXPECT_FALSE(all.front()->isClosed());
+    EXPECT_TRUE(connections.back()->isClosed());
+    EXPECT_FALSE(connections.front()->isClosed());
 }
 
 // A connection with an unread set-up is not closed to make room for a new one.
@@ -239,9 +239,9 @@
     VirtualNodeFixture fixture;
     const int count = 4000;
     for (int n = 1; n <= count; ++n) {
-        Json m = VirtualNodeFixture::startMessage(n);
-        m["opts"]["extras"] = "home:0;copies:3;top:2;at:s-00000000";
-        fixture.viewer->send(m);
+        Json message = VirtualNodeFixture::startMessage(n);
+        message["opts"]["extras"] = "home:0;copies:3;top:2;at:s-00000000";
+        fixture.viewer->send(message);
         if (n % 200 == 0) fixture.run(20'000);
     }
     fixture.run(100'000);
@@ -250,9 +250,9 @@
     fixture.servers[0]->crash();
     fixture.run(500'000);
     LateReader reader(fixture.machine(13), fixture.front->endpoint());
-    std::string all = VirtualNodeFixture::startMessage(5000).dump() + "\n";
-    for (int i = 0; i < 5200; ++i) all += kTestLine;  // their responses fill its buffer already
-    reader.send(all);
+    std::string input = VirtualNodeFixture::startMessage(5000).dump() + "\n";
+    for (int i = 0; i < 5200; ++i) input += kTestLine;  // their responses fill its buffer already
+    reader.send(input);
     fixture.run(500'000);
     for (int i = 0; i < 300; ++i) {
         reader.readAvailable();
@@ -313,7 +313,7 @@
         void onDisconnect(node::DisconnectReason) override {}
     } handler;
     net::VirtualWorld world{5};
-    net::VirtualNode& machine = world.node("machine", VirtualMachines::place(0).ip);
+    net::VirtualNode& machine = world.node("here", VirtualMachines::place(0).ip);
     std::vector<std::unique_ptr<node::LineConnection>> connections;
     for (int i = 0; i < 10; ++i) {
         connections.push_back(
@@ -378,9 +378,8 @@
     EXPECT_TRUE(fixture.viewer->isClosed());
 }
 
-// SIGKILL may come as soon as the longest client timeout, counted as 3 s where it is longer, and 0.7 s are
-// isStopped.
-TEST(NodeEnd, AllIsAnsweredAndReleasedBeforeTheEarliestKill) {
+// SIGKILL may come 0.7 s plus the longest client timeout, of which at most 3 s count, after SIGTERM.
+TEST(NodeStop, AnswersAndReleasesAllBeforeTheEarliestKill) {
     for (const double deadline : {8.0, 3.0, 1.5}) {
         VirtualNodeFixture fixture;
         restart(fixture, [&](Json& configuration) {
