--- a/src/fakes/platform.hpp
+++ b/src/fakes/platform.hpp
@@ -58,8 +58,8 @@
     std::function<SetupReaction(const std::string& tag)> reaction = [](const std::string&) {
         return SetupReaction::Play;
     };
-    double linkUseBeforeAnswer = 0;  // if above 0: sent in a notice just before each answer
-    void end(const std::string& tag, int cause);
+    double linkUseBeforeAnswer = 0;               // if above 0: sent in a notice just before each answer
+    void end(const std::string& tag, int cause);  // ends playback with a FINISH of this cause
     void sendNotice(const std::string& tag, const std::string& kind, double value);
     void resetConnections();  // playback continues
     void crash();             // ends all playback, resets all connections and refuses new ones
@@ -72,8 +72,8 @@
     std::vector<Setup> setups;                             // all that were received
     std::set<std::string> playing;                         // by tag
     std::vector<std::pair<std::string, int>> rungChanges;  // received, by tag
-    int finishCount = 0, testCount = 0,
-        connectionCount = 0;  // FINISH and ECHO messages, accepted connections
+    // FINISH and ECHO messages received, connections accepted.
+    int finishCount = 0, testCount = 0, connectionCount = 0;
 
   private:
     void onAccepted(std::unique_ptr<net::Stream>) override;
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -26,13 +26,12 @@
     // Switches to the change log that a new configuration names; other changes are ignored. An invalid one is
     // logged and has no effect.
     void reloadConfiguration(const std::string& text);
-    // Entries in all tables that grow with what viewers do. With connectionCount() for tests that nothing
-    // leaks.
+    // Entries in all tables that grow with what viewers do; lets tests check that nothing leaks.
     std::size_t tableEntryCount() const;
     std::size_t connectionCount() const;  // of viewers, including lingering ones
     // Starts a planned stop: accepts set-ups while they may still arrive, answers all of them, and lets
     // subscriptions play as long as the platform's restart rules allow. Then releases the rest and calls
-    // `done` once. Further calls have no effect.
+    // `done` once. Calls during a stop have no effect.
     void stop(std::function<void()> done);
 
   private:
--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -494,8 +494,8 @@
 // ================= queued ends =================
 
 // Queues a FINISH for a subscription that may play for nobody, also if no connection is open now or the one
-// that carried the FINISH breaks: a lost FINISH would keep its seat and its share of the link occupied for
-// usable.
+// that carried the FINISH breaks: a lost FINISH would keep its seat and its share of the link occupied
+// forever.
 void Servers::queueEnd(Server& server, const std::string& tag, Connection* sentOn) {
     if (server.queuedEnds.size() >= limits_.maxQueuedEnds) {
         ++counts_.endsDropped;
