--- a/src/node/servers.cpp
+++ b/src/node/servers.cpp
@@ -17,7 +17,7 @@
         case 34:
             return {JoinResult::Full, true, "full: the protocol guarantees that it never ran"};
         case 47:
-            return {JoinResult::Error, false, "error: the media server processed it"};
+            return {JoinResult::Error, false, "error: the media server looked at it"};
         case 102:
             return {JoinResult::NeverSent, true, "moot: it was never sent"};
         default:
@@ -494,8 +494,8 @@
 // ================= queued ends =================
 
 // Queues a FINISH for a subscription that may play for nobody, also if no connection is open now or the one
-// that carried the FINISH breaks: a lost FINISH would keep its seat and its share of the link occupied for
-// usable.
+// that carried the FINISH breaks: a lost FINISH would keep its seat and its share of the link occupied
+// forever.
 void Servers::queueEnd(Server& server, const std::string& tag, Connection* sentOn) {
     if (server.queuedEnds.size() >= limits_.maxQueuedEnds) {
         ++counts_.endsDropped;
--- a/tests/deployments_test.cpp
+++ b/tests/deployments_test.cpp
@@ -90,7 +90,7 @@
     std::string configuration(int count) const {
         std::vector<net::Endpoint> places;
         for (int i = 0; i < count; ++i) places.push_back(place(i));
-        return nodetest::configurationOf(places, place(11), log->endpoint(), settings).dump();
+        return nodetest::makeConfiguration(places, place(11), log->endpoint(), settings).dump();
     }
     // Requests subscription `n`. `left`: time to the client timeout in ms; 0: that of the request class.
     void subscribe(int n, std::size_t room = 0, int left = 0) {
