--- a/fuzz/node.cpp
+++ b/fuzz/node.cpp
@@ -9,18 +9,18 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace valekeel::node;
     const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-    if (const auto message = messageOf(bytes)) {
-        const std::string line = lineOf(*message);
-        const auto reparsed = messageOf(std::string_view(line).substr(0, line.size() - 1));
+    if (const auto message = parseMessage(bytes)) {
+        const std::string line = formatMessage(*message);
+        const auto reparsed = parseMessage(std::string_view(line).substr(0, line.size() - 1));
         if (!reparsed || reparsed->tag != message->tag || reparsed->description != message->description ||
-            reparsed->cause != message->cause || reparsed->opts != message->opts)
+            reparsed->cause != message->cause || reparsed->options != message->options)
             std::abort();
     }
     std::size_t wholeCount = 0, splitCount = 0;
     FrameReader wholeReader(2, 2, 16), splitReader(2, 2, 16);
     const bool wholeParsed =
-        wholeReader.feed(bytes, [&](const ChangeEvent& e, bool) { wholeCount += 1 + e.boxes.size(); });
-    const auto count = [&](const ChangeEvent& e, bool) { splitCount += 1 + e.boxes.size(); };
+        wholeReader.feed(bytes, [&](const ChangeEvent& e, bool) { wholeCount += 1 + e.entries.size(); });
+    const auto count = [&](const ChangeEvent& e, bool) { splitCount += 1 + e.entries.size(); };
     const bool splitParsed =
         splitReader.feed(bytes.substr(0, size / 2), count) && splitReader.feed(bytes.substr(size / 2), count);
     if (wholeParsed != splitParsed || wholeCount != splitCount) std::abort();
--- a/src/evidence/evidence_file.cpp
+++ b/src/evidence/evidence_file.cpp
@@ -20,7 +20,7 @@
     settings::NodeReader head = top.requiredChild("learnt");
     const auto version = head.numbers("the version", 0, 1e9);
     if (version.size() != 1 || version[0] != 1) head.fail("expected version 1");
-    out.savedAt = head.whole("saved-us", 0, 4'000'000'000'000'000);
+    out.savedAt = head.integer("saved-us", 0, 4'000'000'000'000'000);
     head.rejectUnread();
     std::set<std::uint32_t> seenIds;
     for (settings::NodeReader& box : top.childrenNamed("box")) {
--- a/tests/changelog_test.cpp
+++ b/tests/changelog_test.cpp
@@ -132,7 +132,7 @@
 }
 
 struct ChangeLogTest : testing::Test {
-    net::VirtualWorld world{11};
+    net::VirtualNetwork world{11};
     net::VirtualNode& front = world.node("front", endpointOf(1).ip);
     net::VirtualNode& logMachine = world.node("log", endpointOf(2).ip);
     net::VirtualNode& otherMachine = world.node("other", endpointOf(3).ip);
@@ -409,7 +409,7 @@
 
 // All fronts lose the change log at the same time and must not all reconnect at the same time.
 TEST(ChangeLogClient, FrontsReconnectAtDifferentTimes) {
-    net::VirtualWorld world{3};
+    net::VirtualNetwork world{3};
     net::VirtualNode& logMachine = world.node("log", endpointOf(2).ip);
     ScriptedChangeLog log(logMachine, endpointOf(2));
     std::vector<std::unique_ptr<RecordingHandler>> handlers;
@@ -548,7 +548,7 @@
 
 // A front node with two media servers and its change log.
 struct NodeListTest : testing::Test {
-    net::VirtualWorld world{5};
+    net::VirtualNetwork world{5};
     std::map<int, net::VirtualNode*> nodes;
     net::VirtualNode& machine(int n) {
         auto& node = nodes[n];
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -85,7 +85,7 @@
     int received = 0;
     for (int n = 1; n <= 24; ++n) received += fixture.setupCount(n);
     EXPECT_GE(received, 15);
-    EXPECT_LE(received * 15'000, static_cast<int>(net::VirtualWorld::kBuffer) + 15'000);
+    EXPECT_LE(received * 15'000, static_cast<int>(net::VirtualNetwork::kBuffer) + 15'000);
     EXPECT_EQ(fixture.servers[0]->playing.size(), 1u);  // only the first
 }
 
--- a/tests/node_viewers_test.cpp
+++ b/tests/node_viewers_test.cpp
@@ -150,7 +150,7 @@
     fixture.run(kSecond);
     for (int n = 1; n <= 10; ++n) EXPECT_EQ(fixture.responses(n), "+") << n;
     EXPECT_TRUE(fixture.servers[0]->setups.empty());
-    EXPECT_LE(fixture.nodes[11]->mostStreams(), 256u / 2 + 256 / 3 + 2);
+    EXPECT_LE(fixture.nodes[11]->peakStreamCount(), 256u / 2 + 256 / 3 + 2);
 }
 
 // A process that was not scheduled for a while runs its timers before it reads what has arrived meanwhile.
@@ -312,7 +312,7 @@
         void onLine(std::string_view) override {}
         void onDisconnect(node::DisconnectReason) override {}
     } handler;
-    net::VirtualWorld world{5};
+    net::VirtualNetwork world{5};
     net::VirtualNode& machine = world.node("here", VirtualMachines::place(0).ip);
     std::vector<std::unique_ptr<node::LineConnection>> connections;
     for (int i = 0; i < 10; ++i) {
@@ -321,7 +321,7 @@
                                                    node::LineConnection::Limits{100, 100, kSecond}, handler));
         connections.back()->close();
     }
-    EXPECT_EQ(machine.mostStreams(), 1u);
+    EXPECT_EQ(machine.peakStreamCount(), 1u);
     world.runUntil(world.now() + kSecond);
 }
 
