--- a/src/hints/cmcd.hpp
+++ b/src/hints/cmcd.hpp
@@ -41,6 +41,7 @@
     std::size_t customBytes = 128;  // of the value of a custom key
 };
 
+// The value of a custom key.
 using CustomValue = std::variant<bool, std::int64_t, Decimal, std::string, Token>;
 
 // The hints of one request, named by their keys in CTA-5004, table 1. Times are in milliseconds, rates in
--- a/src/hls/playlist.hpp
+++ b/src/hls/playlist.hpp
@@ -17,6 +17,7 @@
     std::uint64_t length = 0, offset = 0;
     bool operator==(const Range&) const = default;
 };
+// A media segment with the tags that apply to it.
 struct Segment {
     std::string uri;
     Micros duration = 0;
@@ -31,6 +32,7 @@
     std::optional<Range> range;
     bool operator==(const Map&) const = default;
 };
+// The playlist of one rung: a list of segments.
 struct MediaPlaylist {
     Micros targetDuration = 0;
     std::uint64_t mediaSequence = 0;  // EXT-X-MEDIA-SEQUENCE
@@ -47,6 +49,7 @@
     std::string codecs, resolution;
     bool operator==(const Variant&) const = default;
 };
+// A multivariant playlist: the rungs to choose from.
 struct Multivariant {
     std::vector<Variant> variants;
     bool operator==(const Multivariant&) const = default;
@@ -63,6 +66,7 @@
     std::optional<Playlist> playlist;
     std::string why;
 };
+// Parse a whole playlist.
 ParseResult<MediaPlaylist> parseMediaPlaylist(std::string_view text, const PlaylistLimits& = {});
 ParseResult<Multivariant> parseMultivariantPlaylist(std::string_view text, const PlaylistLimits& = {});
 // Serialize a playlist.
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -32,6 +32,7 @@
     std::vector<Field> all_;
 };
 
+// The request line and header fields.
 struct RequestHead {
     std::string method, target;
     Fields fields;
@@ -39,6 +40,7 @@
     std::string query() const;  // still encoded, without the "?"
 };
 
+// The status line and header fields.
 struct ResponseHead {
     int status = 0;
     Fields fields;
--- a/src/http/parse.hpp
+++ b/src/http/parse.hpp
@@ -14,7 +14,7 @@
 namespace valekeel::http {
 
 // Parser callbacks, in this order: one head, any number of body pieces, one end. Called from within
-// Parser::feed(), and onEndParsed() also from Parser::finish(); must not delete the parser.
+// Parser::feed(), and onEndParsed() also from Parser::finish(). They must not delete the parser.
 class ParserHandler {
   public:
     virtual ~ParserHandler() = default;
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -95,7 +95,7 @@
 class Net {
   public:
     virtual ~Net() = default;
-    virtual Micros now() const = 0;      // monotonic; constant within one round of the event loop
+    virtual Micros now() const = 0;      // monotonic; as of the current round of the event loop
     virtual Micros wallNow() const = 0;  // since 1970, to compare with other machines' timestamps
     virtual TimerWheel& timerWheel() = 0;
     // Failures are reported later through onConnectFailed(), never from within this call.
--- a/src/sip/message.cpp
+++ b/src/sip/message.cpp
@@ -147,7 +147,7 @@
     for (int i = 0; i < osip_list_size(&raw->vias); ++i) {
         auto* via = static_cast<osip_via_t*>(osip_list_get(&raw->vias, i));
         Via v;
-        v.written = serialized(via, [](const osip_via_t* element, char** to) { return osip_via_to_str(element, to); });
+        v.written = serialized(via, [](const osip_via_t* o, char** to) { return osip_via_to_str(o, to); });
         v.transport = toLower(toString(via->protocol));
         v.host = toString(via->host);
         if (via->port) v.port = parseNumber(via->port).value_or(0);
--- a/src/sip/message.hpp
+++ b/src/sip/message.hpp
@@ -40,11 +40,11 @@
     std::optional<NameAddr> contact;
     std::string callId;
     std::uint32_t cseq = 0;
-    std::optional<int> maxForwards, expires, sessionExpires, minSe;    // times in seconds
+    std::optional<int> maxForwards, expires, sessionExpires, minSe;    // all but maxForwards in seconds
     std::string refresher;                                             // of Session-Expires: uac or uas
     std::vector<std::string> recordRoutes, require, supported, allow;  // all but the routes in lower case
-    std::map<std::string, std::string>
-        others;  // headers that osip does not parse; names in lower case, first values
+    // Headers that osip does not parse itself: names in lower case, first value of each.
+    std::map<std::string, std::string> others;
     std::string contentType, body;
 };
 
@@ -54,7 +54,7 @@
     std::size_t headers = 100;
 };
 
-// The parsed message; or, if it is malformed, how to answer it.
+// The parsed message or, if it is malformed, how to answer it.
 struct ParseResult {
     std::optional<Message> message;
     int status = 400;                // the status to answer a malformed request with; 0: it can't be answered
--- a/src/sip/transactions.hpp
+++ b/src/sip/transactions.hpp
@@ -30,6 +30,7 @@
     auto operator<=>(const ReplyRoute&) const = default;
 };
 
+// The states of section 17.2 and of RFC 6026.
 enum class TransactionState { Proceeding, Completed, Confirmed, Accepted, Terminated };
 
 // Callbacks of Transactions.
