--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,5 +1,6 @@
-// valekeel SUBCOMMAND: arguments, exit codes, and putting the parts together. Exit codes: 0 done; 1 a rule
-// was broken or something was found wrong; 2 the call or the settings are wrong; 3 something outside failed.
+// The command line: valekeel SUBCOMMAND. Parses arguments, assembles the components and returns the exit
+// code: 0 success; 1 a rule was violated or a fault was found; 2 invalid arguments or settings; 3 an external
+// failure.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -23,24 +24,26 @@
 namespace valekeel::cli {
 namespace {
 
-constexpr int kDone = 0, kFound = 1, kWrongCall = 2, kOutside = 3;
+constexpr int kExitSuccess = 0, kExitFaultFound = 1, kExitInvalidUsage = 2, kExitExternalFailure = 3;
 constexpr const char* kVersion = "0.2.0";
 
-std::uint64_t someSeed() {
-    std::random_device chance;
-    return std::uint64_t{chance()} << 32 | chance();
+std::uint64_t randomSeed() {
+    std::random_device device;
+    return std::uint64_t{device()} << 32 | device();
 }
 
+// Runs a front until it is stopped by a signal. Seed 0 selects a random one.
 int serve(const std::string& file, std::uint64_t seed, const std::string& portFile,
           const std::string& decisions, bool withParent) {
     if (withParent) net::killOnParentExit();
     const auto document = settings::Document::fromFile(file);
     net::raiseDescriptorLimit();
-    const std::uint64_t used = seed ? seed : someSeed();
-    net::EpollNet real(used);
-    const front::ModuleOverride other =
+    const std::uint64_t effectiveSeed = seed ? seed : randomSeed();
+    net::EpollNet net(effectiveSeed);
+    const front::ModuleOverride moduleOverride =
         decisions.empty() ? front::ModuleOverride{} : simulation::baseline(decisions);
-    front::Front front(real, document, used, static_cast<std::uint64_t>(real.wallNow() / 1000), other);
+    front::Front front(net, document, effectiveSeed, static_cast<std::uint64_t>(net.wallNow() / 1000),
+                       moduleOverride);
     std::fprintf(stderr, "valekeel: serving on http://%s\n", net::toString(front.http()).c_str());
     if (!portFile.empty()) {
         {
@@ -50,52 +53,57 @@
         }
         std::filesystem::rename(portFile + ".new", portFile);
     }
-    int stops = 0;
-    real.onSignals({SIGTERM, SIGINT}, [&](int) {
-        if (++stops > 1) return real.stop();  // asked twice: at once
-        std::fprintf(stderr, "valekeel: stopping; what was taken is answered first\n");
-        front.stop(front.stopTimeout(), [&] { real.stop(); });
+    int signals = 0;
+    net.onSignals({SIGTERM, SIGINT}, [&](int) {
+        if (++signals > 1) return net.stop();  // a second signal stops immediately
+        std::fprintf(stderr, "valekeel: stopping after pending requests are answered\n");
+        front.stop(front.stopTimeout(), [&] { net.stop(); });
     });
-    real.run();
-    return kDone;
+    net.run();
+    return kExitSuccess;
 }
 
-// A front node on the platform: told by its environment, and by nothing else.
+// Runs a front node of the platform. Its only configuration is the file that BALANCER_CONFIG names, which is
+// read again on SIGHUP.
 int node(const std::string& level) {
     const char* path = std::getenv("BALANCER_CONFIG");
-    if (!path) throw std::invalid_argument("BALANCER_CONFIG names no file");
+    if (!path)
+        throw std::invalid_argument(
+            "the environment variable BALANCER_CONFIG is not set; it must name the configuration file");
     const std::string text = settings::readFile(path);
-    net::EpollNet real(node::seedOf(node::readConfiguration(path, text)));
+    net::EpollNet net(node::seedOf(node::readConfiguration(path, text)));
     logging::Log log("-", logging::parseLevel(level), 5);
-    node::Node front(real, path, text, log);
-    real.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int which) {
-        if (which != SIGHUP) return front.stop([&] { real.stop(); });
+    node::Node frontNode(net, path, text, log);
+    net.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
+        if (signal != SIGHUP) return frontNode.stop([&] { net.stop(); });
         try {
-            front.reread(settings::readFile(path));
-        } catch (const std::exception& e) {  // half way through being replaced: the one held applies
+            frontNode.reread(settings::readFile(path));
+        } catch (const std::exception& e) {
+            // Unreadable or partly written: the current configuration stays in force.
             std::fprintf(stderr, "valekeel: %s\n", e.what());
         }
     });
-    std::fprintf(stderr, "valekeel: front node on %s\n", net::toString(front.endpoint()).c_str());
-    real.run();
+    std::fprintf(stderr, "valekeel: front node on %s\n", net::toString(frontNode.endpoint()).c_str());
+    net.run();
     log.flush();
-    return kDone;
+    return kExitSuccess;
 }
 
+// Checks a settings file; prints the effective settings if `print`.
 int check(const std::string& file, bool print) {
     const auto document = settings::Document::fromFile(file);
     front::Front::check(document);
     if (print)
         std::cout << document.effectiveText();
     else
-        std::cout << file << ": in order\n";
-    return kDone;
+        std::cout << file << ": valid\n";
+    return kExitSuccess;
 }
 
-// Boxes as stand-ins, with their list beside them as a file.
-int boxes(const std::string& site, int count, int firstPort, double linkKb, const std::string& listFile,
-          const std::string& ledgerFile, Micros length) {
-    const auto document = settings::Document::fromFile(site);
+// Runs simulated media servers on loopback and writes their server list to a file.
+int boxes(const std::string& settingsFile, int count, int firstPort, double linkKb,
+          const std::string& listFile, const std::string& ledgerFile, Micros duration) {
+    const auto document = settings::Document::fromFile(settingsFile);
     settings::NodeReader top(document);
     const Ladder ladder = settings::readLadder(top);
     const settings::RoomTypes rooms = settings::readRoomTypes(top, ladder);
@@ -103,55 +111,56 @@
     net::raiseDescriptorLimit();
     net::EpollNet net(7);
     fakes::Ledger ledger;
-    fakes::BoxConfig make;
-    make.rungKb = ladder.kb;
-    for (const RoomType& r : rooms.types) make.rateFactors[r.name] = r.rateFactor;
-    fakes::BoxFleet fleet(net, make, machines.fleet.racks, machines.fleet.uplinkKb, 7, ledger);
-    discovery::ServerList told;
-    told.version = 1;
+    fakes::BoxConfig config;
+    config.rungKb = ladder.kb;
+    for (const RoomType& r : rooms.types) config.rateFactors[r.name] = r.rateFactor;
+    fakes::BoxFleet fleet(net, config, machines.fleet.racks, machines.fleet.uplinkKb, 7, ledger);
+    discovery::ServerList serverList;
+    serverList.version = 1;
     for (int id = 0; id < count; ++id) {
-        auto at = *net::parseEndpoint("127.0.0.1:0");
-        if (firstPort > 0) at.port = static_cast<std::uint16_t>(firstPort + id);
+        auto endpoint = *net::parseEndpoint("127.0.0.1:0");
+        if (firstPort > 0) endpoint.port = static_cast<std::uint16_t>(firstPort + id);
         const double link = linkKb > 0 ? linkKb : std::max(1.0, machines.fleet.linkKbPerSize);
-        fakes::Box& box = fleet.add(id, id % machines.fleet.cells, link, machines.fleet.places.front(), at);
-        discovery::ServerListEntry line;
-        line.sfu.id = SfuId{static_cast<std::uint32_t>(id)};
-        line.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
-        line.at = box.endpoint();
-        told.boxes.push_back(line);
+        fakes::Box& box =
+            fleet.add(id, id % machines.fleet.cells, link, machines.fleet.places.front(), endpoint);
+        discovery::ServerListEntry entry;
+        entry.sfu.id = SfuId{static_cast<std::uint32_t>(id)};
+        entry.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
+        entry.at = box.endpoint();
+        serverList.boxes.push_back(entry);
         std::cerr << "valekeel: box " << id << " on " << net::toString(box.endpoint()) << "\n";
     }
-    discovery::saveServerList(listFile, told, machines.kinds);
+    discovery::saveServerList(listFile, serverList, machines.kinds);
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
-    net::Timer end(net, [&] { net.stop(); });
-    if (length > 0) end.after(length);
+    net::Timer stopTimer(net, [&] { net.stop(); });
+    if (duration > 0) stopTimer.after(duration);
     net.run();
     if (!ledgerFile.empty()) {
         std::ofstream out(ledgerFile);
         ledger.write(out);
     }
-    return kDone;
+    return kExitSuccess;
 }
 
-// The list as a stream of server-sent events, out of a file in the list's own form.
+// Serves a server list as a stream of server-sent events. Polls the file and publishes it when it changes.
 int serveList(const std::string& file, const std::string& listen) {
-    const auto at = net::parseEndpoint(listen);
-    if (!at) throw std::invalid_argument("--listen takes an address and port, as 127.0.0.1:9000");
+    const auto endpoint = net::parseEndpoint(listen);
+    if (!endpoint) throw std::invalid_argument("--listen takes an address and port, such as 127.0.0.1:9000");
     net::EpollNet net(5);
     fakes::Ledger ledger;
-    fakes::ListServer server(net, *at, ledger);
-    std::string last;
-    net::Timer look(net, [&] {
-        look.after(200'000);
+    fakes::ListServer server(net, *endpoint, ledger);
+    std::string lastText;
+    net::Timer pollTimer(net, [&] {
+        pollTimer.after(200'000);
         std::ifstream in(file, std::ios::binary);
         std::ostringstream text;
         text << in.rdbuf();
-        if (text.str() == last || text.str().empty()) return;
-        last = text.str();
-        const auto document = settings::Document::fromText(file, last);
+        if (text.str() == lastText || text.str().empty()) return;
+        lastText = text.str();
+        const auto document = settings::Document::fromText(file, lastText);
         settings::NodeReader top(document);
         top.optionalChild("version");
-        std::vector<fakes::ListedBox> all;
+        std::vector<fakes::ListedBox> listed;
         for (settings::NodeReader& node : top.childrenNamed("box")) {
             fakes::ListedBox box;
             box.id = static_cast<int>(node.numbers("a box's number", 0, 1e9).front());
@@ -162,27 +171,28 @@
             box.size = node.number("size", 0.001, 1e6, 1);
             box.launchedWall = node.integer("launched-us", 0, 4'000'000'000'000'000, 0);
             node.rejectUnread();
-            all.push_back(box);
+            listed.push_back(box);
         }
-        server.put(all);
+        server.put(listed);
     });
-    look.after(0);
+    pollTimer.after(0);
     std::cerr << "valekeel: list on http://" << net::toString(server.endpoint()) << "/boxes\n";
     net.onSignals({SIGTERM, SIGINT}, [&](int) { net.stop(); });
     net.run();
-    return kDone;
+    return kExitSuccess;
 }
 
-int play(const std::string& frontText, const std::string& title, const std::string& room, int count,
+// Plays a talk with `playerCount` scripted players. Succeeds if all of them were answered with 200.
+int play(const std::string& frontText, const std::string& title, const std::string& room, int playerCount,
          Micros watch, const std::string& ledgerFile) {
     const auto front = net::parseEndpoint(frontText);
-    if (!front) throw std::invalid_argument("--front takes an address and port, as 127.0.0.1:8080");
+    if (!front) throw std::invalid_argument("--front takes an address and port, such as 127.0.0.1:8080");
     net::raiseDescriptorLimit();
     net::EpollNet net(11);
     fakes::Ledger ledger;
     std::vector<std::unique_ptr<fakes::Player>> players;
-    int active = count;
-    for (int i = 0; i < count; ++i) {
+    int active = playerCount;
+    for (int i = 0; i < playerCount; ++i) {
         fakes::PlayerPlan plan;
         plan.title = title;
         plan.room.name = room;
@@ -201,61 +211,66 @@
     }
     if (active > 0) net.run();
     std::uint64_t segments = 0;
-    std::map<int, int> answers;
+    std::map<int, int> answersByStatus;  // 0: not answered
     for (const fakes::Line& l : ledger.lines()) {
         if (l.what == "segment") ++segments;
-        if (l.what == "answer") ++answers[l.status];
-        if (l.what == "no-answer") ++answers[0];
+        if (l.what == "answer") ++answersByStatus[l.status];
+        if (l.what == "no-answer") ++answersByStatus[0];
     }
-    for (const auto& [status, many] : answers)
+    for (const auto& [status, count] : answersByStatus)
         std::cout << (status ? "answered " + std::to_string(status) : std::string("not answered")) << ": "
-                  << many << "\n";
+                  << count << "\n";
     std::cout << "segments played: " << segments << "\n";
     if (!ledgerFile.empty()) {
         std::ofstream out(ledgerFile);
         ledger.write(out);
     }
-    return answers.size() == 1 && answers.begin()->first == 200 ? kDone : kFound;
+    return answersByStatus.size() == 1 && answersByStatus.begin()->first == 200 ? kExitSuccess
+                                                                                : kExitFaultFound;
 }
 
-struct Played {  // how a day is to be played
+// Options of a drill or rehearsal. Files are not written where their path is empty.
+struct PlayOptions {
     std::string file, decisions, folder, ledger, json;
     std::vector<std::string> sets;
     std::uint64_t seed = 0;
     bool real = true, quiet = false;
 };
 
-int playDay(const Played& how) {
-    const auto& [file, decisions, given, ledgerFile, jsonFile, sets, seed, real, quiet] = how;
-    std::string folder = given;
+// Plays a scenario and prints the result; fails if a rule was violated. Without a folder, uses a temporary
+// one and removes it on success.
+int playScenario(const PlayOptions& options) {
+    const auto& [file, decisions, givenFolder, ledgerFile, jsonFile, sets, seed, real, quiet] = options;
+    std::string folder = givenFolder;
     const std::string text = settings::readFile(file);
     std::vector<std::pair<std::string, std::string>> changes;
-    for (const std::string& one : sets) {
-        const auto equals = one.find('=');
+    for (const std::string& setting : sets) {
+        const auto equals = setting.find('=');
         if (equals == std::string::npos) throw std::invalid_argument("--set takes NODE/NODE@PROPERTY=VALUE");
-        changes.emplace_back(one.substr(0, equals), one.substr(equals + 1));
+        changes.emplace_back(setting.substr(0, equals), setting.substr(equals + 1));
     }
     const auto document = settings::Document::fromText(
         file, changes.empty() ? text : simulation::withSettings(file, text, changes));
-    simulation::Scenario day = simulation::readScenario(document);
-    if (seed) day.seed = seed;
-    const bool own = folder.empty();
-    if (own)
+    simulation::Scenario scenario = simulation::readScenario(document);
+    if (seed) scenario.seed = seed;
+    const bool isTemporary = folder.empty();
+    if (isTemporary)
         folder = (std::filesystem::temp_directory_path() /
                   ("valekeel-drill-" + std::to_string(std::rand()) + "-" +
                    std::to_string(std::chrono::steady_clock::now().time_since_epoch().count())))
                      .string();
     std::filesystem::create_directories(folder);
-    simulation::DrillOptions ways;
-    ways.real = real;
-    ways.program = net::ownProgram();
-    ways.folder = folder;
-    ways.decisions = decisions;
-    if (!quiet) ways.say = [](const std::string& words) { std::cerr << "drill: " << words << std::endl; };
+    simulation::DrillOptions drillOptions;
+    drillOptions.real = real;
+    drillOptions.program = net::ownProgram();
+    drillOptions.folder = folder;
+    drillOptions.decisions = decisions;
+    if (!quiet)
+        drillOptions.say = [](const std::string& message) { std::cerr << "drill: " << message << std::endl; };
     fakes::Ledger ledger;
-    const simulation::DrillResult result = simulation::drill(day, ways, ledger);
+    const simulation::DrillResult result = simulation::drill(scenario, drillOptions, ledger);
     if (!quiet || jsonFile.empty()) std::cout << simulation::summary(result);
-    if (!jsonFile.empty()) {  // whole or not at all
+    if (!jsonFile.empty()) {  // written completely or not at all
         std::ofstream(jsonFile + ".new") << simulation::asJson(result);
         std::filesystem::rename(jsonFile + ".new", jsonFile);
     }
@@ -263,41 +278,45 @@
         std::ofstream out(ledgerFile);
         ledger.write(out);
     }
-    if (own && result.breaches.empty())
+    if (isTemporary && result.breaches.empty())
         std::filesystem::remove_all(folder);
     else
-        std::cerr << "drill: settings and logs are in " << folder << "\n";
-    return result.breaches.empty() ? kDone : kFound;
+        std::cerr << "drill: settings and logs are kept in " << folder << "\n";
+    return result.breaches.empty() ? kExitSuccess : kExitFaultFound;
 }
 
+// Runs the cases of an experiment that are not stored yet, unless `reportOnly`, then writes and prints the
+// report.
 int experimentPlan(const std::string& file, std::string store, std::string out, bool reportOnly) {
     const auto plan = experiment::readPlan(settings::Document::fromFile(file));
-    const std::filesystem::path place(file);
-    experiment::ExperimentOptions ways;
-    ways.program = net::ownProgram();
-    ways.folder = place.has_parent_path() ? place.parent_path().string() : ".";
-    ways.out = out.empty() ? plan.name + "-report" : out;
-    ways.store = store.empty() ? plan.name + ".sqlite" : store;
-    ways.commit = VALEKEEL_COMMIT;
-    ways.terminal = ::isatty(STDERR_FILENO) == 1;
-    const int failed = reportOnly ? 0 : experiment::carryOut(plan, ways);
-    experiment::report(plan, ways);
-    std::cout << settings::readFile(ways.out + "/report.md");
-    return failed ? kFound : kDone;
+    const std::filesystem::path planPath(file);
+    experiment::ExperimentOptions experimentOptions;
+    experimentOptions.program = net::ownProgram();
+    experimentOptions.folder = planPath.has_parent_path() ? planPath.parent_path().string() : ".";
+    experimentOptions.out = out.empty() ? plan.name + "-report" : out;
+    experimentOptions.store = store.empty() ? plan.name + ".sqlite" : store;
+    experimentOptions.commit = VALEKEEL_COMMIT;
+    experimentOptions.terminal = ::isatty(STDERR_FILENO) == 1;
+    const int failed = reportOnly ? 0 : experiment::carryOut(plan, experimentOptions);
+    experiment::report(plan, experimentOptions);
+    std::cout << settings::readFile(experimentOptions.out + "/report.md");
+    return failed ? kExitFaultFound : kExitSuccess;
 }
 
+// Prints a comparison of two cases, from one result store or from two.
 int compareCases(const std::string& file, const std::string& store, const std::string& against,
                  const std::string& a, const std::string& b) {
     const auto plan = experiment::readPlan(settings::Document::fromFile(file));
-    const std::string here = store.empty() ? plan.name + ".sqlite" : store;
-    const auto first = experiment::measuresOf(experiment::Store(here).of(plan.name));
+    const std::string storePath = store.empty() ? plan.name + ".sqlite" : store;
+    const auto first = experiment::measuresOf(experiment::Store(storePath).of(plan.name));
     const auto second =
         against.empty() ? first : experiment::measuresOf(experiment::Store(against).of(plan.name));
     std::cout << experiment::comparisonTable(first, a, second, b.empty() ? a : b);
-    return kDone;
+    return kExitSuccess;
 }
 
-int listTroubles() {
+// Prints the kinds of faults that a scenario can schedule.
+int listFaultKinds() {
     for (const simulation::FaultKind& k : simulation::faultKinds()) {
         std::string takes;
         for (const std::string& t : k.takes) takes += (takes.empty() ? "" : " ") + t;
@@ -305,10 +324,10 @@
                     takes.empty() ? "-" : takes.c_str(),
                     k.benchName.empty() ? "" : ("; on the bench: " + k.benchName).c_str());
     }
-    return kDone;
+    return kExitSuccess;
 }
 
-// The way of one request, out of structured logs.
+// Prints the log lines of one request, by its trace id, in order of time, relative to the first line.
 int trace(const std::string& id, const std::vector<std::string>& files) {
     struct Step {
         Micros wall;
@@ -317,7 +336,7 @@
     std::vector<Step> steps;
     for (const std::string& file : files) {
         std::ifstream in(file);
-        if (!in) throw std::runtime_error(file + ": cannot be read");
+        if (!in) throw std::runtime_error(file + ": cannot read the file");
         std::string text, front = file;
         while (std::getline(in, text)) {
             const auto j = nlohmann::json::parse(text, nullptr, false);
@@ -336,30 +355,32 @@
     std::stable_sort(steps.begin(), steps.end(),
                      [](const Step& a, const Step& b) { return a.wall < b.wall; });
     if (steps.empty()) {
-        std::cerr << "valekeel: no line names trace " << id << "\n";
-        return kFound;
+        std::cerr << "valekeel: no log line has the trace id " << id << "\n";
+        return kExitFaultFound;
     }
     for (const Step& s : steps)
         std::printf("%+10.3f ms  %s\n", static_cast<double>(s.wall - steps.front().wall) / 1000,
                     s.text.c_str());
-    return kDone;
+    return kExitSuccess;
 }
 
-Micros timeArgument(const std::string& text) {
+// Parses a duration argument. Throws std::invalid_argument.
+Micros durationArgument(const std::string& text) {
     const auto t = settings::parseDuration(text);
-    if (!t) throw std::invalid_argument("'" + text + "' is no time: 500ms, 20s and 5min are");
+    if (!t) throw std::invalid_argument("'" + text + "' is not a duration such as 500ms, 20s or 5min");
     return *t;
 }
 
+// Defines the subcommands, parses the command line and runs the chosen one. Returns the exit code.
 int run(int argc, char** argv) {
-    CLI::App app{"valekeel places and shapes video sessions on streaming servers."};
+    CLI::App app{"valekeel places video sessions on media servers and adapts their bitrate."};
     app.require_subcommand(1);
     app.footer("Example: valekeel serve deploy/example/site.kdl");
-    std::function<int()> chosen;
+    std::function<int()> command;
 
     std::string file, portFile, decisions, listFile = "boxes.kdl", ledger, frontText = "127.0.0.1:8080",
                                            title, room;
-    std::string folder, listen = "127.0.0.1:9000", id, watch = "10s", lasts = "0s";
+    std::string folder, listen = "127.0.0.1:9000", id, watch = "10s", runFor = "0s";
     std::string json, store, out, against, logLevel = "info";
     std::vector<std::string> files, sets;
     std::uint64_t seed = 0;
@@ -369,137 +390,180 @@
     bool withParent = false;
     bool print = false, quiet = false, list = false;
 
-    auto* s = app.add_subcommand("serve", "run a front");
-    s->add_option("settings", file, "its settings, in KDL")->required();
-    s->add_option("--seed", seed, "of its chance; drawn where it is not given");
-    s->add_option("--port-file", portFile, "written with its address once it listens");
-    s->add_option("--decisions", decisions, "a baseline in place of the module, for drills")->group("");
-    s->footer("Example: valekeel serve deploy/example/site.kdl");
-    s->add_flag("--with-parent", withParent, "killed when the process that started it ends");
-    s->callback([&] { chosen = [&] { return serve(file, seed, portFile, decisions, withParent); }; });
-
-    auto* c = app.add_subcommand("check", "check settings, and start nothing");
-    c->add_option("settings", file, "in KDL")->required();
-    c->add_flag("--print", print, "print what is in force, defaults and all");
-    c->footer("Example: valekeel check deploy/example/site.kdl");
-    c->callback([&] { chosen = [&] { return check(file, print); }; });
-
-    auto* b = app.add_subcommand("box", "run stand-in boxes on loopback, and write their list");
-    b->add_option("settings", file, "of the site they belong to")->required();
-    b->add_option("--count", count, "of boxes")->check(CLI::Range(1, 10'000));
-    b->add_option("--port", port, "of the first; 0: any");
-    b->add_option("--link-kb", linkKb, "kB a second of each link");
-    b->add_option("--list", listFile, "where their list is written");
-    b->add_option("--ledger", ledger, "written at the end");
-    b->add_option("--for", lasts, "how long; 0s: until stopped");
-    b->footer("Example: valekeel box deploy/example/site.kdl --count 3 --list boxes.kdl");
-    b->callback([&] {
-        chosen = [&] { return boxes(file, count, port, linkKb, listFile, ledger, timeArgument(lasts)); };
+    auto* serveCommand = app.add_subcommand("serve", "run a front until SIGTERM or SIGINT");
+    serveCommand->add_option("settings", file, "settings file, in KDL")->required();
+    serveCommand->add_option("--seed", seed, "seed of the random generator; default: 0, a random one");
+    serveCommand->add_option(
+        "--port-file", portFile,
+        "file to write with the addresses (HTTP, then SIP) once the front listens; default: none");
+    serveCommand
+        ->add_option("--decisions", decisions,
+                     "baseline in place of the decision module, for drills: random or least-load")
+        ->group("");
+    serveCommand->footer("Example: valekeel serve deploy/example/site.kdl");
+    serveCommand->add_flag("--with-parent", withParent,
+                           "kill this process when the process that started it ends");
+    serveCommand->callback(
+        [&] { command = [&] { return serve(file, seed, portFile, decisions, withParent); }; });
+
+    auto* checkCommand = app.add_subcommand("check", "check a settings file without starting anything");
+    checkCommand->add_option("settings", file, "settings file, in KDL")->required();
+    checkCommand->add_flag("--print", print, "print the effective settings, with all defaults");
+    checkCommand->footer("Example: valekeel check deploy/example/site.kdl");
+    checkCommand->callback([&] { command = [&] { return check(file, print); }; });
+
+    auto* boxCommand =
+        app.add_subcommand("box", "run simulated media servers on loopback and write their server list");
+    boxCommand->add_option("settings", file, "settings file of the site, in KDL")->required();
+    boxCommand->add_option("--count", count, "number of media servers; default: 3")
+        ->check(CLI::Range(1, 10'000));
+    boxCommand->add_option("--port", port,
+                           "TCP port of the first server, the others follow; default: 0, any free ports");
+    boxCommand->add_option("--link-kb", linkKb,
+                           "link rate of each server in kB/s; default: 0, the settings' link-kb-per-size");
+    boxCommand->add_option("--list", listFile, "file to write the server list to; default: boxes.kdl");
+    boxCommand->add_option("--ledger", ledger, "file to write the event ledger to at the end; default: none");
+    boxCommand->add_option("--for", runFor, "duration of the run, such as 30s; default: 0s, until stopped");
+    boxCommand->footer("Example: valekeel box deploy/example/site.kdl --count 3 --list boxes.kdl");
+    boxCommand->callback([&] {
+        command = [&] {
+            return boxes(file, count, port, linkKb, listFile, ledger, durationArgument(runFor));
+        };
     });
 
-    auto* l = app.add_subcommand("list", "serve a list of boxes as a stream, from a file that is watched");
-    l->add_option("file", file, "the list, in KDL")->required();
-    l->add_option("--listen", listen, "address and port");
-    l->footer("Example: valekeel list boxes.kdl --listen 127.0.0.1:9000");
-    l->callback([&] { chosen = [&] { return serveList(file, listen); }; });
-
-    auto* n = app.add_subcommand("node", "run as a front node of the platform, told by BALANCER_CONFIG");
-    n->add_option("--log", logLevel, "debug, info, warning or error")
+    auto* listCommand = app.add_subcommand(
+        "list", "serve a server list as an event stream, from a file that is polled for changes");
+    listCommand->add_option("file", file, "server list, in KDL")->required();
+    listCommand->add_option("--listen", listen, "address and port to listen on; default: 127.0.0.1:9000");
+    listCommand->footer("Example: valekeel list boxes.kdl --listen 127.0.0.1:9000");
+    listCommand->callback([&] { command = [&] { return serveList(file, listen); }; });
+
+    auto* nodeCommand = app.add_subcommand("node",
+                                           "run as a front node of the platform; the environment variable "
+                                           "BALANCER_CONFIG names its configuration file");
+    nodeCommand
+        ->add_option("--log", logLevel, "lowest level to log: debug, info, warning or error; default: info")
         ->check(CLI::IsMember({"debug", "info", "warning", "error"}));
-    n->footer("Example: BALANCER_CONFIG=config.json valekeel node");
-    n->callback([&] { chosen = [&] { return node(logLevel); }; });
-
-    auto* p = app.add_subcommand("play", "play a talk with scripted players");
-    p->add_option("title", title, "of the talk")->required();
-    p->add_option("--front", frontText, "address and port");
-    p->add_option("--room", room, "room type")->required();
-    p->add_option("--players", players, "how many")->check(CLI::Range(1, 100'000));
-    p->add_option("--watch", watch, "how long");
-    p->add_option("--ledger", ledger, "written at the end");
-    p->footer("Example: valekeel play keynote --room release-talk --watch 5s");
-    p->callback(
-        [&] { chosen = [&] { return play(frontText, title, room, players, timeArgument(watch), ledger); }; });
-
-    auto* d = app.add_subcommand("drill", "play a scripted day against real fronts, and judge the rules");
-    d->add_option("day", file, "the day, in KDL");
-    d->add_flag("--list", list, "show the kinds of trouble");
-    d->add_option("--decisions", decisions, "random or least-load, in place of the module")
+    nodeCommand->footer("Example: BALANCER_CONFIG=config.json valekeel node");
+    nodeCommand->callback([&] { command = [&] { return node(logLevel); }; });
+
+    auto* playCommand = app.add_subcommand("play", "play a talk with scripted players");
+    playCommand->add_option("title", title, "title of the talk")->required();
+    playCommand->add_option("--front", frontText,
+                            "HTTP address and port of the front; default: 127.0.0.1:8080");
+    playCommand->add_option("--room", room, "room type")->required();
+    playCommand->add_option("--players", players, "number of players; default: 1")
+        ->check(CLI::Range(1, 100'000));
+    playCommand->add_option("--watch", watch, "how long each player watches; default: 10s");
+    playCommand->add_option("--ledger", ledger,
+                            "file to write the event ledger to at the end; default: none");
+    playCommand->footer("Example: valekeel play keynote --room release-talk --watch 5s");
+    playCommand->callback([&] {
+        command = [&] { return play(frontText, title, room, players, durationArgument(watch), ledger); };
+    });
+
+    auto* drillCommand =
+        app.add_subcommand("drill", "play a scenario against front processes and check the rules");
+    drillCommand->add_option("day", file, "scenario file, in KDL");
+    drillCommand->add_flag("--list", list,
+                           "print the kinds of faults that a scenario can schedule, and exit");
+    drillCommand
+        ->add_option("--decisions", decisions,
+                     "baseline in place of the decision module: random or least-load; default: none")
         ->check(CLI::IsMember({"random", "least-load"}));
-    d->add_option("--folder", folder, "for settings and logs; kept");
-    d->add_option("--ledger", ledger, "written at the end");
-    d->add_flag("--quiet", quiet, "only the result");
-    d->footer("Example: valekeel drill days/bad.kdl");
-    d->callback([&] {
-        chosen = [&] {
-            if (list) return listTroubles();
-            if (file.empty()) throw std::invalid_argument("drill needs a day, or --list");
-            return playDay({file, decisions, folder, ledger, json, sets, seed, true, quiet});
+    drillCommand->add_option(
+        "--folder", folder,
+        "folder for settings and logs, which is kept; default: a temporary one, kept on failure");
+    drillCommand->add_option("--ledger", ledger,
+                             "file to write the event ledger to at the end; default: none");
+    drillCommand->add_flag("--quiet", quiet, "print only the result");
+    drillCommand->footer("Example: valekeel drill days/bad.kdl");
+    drillCommand->callback([&] {
+        command = [&] {
+            if (list) return listFaultKinds();
+            if (file.empty()) throw std::invalid_argument("drill needs a scenario file or --list");
+            return playScenario({file, decisions, folder, ledger, json, sets, seed, true, quiet});
         };
     });
 
-    auto* r = app.add_subcommand("rehearse", "play a day on a virtual clock, as fast as the CPU goes");
-    r->add_option("day", file, "the day, in KDL")->required();
-    r->add_option("--seed", seed, "in place of the day's own");
-    r->add_option("--set", sets, "change a setting of the day: NODE/NODE@PROPERTY=VALUE")->take_all();
-    r->add_flag("--real", real, "on sockets and the real clock, fronts as processes");
-    r->add_option("--decisions", decisions, "random or least-load, in place of the module")
+    auto* rehearseCommand =
+        app.add_subcommand("rehearse", "play a scenario on a virtual clock, as fast as the CPU allows");
+    rehearseCommand->add_option("day", file, "scenario file, in KDL")->required();
+    rehearseCommand->add_option("--seed", seed,
+                                "seed of the random generator; default: 0, the scenario's own");
+    rehearseCommand
+        ->add_option("--set", sets,
+                     "change a setting of the scenario: NODE/NODE@PROPERTY=VALUE; may be repeated")
+        ->take_all();
+    rehearseCommand->add_flag("--real", real, "use sockets, the real clock and front processes instead");
+    rehearseCommand
+        ->add_option("--decisions", decisions,
+                     "baseline in place of the decision module: random or least-load; default: none")
         ->check(CLI::IsMember({"random", "least-load"}));
-    r->add_option("--folder", folder, "for settings and logs; kept");
-    r->add_option("--ledger", ledger, "written at the end");
-    r->add_option("--json", json, "the result, for a program");
-    r->add_flag("--quiet", quiet, "only the result");
-    r->footer("Example: valekeel rehearse days/crowd.kdl --set audience@rate=20");
-    r->callback([&] {
-        chosen = [&] { return playDay({file, decisions, folder, ledger, json, sets, seed, real, quiet}); };
+    rehearseCommand->add_option(
+        "--folder", folder,
+        "folder for settings and logs, which is kept; default: a temporary one, kept on failure");
+    rehearseCommand->add_option("--ledger", ledger,
+                                "file to write the event ledger to at the end; default: none");
+    rehearseCommand->add_option("--json", json, "file to write the result to, as JSON; default: none");
+    rehearseCommand->add_flag("--quiet", quiet, "print only the result");
+    rehearseCommand->footer("Example: valekeel rehearse days/crowd.kdl --set audience@rate=20");
+    rehearseCommand->callback([&] {
+        command = [&] {
+            return playScenario({file, decisions, folder, ledger, json, sets, seed, real, quiet});
+        };
     });
 
-    auto* e =
-        app.add_subcommand("experiment", "play days over factors and seeds, keep every result, and report");
-    e->add_option("plan", file, "in KDL")->required();
-    e->add_option("--store", store, "where results are kept; NAME.sqlite where none is given");
-    e->add_option("--out", out, "folder of the report; NAME-report where none is given");
-    e->add_flag("--report-only", print, "run nothing, report what is kept");
-    e->footer("Example: valekeel experiment docs/experiments/link.kdl");
-    e->callback([&] { chosen = [&] { return experimentPlan(file, store, out, print); }; });
-
-    auto* m = app.add_subcommand("compare", "tell a difference between two cases from noise");
-    m->add_option("plan", file, "in KDL")->required();
-    m->add_option("a", title, "a case, as the report names it")->required();
-    m->add_option("b", room, "another; or the same one in --against");
-    m->add_option("--store", store, "where results are kept");
-    m->add_option("--against", against, "another file of results, for B");
-    m->footer("Example: valekeel compare docs/experiments/retry.kdl \"told no\" \"told yes\"");
-    m->callback([&] { chosen = [&] { return compareCases(file, store, against, title, room); }; });
-
-    auto* t = app.add_subcommand("trace", "print the way of one request, out of logs");
-    t->add_option("id", id, "trace id, or its beginning")->required();
-    t->add_option("logs", files, "of fronts")->required();
-    t->footer("Example: valekeel trace 4bf92f3577b34da6 front.log");
-    t->callback([&] { chosen = [&] { return trace(id, files); }; });
+    auto* experimentCommand = app.add_subcommand(
+        "experiment", "play scenarios over factors and seeds, store every result and write a report");
+    experimentCommand->add_option("plan", file, "experiment plan, in KDL")->required();
+    experimentCommand->add_option("--store", store, "SQLite file of the results; default: NAME.sqlite");
+    experimentCommand->add_option("--out", out, "folder of the report; default: NAME-report");
+    experimentCommand->add_flag("--report-only", print, "run nothing; report the stored results");
+    experimentCommand->footer("Example: valekeel experiment docs/experiments/link.kdl");
+    experimentCommand->callback([&] { command = [&] { return experimentPlan(file, store, out, print); }; });
+
+    auto* compareCommand = app.add_subcommand(
+        "compare", "compare two cases and test whether their difference exceeds the noise");
+    compareCommand->add_option("plan", file, "experiment plan, in KDL")->required();
+    compareCommand->add_option("a", title, "first case, as named in the report")->required();
+    compareCommand->add_option("b", room, "second case; default: the first one, in --against");
+    compareCommand->add_option("--store", store, "SQLite file of the results; default: NAME.sqlite");
+    compareCommand->add_option("--against", against,
+                               "SQLite file of the second case's results; default: that of --store");
+    compareCommand->footer("Example: valekeel compare docs/experiments/retry.kdl \"told no\" \"told yes\"");
+    compareCommand->callback(
+        [&] { command = [&] { return compareCases(file, store, against, title, room); }; });
+
+    auto* traceCommand = app.add_subcommand("trace", "print the log lines of one request, in order of time");
+    traceCommand->add_option("id", id, "trace id or a prefix of it")->required();
+    traceCommand->add_option("logs", files, "log files of fronts")->required();
+    traceCommand->footer("Example: valekeel trace 4bf92f3577b34da6 front.log");
+    traceCommand->callback([&] { command = [&] { return trace(id, files); }; });
 
     app.add_subcommand("version", "print the version")->callback([&] {
-        chosen = [&] {
+        command = [&] {
             std::cout << "valekeel " << kVersion << "\n";
-            return kDone;
+            return kExitSuccess;
         };
     });
 
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? kDone : kWrongCall;
+        return app.exit(e) == 0 ? kExitSuccess : kExitInvalidUsage;
     }
     try {
-        return chosen();
+        return command();
     } catch (const settings::SettingsError& e) {
         std::cerr << e.what() << "\n";
-        return kWrongCall;
+        return kExitInvalidUsage;
     } catch (const std::invalid_argument& e) {
         std::cerr << "valekeel: " << e.what() << "\n";
-        return kWrongCall;
+        return kExitInvalidUsage;
     } catch (const std::exception& e) {
         std::cerr << "valekeel: " << e.what() << "\n";
-        return kOutside;
+        return kExitExternalFailure;
     }
 }
 
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -15,51 +15,52 @@
 
 using settings::NodeReader;
 
-constexpr Micros kHour = 3'600 * kSecond;
+constexpr Micros kHour = 3'600 * kSecond;  // upper limit of most durations
 
-struct Told {  // all that the settings say, checked whole before anything starts
+// All settings of a front. Read and checked completely before anything starts.
+struct FrontSettings {
     std::string name;
     int fronts = 1;
     Ladder ladder;
-    settings::RoomTypes rooms;
+    settings::RoomTypes roomTypes;
     settings::Machines machines;
-    ColdStartLimits cold;
-    std::optional<JoinBudget> budget;
-    ReportTiming tidings;
-    SubscriptionLimits allowed;
-    ServingCosts prices;
+    ColdStartLimits coldStart;
+    std::optional<JoinBudget> joinBudget;
+    ReportTiming reportTiming;
+    SubscriptionLimits subscriptionLimits;
+    ServingCosts servingCosts;
     settings::Talks talks;
-    net::Endpoint http;
-    std::optional<net::Endpoint> sip;
-    frontends::SipFrontendSettings sipTerms;
-    http::HttpLimits wire;
-    hints::HintLimits hints;
-    frontends::HttpFrontendSettings terms;
-    upstream::UpstreamLimits boxes;
-    core::CoreLimits core;
+    net::Endpoint httpEndpoint;
+    std::optional<net::Endpoint> sipEndpoint;
+    frontends::SipFrontendSettings sipSettings;
+    http::HttpLimits httpLimits;
+    hints::HintLimits hintLimits;
+    frontends::HttpFrontendSettings httpSettings;
+    upstream::UpstreamLimits upstreamLimits;
+    core::CoreLimits coreLimits;
     Micros deliveryWindow = kSecond;
     discovery::ServerListLimits listLimits;
-    discovery::FollowTimings listTimes;
-    std::string listFile, listPath, listKept;
-    std::string learntFile;
-    Micros learntEvery = 2 * kSecond, learntFor = 60 * kSecond;
-    std::optional<net::Endpoint> listAt;
-    admission::ConcurrencyLimitSettings gateBound;
-    admission::RetryLimiterSettings gateReturns;
-    admission::PathCapacitySettings gateWays;
-    std::size_t gateConnections = 2'000;
+    discovery::FollowTimings listTimings;
+    std::string listFilePath, listUrlPath, listSavePath;
+    std::string evidencePath;
+    Micros evidenceSaveInterval = 2 * kSecond, evidenceMaxAge = 60 * kSecond;
+    std::optional<net::Endpoint> listEndpoint;
+    admission::ConcurrencyLimitSettings concurrencyLimit;
+    admission::RetryLimiterSettings retryLimiter;
+    admission::PathCapacitySettings pathCapacity;
+    std::size_t maxConnectionsPerNetwork = 2'000;
     int prefix4 = 24, prefix6 = 56;
     std::vector<std::pair<admission::Prefix, std::string>> networks;
-    std::string logFile = "-";
+    std::string logPath = "-";
     logging::Level logLevel = logging::Level::Info;
-    int logWarnings = 20;
-    Micros stopWithin = 10 * kSecond;
+    int logWarningsPerSecond = 20;
+    Micros stopTimeout = 10 * kSecond;
 };
 
-void readWire(NodeReader& top, Told& t) {
+void readHttp(NodeReader& top, FrontSettings& settings) {
     if (auto node = top.optionalChild("http")) {
-        t.http = node->address("listen");
-        http::HttpLimits& w = t.wire;
+        settings.httpEndpoint = node->address("listen");
+        http::HttpLimits& w = settings.httpLimits;
         w.headBytes = static_cast<std::uint32_t>(node->integer("head-bytes", 1'024, 1'000'000, w.headBytes));
         w.fields = static_cast<std::uint32_t>(node->integer("fields", 8, 10'000, w.fields));
         w.targetBytes =
@@ -73,39 +74,44 @@
             static_cast<std::uint32_t>(node->integer("connections", 1, 10'000'000, w.connections));
         node->rejectUnread();
     } else {
-        top.fail("a node 'http' is expected: http listen=\"127.0.0.1:8080\"");
+        top.fail("the node 'http' is missing; example: http listen=\"127.0.0.1:8080\"");
     }
     {
         NodeReader node = top.childOrDefaults("hints");
-        t.hints.fieldBytes = static_cast<std::size_t>(node.integer("field-bytes", 64, 100'000, 4'096));
-        t.hints.keys = static_cast<std::size_t>(node.integer("keys", 1, 1'000, 64));
-        t.hints.customBytes = static_cast<std::size_t>(node.integer("custom-bytes", 1, 10'000, 128));
+        settings.hintLimits.fieldBytes =
+            static_cast<std::size_t>(node.integer("field-bytes", 64, 100'000, 4'096));
+        settings.hintLimits.keys = static_cast<std::size_t>(node.integer("keys", 1, 1'000, 64));
+        settings.hintLimits.customBytes =
+            static_cast<std::size_t>(node.integer("custom-bytes", 1, 10'000, 128));
         node.rejectUnread();
     }
     {
         NodeReader node = top.childOrDefaults("viewers");
-        frontends::HttpFrontendSettings& v = t.terms;
+        frontends::HttpFrontendSettings& v = settings.httpSettings;
         v.window.ahead = node.duration("ahead", 0, kHour, v.window.ahead);
         v.window.behind = node.duration("behind", 0, kHour, v.window.behind);
-        v.silentAfter = node.duration("silent-after", 100'000, kHour, v.silentAfter);
-        v.closedAfter = node.duration("closed-after", 0, kHour, v.closedAfter);
-        v.pausedAfter = node.duration("paused-after", 100'000, kHour, v.pausedAfter);
-        v.segmentWithin = node.duration("segment-within", 100'000, kHour, v.segmentWithin);
-        v.fetchesEach = static_cast<std::size_t>(node.integer("fetches-each", 1, 100, 4));
-        v.relayBytes = static_cast<std::size_t>(node.integer("relay-bytes", 4'096, 100'000'000, 131'072));
-        v.cachedPlaylists = static_cast<std::size_t>(node.integer("cached-playlists", 1, 1'000'000, 512));
-        v.retryWhenFull = node.duration("retry-when-full", kSecond, kHour, v.retryWhenFull);
-        t.core.subs = static_cast<std::size_t>(node.integer("at-most", 1, 10'000'000, 100'000));
-        t.core.answerMargin = node.duration("answer-margin", 1'000, kSecond, t.core.answerMargin);
-        t.deliveryWindow = node.duration("delivery-window", 100'000, 60 * kSecond, t.deliveryWindow);
+        v.idleTimeout = node.duration("silent-after", 100'000, kHour, v.idleTimeout);
+        v.disconnectedTimeout = node.duration("closed-after", 0, kHour, v.disconnectedTimeout);
+        v.pausedTimeout = node.duration("paused-after", 100'000, kHour, v.pausedTimeout);
+        v.segmentTimeout = node.duration("segment-within", 100'000, kHour, v.segmentTimeout);
+        v.maxFetchesPerViewer = static_cast<std::size_t>(node.integer("fetches-each", 1, 100, 4));
+        v.maxUnsentBytes = static_cast<std::size_t>(node.integer("relay-bytes", 4'096, 100'000'000, 131'072));
+        v.maxCachedPlaylists = static_cast<std::size_t>(node.integer("cached-playlists", 1, 1'000'000, 512));
+        v.retryAfterWhenFull = node.duration("retry-when-full", kSecond, kHour, v.retryAfterWhenFull);
+        settings.coreLimits.subs = static_cast<std::size_t>(node.integer("at-most", 1, 10'000'000, 100'000));
+        settings.coreLimits.answerMargin =
+            node.duration("answer-margin", 1'000, kSecond, settings.coreLimits.answerMargin);
+        settings.deliveryWindow =
+            node.duration("delivery-window", 100'000, 60 * kSecond, settings.deliveryWindow);
         node.rejectUnread();
     }
-    for (const Micros timeout : t.rooms.clientTimeouts)
-        if (timeout <= 2 * t.core.answerMargin)
-            top.fail("a client timeout of a room type is expected to be over twice viewers answer-margin=");
+    for (const Micros timeout : settings.roomTypes.clientTimeouts)
+        if (timeout <= 2 * settings.coreLimits.answerMargin)
+            top.fail(
+                "each client-timeout of a room-type must be greater than twice answer-margin= of 'viewers'");
     {
         NodeReader node = top.childOrDefaults("boxes");
-        upstream::UpstreamLimits& b = t.boxes;
+        upstream::UpstreamLimits& b = settings.upstreamLimits;
         b.connections = static_cast<std::size_t>(node.integer("connections", 1, 100'000, 256));
         b.waiting = static_cast<std::size_t>(node.integer("waiting", 0, 1'000'000, 1'024));
         b.connectWithin = node.duration("connect-within", 1'000, 60 * kSecond, b.connectWithin);
@@ -115,14 +121,14 @@
         b.releaseTries = static_cast<int>(node.integer("release-tries", 1, 100, b.releaseTries));
         node.rejectUnread();
     }
-    t.core.reportEvery = t.tidings.every;
+    settings.coreLimits.reportEvery = settings.reportTiming.every;
 }
 
-void readSip(NodeReader& top, Told& t) {
+void readSip(NodeReader& top, FrontSettings& settings) {
     auto node = top.optionalChild("sip");
     if (!node) return;
-    t.sip = node->address("listen");
-    frontends::SipFrontendSettings& s = t.sipTerms;
+    settings.sipEndpoint = node->address("listen");
+    frontends::SipFrontendSettings& s = settings.sipSettings;
     s.limits.bytes = static_cast<std::size_t>(node->integer("message-bytes", 1'024, 65'535, 65'535));
     s.limits.headers = static_cast<std::size_t>(node->integer("headers", 16, 10'000, 100));
     s.transactions = static_cast<std::size_t>(node->integer("transactions", 1, 10'000'000, 20'000));
@@ -133,11 +139,11 @@
     s.times.t4 = node->duration("t4", 1'000, 60 * kSecond, s.times.t4);
     s.minSe = node->duration("min-session", kSecond, kHour, s.minSe);
     s.sessionExpires = node->duration("session", s.minSe, 24 * kHour, std::max(s.minSe, s.sessionExpires));
-    s.holdEvery = node->duration("hold-every", 100'000, kHour, s.holdEvery);
-    s.holdWithin = node->duration("hold-within", 100'000, kHour, s.holdWithin);
-    s.streamIdle = node->duration("stream-idle", kSecond, kHour, s.streamIdle);
-    s.retryWhenFull = node->duration("retry-when-full", kSecond, kHour, s.retryWhenFull);
-    s.refusedKept = static_cast<std::size_t>(node->integer("refused-kept", 2, 10'000'000, 65'536));
+    s.probeInterval = node->duration("hold-every", 100'000, kHour, s.probeInterval);
+    s.probeTimeout = node->duration("hold-within", 100'000, kHour, s.probeTimeout);
+    s.streamIdleTimeout = node->duration("stream-idle", kSecond, kHour, s.streamIdleTimeout);
+    s.retryAfterWhenFull = node->duration("retry-when-full", kSecond, kHour, s.retryAfterWhenFull);
+    s.maxRememberedRefusals = static_cast<std::size_t>(node->integer("refused-kept", 2, 10'000'000, 65'536));
     s.shed = node->flag("shed", true);
     s.overload.targetFill = node->number("target-fill", 0.05, 0.95, s.overload.targetFill);
     s.overload.targetUnread = node->duration("target-unread", 1'000, 10 * kSecond, s.overload.targetUnread);
@@ -146,409 +152,448 @@
     node->rejectUnread();
 }
 
-void readList(NodeReader& top, Told& t) {
+void readList(NodeReader& top, FrontSettings& settings) {
     NodeReader node = top.requiredChild("list");
-    t.listFile = node.text("file", "");
-    if (node.has("stream")) t.listAt = node.address("stream");
-    t.listPath = node.text("path", "/boxes");
-    if (t.listFile.empty() == !t.listAt)
-        node.fail("'list' is expected to have either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\"");
-    t.listKept = node.text("keep", "");
-    t.listTimes.lookEvery = node.duration("look-every", 1'000, kHour, t.listTimes.lookEvery);
-    t.listTimes.connectWithin =
-        node.duration("connect-within", 1'000, 60 * kSecond, t.listTimes.connectWithin);
-    t.listTimes.silentFor = node.duration("silent-for", 100'000, kHour, t.listTimes.silentFor);
-    t.listLimits.boxes = static_cast<std::size_t>(node.integer("boxes", 1, 1'000'000, 4'096));
-    t.listLimits.bytes = static_cast<std::size_t>(node.integer("bytes", 1'024, 100'000'000, 1'000'000));
+    settings.listFilePath = node.text("file", "");
+    if (node.has("stream")) settings.listEndpoint = node.address("stream");
+    settings.listUrlPath = node.text("path", "/boxes");
+    if (settings.listFilePath.empty() == !settings.listEndpoint)
+        node.fail(
+            "'list' takes either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\", and exactly one of them");
+    settings.listSavePath = node.text("keep", "");
+    settings.listTimings.lookEvery =
+        node.duration("look-every", 1'000, kHour, settings.listTimings.lookEvery);
+    settings.listTimings.connectWithin =
+        node.duration("connect-within", 1'000, 60 * kSecond, settings.listTimings.connectWithin);
+    settings.listTimings.silentFor =
+        node.duration("silent-for", 100'000, kHour, settings.listTimings.silentFor);
+    settings.listLimits.boxes = static_cast<std::size_t>(node.integer("boxes", 1, 1'000'000, 4'096));
+    settings.listLimits.bytes =
+        static_cast<std::size_t>(node.integer("bytes", 1'024, 100'000'000, 1'000'000));
     node.rejectUnread();
 }
 
-void readAdmission(NodeReader& top, Told& t) {
+void readAdmission(NodeReader& top, FrontSettings& settings) {
     NodeReader node = top.childOrDefaults("admission");
-    t.gateBound.most = static_cast<std::size_t>(node.integer("waiting", 1, 1'000'000, 1'000));
-    t.gateBound.least = static_cast<std::size_t>(node.integer("waiting-least", 1, 1'000'000, 64));
-    t.gateBound.target = node.duration("target-wait", 0, kHour, t.gateBound.target);
-    admission::RetryLimiterSettings& r = t.gateReturns;
+    settings.concurrencyLimit.most = static_cast<std::size_t>(node.integer("waiting", 1, 1'000'000, 1'000));
+    settings.concurrencyLimit.least =
+        static_cast<std::size_t>(node.integer("waiting-least", 1, 1'000'000, 64));
+    settings.concurrencyLimit.target =
+        node.duration("target-wait", 0, kHour, settings.concurrencyLimit.target);
+    admission::RetryLimiterSettings& r = settings.retryLimiter;
     r.most = node.duration("come-back-most", 0, kHour, r.most);
     r.over = node.number("returns-for-each", 0.1, 100, r.over);
     r.asksForEach = node.number("asks-for-each", 1, 1e6, r.asksForEach);
     r.least = node.number("asks-least", 1, 1e6, r.least);
-    admission::PathCapacitySettings& w = t.gateWays;
+    admission::PathCapacitySettings& w = settings.pathCapacity;
     w.on = node.flag("narrow-ways", true);
     w.enough = node.number("way-enough", 0.1, 1, w.enough);
     w.window = node.duration("way-window", 100'000, kHour, w.window);
-    t.gateConnections = static_cast<std::size_t>(node.integer("connections-each", 1, 1'000'000, 2'000));
-    t.prefix4 = static_cast<int>(node.integer("prefix4", 1, 32, 24));
-    t.prefix6 = static_cast<int>(node.integer("prefix6", 1, 128, 56));
+    settings.maxConnectionsPerNetwork =
+        static_cast<std::size_t>(node.integer("connections-each", 1, 1'000'000, 2'000));
+    settings.prefix4 = static_cast<int>(node.integer("prefix4", 1, 32, 24));
+    settings.prefix6 = static_cast<int>(node.integer("prefix6", 1, 128, 56));
     for (NodeReader& network : node.childrenNamed("network")) {
         const std::string text = network.argument("its prefix");
         const auto prefix = admission::prefixOf(text);
         if (!prefix)
             network.fail(
-                "a network is expected as \"10.1.0.0/16\" or \"2001:db8::/32\", with no bits behind its "
+                "a network must be a prefix such as \"10.1.0.0/16\" or \"2001:db8::/32\", without bits set "
+                "after its "
                 "length");
-        t.networks.emplace_back(*prefix, network.text("member"));
+        settings.networks.emplace_back(*prefix, network.text("member"));
         network.rejectUnread();
     }
     node.rejectUnread();
 }
 
-Told readAll(const settings::Document& document) {
-    Told t;
+FrontSettings readSettings(const settings::Document& document) {
+    FrontSettings settings;
     NodeReader top(document);
     NodeReader front = top.requiredChild("front");
-    t.name = front.argument("its name");
-    if (t.name.empty() || t.name.size() > 64 ||
-        t.name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
+    settings.name = front.argument("its name");
+    if (settings.name.empty() || settings.name.size() > 64 ||
+        settings.name.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
             std::string::npos)
-        front.fail("a front's name is of letters, digits, '-' and '_', 64 at most");
-    t.fronts = static_cast<int>(front.integer("fronts", 1, 100'000, 1));
-    t.stopWithin = front.duration("stop-within", 0, kHour, t.stopWithin);
-    t.ladder = settings::readLadder(top);
-    t.rooms = settings::readRoomTypes(top, t.ladder);
-    t.machines = settings::readMachines(top);
-    t.machines.fleet.zone =
-        ZoneId{front.indexOf("zone", t.machines.zones, "", "a zone", "among those of 'fleet'")};
+        front.fail("a front's name must be 1 to 64 letters, digits, '-' or '_'");
+    settings.fronts = static_cast<int>(front.integer("fronts", 1, 100'000, 1));
+    settings.stopTimeout = front.duration("stop-within", 0, kHour, settings.stopTimeout);
+    settings.ladder = settings::readLadder(top);
+    settings.roomTypes = settings::readRoomTypes(top, settings.ladder);
+    settings.machines = settings::readMachines(top);
+    settings.machines.fleet.zone =
+        ZoneId{front.indexOf("zone", settings.machines.zones, "", "a zone", "among those of 'fleet'")};
     front.rejectUnread();
-    t.cold = settings::readColdStartLimits(top);
-    t.budget = settings::readJoinBudget(top);
-    t.tidings = settings::readReportTiming(top);
-    t.allowed = settings::readSubscriptionLimits(top);
-    t.prices = settings::readServingCosts(top);
-    t.talks = settings::readTalks(top, t.machines.fleet);
-    readWire(top, t);
-    readSip(top, t);
-    readList(top, t);
-    readAdmission(top, t);
+    settings.coldStart = settings::readColdStartLimits(top);
+    settings.joinBudget = settings::readJoinBudget(top);
+    settings.reportTiming = settings::readReportTiming(top);
+    settings.subscriptionLimits = settings::readSubscriptionLimits(top);
+    settings.servingCosts = settings::readServingCosts(top);
+    settings.talks = settings::readTalks(top, settings.machines.fleet);
+    readHttp(top, settings);
+    readSip(top, settings);
+    readList(top, settings);
+    readAdmission(top, settings);
     {
         NodeReader node = top.childOrDefaults("learnt");
-        t.learntFile = node.text("file", "");
-        t.learntEvery = node.duration("every", 100'000, kHour, t.learntEvery);
-        t.learntFor = node.duration("keep-for", 0, kHour, t.learntFor);
+        settings.evidencePath = node.text("file", "");
+        settings.evidenceSaveInterval = node.duration("every", 100'000, kHour, settings.evidenceSaveInterval);
+        settings.evidenceMaxAge = node.duration("keep-for", 0, kHour, settings.evidenceMaxAge);
         node.rejectUnread();
     }
     NodeReader log = top.childOrDefaults("log");
-    t.logFile = log.text("file", "-");
-    t.logLevel = logging::parseLevel(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
-    t.logWarnings = static_cast<int>(log.integer("warnings-a-second", 1, 100'000, 20));
+    settings.logPath = log.text("file", "-");
+    settings.logLevel =
+        logging::parseLevel(log.choice("level", {"debug", "info", "warning", "error"}, "info"));
+    settings.logWarningsPerSecond = static_cast<int>(log.integer("warnings-a-second", 1, 100'000, 20));
     log.rejectUnread();
     top.rejectUnread();
-    return t;
+    return settings;
 }
 
 }  // namespace
 
+// The components of a front and the call-backs that connect them. Members are constructed in this order.
 struct Front::Parts final : core::CoreObserver, discovery::ServerListHandler {
     net::Net& net;
-    Told told;
+    FrontSettings settings;
     logging::Log log;
-    Micros wallOffset;  // of the wall clock over the front's own, as at the start
-    upstream::UpstreamClient boxes;
-    upstream::JoinClient joins;
-    admission::AdmissionController gate;
+    Micros wallOffset;  // wall clock minus the front's clock, taken at the start
+    upstream::UpstreamClient upstreamClient;
+    upstream::JoinClient joinClient;
+    admission::AdmissionController admissionController;
     std::unique_ptr<core::Core> core;
-    std::unique_ptr<frontends::HttpFrontend> face;
-    std::unique_ptr<frontends::SipFrontend> sip;
+    std::unique_ptr<frontends::HttpFrontend> httpFrontend;
+    std::unique_ptr<frontends::SipFrontend> sipFrontend;
     std::unique_ptr<discovery::ListFollower> follower;
-    discovery::ServerList held;
-    evidence::EvidenceFile earlier;  // what an earlier life had learnt, until the list has come
-    net::Timer stopping, flushing, keeping;
-    std::function<void()> stopped;
-    Micros stopBy = 0;
+    discovery::ServerList currentList;
+    evidence::EvidenceFile restoredEvidence;  // saved by an earlier process, until the first list arrives
+    net::Timer stopTimer, flushTimer, saveTimer;
+    std::function<void()> onStopped;
+    Micros stopDeadline = 0;
 
-    Parts(net::Net& net, Told given, std::uint64_t seed, std::uint64_t epoch, const ModuleOverride& other)
+    Parts(net::Net& net, FrontSettings frontSettings, std::uint64_t seed, std::uint64_t epoch,
+          const ModuleOverride& moduleOverride)
         : net(net),
-          told(std::move(given)),
-          log(told.logFile, told.logLevel, told.logWarnings),
+          settings(std::move(frontSettings)),
+          log(settings.logPath, settings.logLevel, settings.logWarningsPerSecond),
           wallOffset(net.wallNow() - net.now()),
-          boxes(net, told.wire, told.boxes),
-          joins(net, boxes, told.name + "." + std::to_string(epoch), told.ladder.kb.size(), {},
-                [this] {
-                    if (follower) follower->follow();
-                }),
-          gate(told.gateBound, told.gateConnections, told.prefix4, told.prefix6, told.gateReturns,
-               told.gateWays),
-          stopping(net, [this] { lookWhetherDone(); }),
-          flushing(net,
-                   [this] {
-                       log.flush();
-                       flushing.after(kSecond);
-                   }),
-          keeping(net, [this] {
-              keepLearnt();
-              keeping.after(told.learntEvery);
+          upstreamClient(net, settings.httpLimits, settings.upstreamLimits),
+          joinClient(net, upstreamClient, settings.name + "." + std::to_string(epoch),
+                     settings.ladder.kb.size(), {},
+                     [this] {
+                         if (follower) follower->follow();
+                     }),
+          admissionController(settings.concurrencyLimit, settings.maxConnectionsPerNetwork, settings.prefix4,
+                              settings.prefix6, settings.retryLimiter, settings.pathCapacity),
+          stopTimer(net, [this] { continueStopping(); }),
+          flushTimer(net,
+                     [this] {
+                         log.flush();
+                         flushTimer.after(kSecond);
+                     }),
+          saveTimer(net, [this] {
+              saveEvidence();
+              saveTimer.after(settings.evidenceSaveInterval);
           }) {
-        for (const auto& [prefix, member] : told.networks) gate.addNamedNetwork(prefix, member);
-        follower = told.listAt ? discovery::followStream(net, *told.listAt, told.listPath, names(),
-                                                         told.listLimits, told.listTimes, *this)
-                               : discovery::followFile(net, told.listFile, names(), told.listLimits,
-                                                       told.listTimes, *this);
+        for (const auto& [prefix, member] : settings.networks)
+            admissionController.addNamedNetwork(prefix, member);
+        follower = settings.listEndpoint
+                       ? discovery::followStream(net, *settings.listEndpoint, settings.listUrlPath, names(),
+                                                 settings.listLimits, settings.listTimings, *this)
+                       : discovery::followFile(net, settings.listFilePath, names(), settings.listLimits,
+                                               settings.listTimings, *this);
         core = std::make_unique<core::Core>(
-            net, told.rooms.types, told.core, told.deliveryWindow, joins, *this,
+            net, settings.roomTypes.types, settings.coreLimits, settings.deliveryWindow, joinClient, *this,
             [&](Host& host, Micros now) -> std::unique_ptr<core::DecisionModule> {
-                if (other)
-                    return other(host, now, seed, told.rooms.types, told.machines.fleet, told.ladder,
-                                 told.allowed);
-                return std::make_unique<core::LogicModule>(host, now, seed, told.fronts, told.ladder,
-                                                           told.rooms.types, told.machines.fleet, told.cold,
-                                                           told.budget ? &*told.budget : nullptr,
-                                                           told.tidings, told.allowed, told.prices);
+                if (moduleOverride)
+                    return moduleOverride(host, now, seed, settings.roomTypes.types, settings.machines.fleet,
+                                          settings.ladder, settings.subscriptionLimits);
+                return std::make_unique<core::LogicModule>(
+                    host, now, seed, settings.fronts, settings.ladder, settings.roomTypes.types,
+                    settings.machines.fleet, settings.coldStart,
+                    settings.joinBudget ? &*settings.joinBudget : nullptr, settings.reportTiming,
+                    settings.subscriptionLimits, settings.servingCosts);
             });
-        joins.connect(*core);
-        readLearnt();
-        readKept();
-        const frontends::FrontendContext around{net,  told.name, told.talks, told.rooms, told.ladder,
-                                                gate, *core,     boxes,      joins,      log};
-        face =
-            std::make_unique<frontends::HttpFrontend>(around, told.http, told.wire, told.terms, told.hints);
-        if (told.sip) sip = std::make_unique<frontends::SipFrontend>(around, *told.sip, told.sipTerms, seed);
-        flushing.after(kSecond);
-        if (!told.learntFile.empty()) keeping.after(told.learntEvery);
-        line(logging::Level::Info, "started",
-             {{"front", told.name}, {"http", net::toString(face->endpoint())}, {"seed", seed}});
+        joinClient.connect(*core);
+        loadEvidence();
+        loadSavedList();
+        const frontends::FrontendContext context{net,
+                                                 settings.name,
+                                                 settings.talks,
+                                                 settings.roomTypes,
+                                                 settings.ladder,
+                                                 admissionController,
+                                                 *core,
+                                                 upstreamClient,
+                                                 joinClient,
+                                                 log};
+        httpFrontend = std::make_unique<frontends::HttpFrontend>(
+            context, settings.httpEndpoint, settings.httpLimits, settings.httpSettings, settings.hintLimits);
+        if (settings.sipEndpoint)
+            sipFrontend = std::make_unique<frontends::SipFrontend>(context, *settings.sipEndpoint,
+                                                                   settings.sipSettings, seed);
+        flushTimer.after(kSecond);
+        if (!settings.evidencePath.empty()) saveTimer.after(settings.evidenceSaveInterval);
+        writeLog(
+            logging::Level::Info, "started",
+            {{"front", settings.name}, {"http", net::toString(httpFrontend->endpoint())}, {"seed", seed}});
     }
 
-    void line(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
+    void writeLog(logging::Level level, std::string_view what, nlohmann::ordered_json fields) {
         log.write(level, net.now(), net.wallNow(), what, std::move(fields));
     }
 
-    discovery::ListNames names() const { return {told.machines.kinds, told.machines.zones}; }
+    discovery::ListNames names() const { return {settings.machines.kinds, settings.machines.zones}; }
 
-    // ---- core::Watcher ----
-    nlohmann::ordered_json of(SubId id) const {
+    // ---- core::CoreObserver ----
+    nlohmann::ordered_json traceFields(SubId id) const {
         nlohmann::ordered_json out;
-        if (face)
-            if (const auto* trace = face->traceOf(id)) out["trace"] = trace->trace;
-        if (sip)
-            if (const auto* trace = sip->traceOf(id)) out["trace"] = trace->trace;
+        if (httpFrontend)
+            if (const auto* trace = httpFrontend->traceOf(id)) out["trace"] = trace->trace;
+        if (sipFrontend)
+            if (const auto* trace = sipFrontend->traceOf(id)) out["trace"] = trace->trace;
         out["sub"] = id.v;
         return out;
     }
-    void onPlacement(SubId id, SfuId at, const double* score, int among, std::uint64_t slot) override {
-        auto fields = of(id);
+    void onPlacement(SubId id, SfuId at, const double* score, int candidates, std::uint64_t slot) override {
+        auto fields = traceFields(id);
         fields["box"] = at.v;
         fields["slot"] = slot;
-        fields["among"] = among;
+        fields["among"] = candidates;
         if (score)
             fields["score"] = std::round(*score * 1e4) / 1e4;
         else
             fields["fits"] = false;
-        line(logging::Level::Info, "chosen", std::move(fields));
+        writeLog(logging::Level::Info, "chosen", std::move(fields));
     }
-    void onJoinSent(SubId id, int joinNo, SfuId at, int rung, Micros timeOut) override {
-        auto fields = of(id);
+    void onJoinSent(SubId id, int joinNo, SfuId at, int rung, Micros timeout) override {
+        auto fields = traceFields(id);
         fields["join"] = joinNo;
         fields["box"] = at.v;
         fields["rung"] = rung;
-        fields["within_us"] = timeOut;
-        line(logging::Level::Info, "join-sent", std::move(fields));
+        fields["within_us"] = timeout;
+        writeLog(logging::Level::Info, "join-sent", std::move(fields));
     }
     void onJoinEnded(SubId id, int joinNo, SfuId at, const core::JoinOutcome& outcome) override {
-        auto fields = of(id);
+        auto fields = traceFields(id);
         fields["join"] = joinNo;
         fields["box"] = at.v;
         fields["outcome"] = outcome.why;
         fields["never_ran"] = outcome.neverRan;
         fields["took_us"] = outcome.took;
-        line(logging::Level::Info, "join-ended", std::move(fields));
+        writeLog(logging::Level::Info, "join-ended", std::move(fields));
     }
     void onAnswer(SubId id, std::string_view how, Micros took) override {
         if (how == "throttled")
-            gate.onThrottled(net.now());
+            admissionController.onThrottled(net.now());
         else
-            gate.onAnswerTime(net.now(), took);
-        if (how == "plays") gate.onPlaced(net.now());
-        auto fields = of(id);
+            admissionController.onAnswerTime(net.now(), took);
+        if (how == "plays") admissionController.onPlaced(net.now());
+        auto fields = traceFields(id);
         fields["how"] = how;
         fields["took_us"] = took;
-        line(logging::Level::Info, "answered", std::move(fields));
+        writeLog(logging::Level::Info, "answered", std::move(fields));
     }
-    void onGuardTriggered(SubId id) override { line(logging::Level::Error, "guard-answered", of(id)); }
-    void onModuleLog(const std::string& words) override {
-        line(logging::Level::Debug, "module", {{"words", words}});
+    void onGuardTriggered(SubId id) override {
+        writeLog(logging::Level::Error, "guard-answered", traceFields(id));
+    }
+    void onModuleLog(const std::string& message) override {
+        writeLog(logging::Level::Debug, "module", {{"words", message}});
     }
 
-    // ---- list::ListUser ----
-    std::vector<SfuEntry> taken(const std::vector<discovery::ServerListEntry>& lines) {
+    // ---- discovery::ServerListHandler ----
+    // Registers the addresses of listed servers and returns the entries for the core, with launch times on
+    // the front's clock. Entries with an unknown cell are dropped.
+    std::vector<SfuEntry> acceptEntries(const std::vector<discovery::ServerListEntry>& entries) {
         std::vector<SfuEntry> out;
-        for (const discovery::ServerListEntry& one : lines) {
-            SfuEntry sfu = one.sfu;
-            // The list speaks of the wall clock. A start that seems to lie ahead is one of just now.
+        for (const discovery::ServerListEntry& entry : entries) {
+            SfuEntry sfu = entry.sfu;
+            // The list uses the wall clock. A launch time in the future is taken as now.
             if (sfu.launched > 0)
                 sfu.launched =
                     std::clamp<Micros>(sfu.launched - wallOffset, 1, std::max<Micros>(1, net.now()));
-            if (sfu.cell.v >= static_cast<std::uint32_t>(told.machines.fleet.cells)) {
-                line(logging::Level::Warning, "list-odd",
-                     {{"why", "box " + std::to_string(sfu.id.v) +
-                                  " stands in a cell that the settings do not have"}});
+            if (sfu.cell.v >= static_cast<std::uint32_t>(settings.machines.fleet.cells)) {
+                writeLog(logging::Level::Warning, "list-odd",
+                         {{"why", "box " + std::to_string(sfu.id.v) +
+                                      " is in a cell that the settings do not define"}});
                 continue;
             }
-            if (one.at.port != 0) {
-                boxes.setAddress(sfu.id, one.at);
-                joins.releaseEarlierSessions(sfu.id);
+            if (entry.at.port != 0) {
+                upstreamClient.setAddress(sfu.id, entry.at);
+                joinClient.releaseEarlierSessions(sfu.id);
             }
             out.push_back(sfu);
         }
         return out;
     }
-    void merge(const std::vector<discovery::ServerListEntry>& lines, bool whole) {
-        if (whole) held.boxes.clear();
-        for (const discovery::ServerListEntry& one : lines) {
-            const auto same =
-                std::find_if(held.boxes.begin(), held.boxes.end(),
-                             [&](const discovery::ServerListEntry& b) { return b.sfu.id == one.sfu.id; });
-            if (same == held.boxes.end())
-                held.boxes.push_back(one);
-            else if (one.sfu.standing == ServerState::Off)
-                held.boxes.erase(same);
+    // Applies a complete list or a change to the current list and saves it, if a path is set.
+    void updateCurrentList(const std::vector<discovery::ServerListEntry>& entries, bool isComplete) {
+        if (isComplete) currentList.boxes.clear();
+        for (const discovery::ServerListEntry& entry : entries) {
+            const auto matching =
+                std::find_if(currentList.boxes.begin(), currentList.boxes.end(),
+                             [&](const discovery::ServerListEntry& b) { return b.sfu.id == entry.sfu.id; });
+            if (matching == currentList.boxes.end())
+                currentList.boxes.push_back(entry);
+            else if (entry.sfu.standing == ServerState::Off)
+                currentList.boxes.erase(matching);
             else
-                *same = one;
+                *matching = entry;
         }
-        if (told.listKept.empty()) return;
+        if (settings.listSavePath.empty()) return;
         try {
-            discovery::saveServerList(told.listKept, held, names());
+            discovery::saveServerList(settings.listSavePath, currentList, names());
         } catch (const std::exception& e) {
-            line(logging::Level::Warning, "list-not-kept", {{"why", e.what()}});
+            writeLog(logging::Level::Warning, "list-not-kept", {{"why", e.what()}});
         }
     }
-    void onList(const std::vector<discovery::ServerListEntry>& lines, bool stale) override {
-        line(logging::Level::Info, "list", {{"boxes", lines.size()}, {"stale", stale}});
-        core->onServerList(taken(lines), stale);
+    void onList(const std::vector<discovery::ServerListEntry>& entries, bool stale) override {
+        writeLog(logging::Level::Info, "list", {{"boxes", entries.size()}, {"stale", stale}});
+        core->onServerList(acceptEntries(entries), stale);
         if (stale) return;
-        merge(lines, true);
-        recall();
+        updateCurrentList(entries, true);
+        restoreEvidence();
     }
-    void onListChange(const std::vector<discovery::ServerListEntry>& lines) override {
-        line(logging::Level::Info, "list-changed", {{"boxes", lines.size()}});
-        core->onServerListChange(taken(lines));
-        merge(lines, false);
+    void onListChange(const std::vector<discovery::ServerListEntry>& entries) override {
+        writeLog(logging::Level::Info, "list-changed", {{"boxes", entries.size()}});
+        core->onServerListChange(acceptEntries(entries));
+        updateCurrentList(entries, false);
     }
     void onListUnreachable(const std::string& why) override {
-        line(logging::Level::Warning, "list-unreachable", {{"why", why}});
+        writeLog(logging::Level::Warning, "list-unreachable", {{"why", why}});
         core->onServerListFailure();
     }
     void onListAnomaly(const std::string& why) override {
-        line(logging::Level::Warning, "list-odd", {{"why", why}});
+        writeLog(logging::Level::Warning, "list-odd", {{"why", why}});
     }
 
-    // A file that is missing, torn, of another version or too old is said, and all begins afresh.
-    void readLearnt() {
-        if (told.learntFile.empty()) return;
+    // Loads the saved server evidence. A file that is missing, truncated, of another version or too old is
+    // logged and ignored.
+    void loadEvidence() {
+        if (settings.evidencePath.empty()) return;
         try {
-            if (!std::filesystem::exists(told.learntFile)) throw std::runtime_error("there is none");
-            evidence::EvidenceFile kept = evidence::parseEvidenceFile(
-                told.learntFile, settings::readFile(told.learntFile), told.listLimits.boxes);
-            const Micros since = net.wallNow() - kept.savedAt;
-            if (since < 0 || since > told.learntFor) throw std::runtime_error("it is of another time");
-            for (evidence::EvidenceEntry& b : kept.boxes) b.what.age += since;
-            earlier = std::move(kept);
+            if (!std::filesystem::exists(settings.evidencePath))
+                throw std::runtime_error("the file does not exist");
+            evidence::EvidenceFile evidenceFile = evidence::parseEvidenceFile(
+                settings.evidencePath, settings::readFile(settings.evidencePath), settings.listLimits.boxes);
+            const Micros fileAge = net.wallNow() - evidenceFile.savedAt;
+            if (fileAge < 0 || fileAge > settings.evidenceMaxAge)
+                throw std::runtime_error("the file is older than keep-for or dated in the future");
+            for (evidence::EvidenceEntry& b : evidenceFile.boxes) b.what.age += fileAge;
+            restoredEvidence = std::move(evidenceFile);
         } catch (const std::exception& e) {
-            line(logging::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
+            writeLog(logging::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
         }
     }
-    std::map<SfuId, Micros> launchedOf() const {  // of all boxes listed, on the wall clock
+    std::map<SfuId, Micros> launchTimes() const {  // of all listed servers, by the wall clock
         std::map<SfuId, Micros> out;
-        for (const discovery::ServerListEntry& box : held.boxes) out.emplace(box.sfu.id, box.sfu.launched);
+        for (const discovery::ServerListEntry& box : currentList.boxes)
+            out.emplace(box.sfu.id, box.sfu.launched);
         return out;
     }
-    // Only of boxes that the list has now, and whose process is still the same.
-    void recall() {
-        if (earlier.boxes.empty()) return;
-        const auto launched = launchedOf();
-        std::vector<ServerEvidence> same;
-        for (const evidence::EvidenceEntry& b : earlier.boxes)
-            if (const auto now = launched.find(b.what.id); now != launched.end() && now->second == b.launched)
-                same.push_back(b.what);
-        line(logging::Level::Info, "learnt-taken",
-             {{"boxes", same.size()}, {"passed_over", earlier.boxes.size() - same.size()}});
-        earlier.boxes.clear();
-        core->restoreServerEvidence(same);
+    // Restores the evidence of those servers that are listed now and have not been restarted since.
+    void restoreEvidence() {
+        if (restoredEvidence.boxes.empty()) return;
+        const auto launched = launchTimes();
+        std::vector<ServerEvidence> matching;
+        for (const evidence::EvidenceEntry& b : restoredEvidence.boxes)
+            if (const auto listed = launched.find(b.what.id);
+                listed != launched.end() && listed->second == b.launched)
+                matching.push_back(b.what);
+        writeLog(
+            logging::Level::Info, "learnt-taken",
+            {{"boxes", matching.size()}, {"passed_over", restoredEvidence.boxes.size() - matching.size()}});
+        restoredEvidence.boxes.clear();
+        core->restoreServerEvidence(matching);
     }
-    void keepLearnt() {
-        if (!earlier.boxes.empty()) return;  // no list has come yet: what was kept is all that is known
-        evidence::EvidenceFile kept{net.wallNow(), {}};
-        const auto launched = launchedOf();
+    void saveEvidence() {
+        if (!restoredEvidence.boxes.empty()) return;  // no list yet: the saved file is still the best data
+        evidence::EvidenceFile evidenceFile{net.wallNow(), {}};
+        const auto launched = launchTimes();
         for (const ServerEvidence& what : core->serverEvidence())
-            if (const auto now = launched.find(what.id); now != launched.end())
-                kept.boxes.push_back({what, now->second});
+            if (const auto listed = launched.find(what.id); listed != launched.end())
+                evidenceFile.boxes.push_back({what, listed->second});
         try {
-            evidence::saveEvidenceFile(told.learntFile, kept);
+            evidence::saveEvidenceFile(settings.evidencePath, evidenceFile);
         } catch (const std::exception& e) {
-            line(logging::Level::Warning, "learnt-not-kept", {{"why", e.what()}});
+            writeLog(logging::Level::Warning, "learnt-not-kept", {{"why", e.what()}});
         }
     }
 
-    void readKept() {
-        if (told.listKept.empty() || !std::filesystem::exists(told.listKept)) return;
+    void loadSavedList() {
+        if (settings.listSavePath.empty() || !std::filesystem::exists(settings.listSavePath)) return;
         try {
-            held = discovery::parseServerList(told.listKept, settings::readFile(told.listKept), names(),
-                                              told.listLimits);
-            onList(held.boxes, true);
+            currentList =
+                discovery::parseServerList(settings.listSavePath, settings::readFile(settings.listSavePath),
+                                           names(), settings.listLimits);
+            onList(currentList.boxes, true);
         } catch (const std::exception& e) {
-            line(logging::Level::Warning, "kept-list-odd", {{"why", e.what()}});
+            writeLog(logging::Level::Warning, "kept-list-odd", {{"why", e.what()}});
         }
     }
 
-    void lookWhetherDone() {
-        const bool plays = face->viewers() > 0 || (sip && sip->calls() > 0);
-        if (core->unansweredCount() > 0 || (plays && net.now() < stopBy)) {
-            stopping.after(20'000);
+    // Polls until everything is answered and playback has ended or reached its deadline, then shuts down.
+    void continueStopping() {
+        const bool isPlaying = httpFrontend->viewers() > 0 || (sipFrontend && sipFrontend->calls() > 0);
+        if (core->unansweredCount() > 0 || (isPlaying && net.now() < stopDeadline)) {
+            stopTimer.after(20'000);
             return;
         }
-        if (!told.learntFile.empty()) keepLearnt();
-        if (sip) sip->shutDown();
-        face->shutDown([this] {
+        if (!settings.evidencePath.empty()) saveEvidence();
+        if (sipFrontend) sipFrontend->shutDown();
+        httpFrontend->shutDown([this] {
             const core::CoreCounts& c = core->counts();
-            line(logging::Level::Info, "stopped",
-                 {{"asked", c.asked},
-                  {"played", c.played},
-                  {"throttled", c.throttled},
-                  {"terminated", c.terminated}});
+            writeLog(logging::Level::Info, "stopped",
+                     {{"asked", c.asked},
+                      {"played", c.played},
+                      {"throttled", c.throttled},
+                      {"terminated", c.terminated}});
             log.flush();
-            if (stopped) stopped();
+            if (onStopped) onStopped();
         });
     }
 };
 
 Front::Front(net::Net& net, const settings::Document& document, std::uint64_t seed, std::uint64_t epoch,
-             const ModuleOverride& other)
-    : parts_(std::make_unique<Parts>(net, readAll(document), seed, epoch, other)) {}
+             const ModuleOverride& moduleOverride)
+    : parts_(std::make_unique<Parts>(net, readSettings(document), seed, epoch, moduleOverride)) {}
 Front::~Front() {
     if (parts_) {
-        parts_->sip.reset();
-        parts_->face.reset();
+        parts_->sipFrontend.reset();
+        parts_->httpFrontend.reset();
         parts_->core.reset();
     }
 }
 
 net::Endpoint Front::http() const {
-    return parts_->face->endpoint();
+    return parts_->httpFrontend->endpoint();
 }
 frontends::HttpFrontend& Front::httpFrontend() {
-    return *parts_->face;
+    return *parts_->httpFrontend;
 }
 frontends::SipFrontend* Front::sipFrontend() {
-    return parts_->sip.get();
+    return parts_->sipFrontend.get();
 }
 core::Core& Front::core() {
     return *parts_->core;
 }
 void Front::stop(Micros playOn, std::function<void()> done) {
-    parts_->line(logging::Level::Info, "stopping", {{"play_on_us", playOn}});
-    parts_->face->stopAccepting();
-    if (parts_->sip) parts_->sip->stopAccepting();
-    parts_->stopped = std::move(done);
-    parts_->stopBy = parts_->net.now() + playOn;
-    parts_->stopping.after(0);
+    parts_->writeLog(logging::Level::Info, "stopping", {{"play_on_us", playOn}});
+    parts_->httpFrontend->stopAccepting();
+    if (parts_->sipFrontend) parts_->sipFrontend->stopAccepting();
+    parts_->onStopped = std::move(done);
+    parts_->stopDeadline = parts_->net.now() + playOn;
+    parts_->stopTimer.after(0);
 }
 Micros Front::stopTimeout() const {
-    return parts_->told.stopWithin;
+    return parts_->settings.stopTimeout;
 }
 void Front::flush() {
     parts_->log.flush();
 }
 void Front::check(const settings::Document& document) {
-    readAll(document);
+    readSettings(document);
 }
 
 }  // namespace valekeel::front
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -1,5 +1,5 @@
-// One front, put together from its settings: list, boxes, core, faces, record. The same object is driven by
-// the program, by the drill and, on a virtual clock, by rehearsals.
+// One front, assembled from its settings: server list, upstream connections, admission, core, protocol front
+// ends and log. Used by the program on sockets and by simulations on a virtual clock.
 #pragma once
 
 #include <functional>
@@ -15,30 +15,32 @@
 
 namespace valekeel::front {
 
-// What may be put in the place of the module: a baseline in the drill, a broken one in tests.
+// Creates a decision module that replaces the built-in one: a baseline in drills, a faulty module in tests.
+// The Host outlives the module.
 using ModuleOverride = std::function<std::unique_ptr<core::DecisionModule>(
     Host&, Micros now, std::uint64_t seed, const std::vector<RoomType>&, const Fleet&, const Ladder&,
     const SubscriptionLimits&)>;
 
+// A running front.
 class Front {
   public:
-    // Throws settings::Wrong or std::runtime_error before anything is started. `epoch` sets this life apart
-    // from earlier ones of the same name.
+    // Checks the settings and starts the front. Throws settings::SettingsError or std::runtime_error. `epoch`
+    // distinguishes this process from earlier ones of the same name. The Net must outlive the front.
     Front(net::Net&, const settings::Document&, std::uint64_t seed, std::uint64_t epoch,
-          const ModuleOverride& other = {});
+          const ModuleOverride& moduleOverride = {});
     ~Front();
 
-    net::Endpoint http() const;
+    net::Endpoint http() const;  // where HTTP is served
     frontends::HttpFrontend& httpFrontend();
-    frontends::SipFrontend* sipFrontend();  // nothing where the settings name none
+    frontends::SipFrontend* sipFrontend();  // nullptr if the settings have no 'sip' node
     core::Core& core();
-    // Nothing new is taken; what was taken is answered; what plays goes on for `playOn`, then ends. Calls
-    // back once all is said.
+    // Takes no new requests, answers those that are pending, lets playback continue for up to `playOn`
+    // microseconds and ends it. Calls `done` once all responses are sent.
     void stop(Micros playOn, std::function<void()> done);
-    Micros stopTimeout() const;
-    void flush();
+    Micros stopTimeout() const;  // stop-within of the settings
+    void flush();                // writes buffered log lines
 
-    // Reads all settings, starts nothing. Throws as above.
+    // Reads and checks all settings without starting anything. Throws settings::SettingsError.
     static void check(const settings::Document&);
 
   private:
--- a/src/frontends/frontend_context.hpp
+++ b/src/frontends/frontend_context.hpp
@@ -1,4 +1,4 @@
-// What all faces do alike when a subscription is asked for.
+// What the protocol front ends (HTTP and SIP) share when they take a subscription request.
 #pragma once
 
 #include <algorithm>
@@ -12,40 +12,43 @@
 
 namespace valekeel::frontends {
 
-// What each face of a front stands among: the talks and room types that it may be asked for, and the one
-// gate, core and record that it shares with the others. All of it outlives the faces.
+// The collaborators of a protocol front end: the talks, room types and ladder of the settings, and the
+// admission controller, core, upstream connections and log that all front ends of one front share. References
+// are not owned; their objects must outlive the front ends.
 struct FrontendContext {
     net::Net& net_;
-    std::string name_;  // of the front
+    std::string name_;  // the front's name
     const settings::Talks& talks_;
-    const settings::RoomTypes& rooms_;
+    const settings::RoomTypes& roomTypes_;
     const Ladder& ladder_;
-    admission::AdmissionController& gate_;
+    admission::AdmissionController& admission_;
     core::Core& core_;
-    upstream::UpstreamClient& boxes_;
-    upstream::JoinClient& joins_;
+    upstream::UpstreamClient& upstream_;
+    upstream::JoinClient& joinClient_;
     logging::Log& log_;
 };
 
-// Whole seconds, rounded up, one at least: as Retry-After and the SIP timers' headers want them.
+// Returns the duration in whole seconds, rounded up and at least 1, as decimal text for Retry-After and the
+// SIP timer headers.
 inline std::string ceilToSeconds(Micros t) {
     return std::to_string(std::max<Micros>(1, (t + kSecond - 1) / kSecond));
 }
 
-// For a viewer that can use so many kbit/s: the best rung under that, never under the room type's floor.
+// Builds the request of a viewer that can use `kbits` kbit/s. Its maxRung is the highest rung within that
+// rate (with a tolerance of 0.1 %), but never below the room type's floor.
 inline SubscriptionRequest subscriptionRequestFor(RoomTypeId room, const std::string& title,
                                                   const settings::Talk& talk, const Ladder& ladder,
                                                   const RoomType& type, double kbits) {
-    SubscriptionRequest wish;
-    wish.room = room;
-    wish.title = TitleId{title};
-    wish.firstCell = talk.firstCell;
-    wish.holders = talk.holders;
-    wish.maxRung = static_cast<int>(ladder.kb.size()) - 1;
-    while (wish.maxRung > type.floor &&
-           ladder.kb[static_cast<std::size_t>(wish.maxRung)] * type.rateFactor * 8 > kbits * 1.001)
-        --wish.maxRung;
-    return wish;
+    SubscriptionRequest request;
+    request.room = room;
+    request.title = TitleId{title};
+    request.firstCell = talk.firstCell;
+    request.holders = talk.holders;
+    request.maxRung = static_cast<int>(ladder.kb.size()) - 1;
+    while (request.maxRung > type.floor &&
+           ladder.kb[static_cast<std::size_t>(request.maxRung)] * type.rateFactor * 8 > kbits * 1.001)
+        --request.maxRung;
+    return request;
 }
 
 }  // namespace valekeel::frontends
--- a/src/frontends/http/http_frontend.hpp
+++ b/src/frontends/http/http_frontend.hpp
@@ -1,12 +1,13 @@
-// The HTTP face: HLS with CMCD and CMSD in, the core's calls out, and back. It places nothing, retries
-// nothing and counts no seats.
+// The HTTP front end: translates HLS requests with CMCD hints into calls to the core, relays playlists and
+// segments from the media servers, and adds CMSD to the responses. Placement, retries and seat limits are
+// left to the core and the decision module.
 //
-//   GET /talk/TITLE/main.m3u8?room=ROOM   asks for a subscription; answered when it plays, is throttled (503
-//                                         with Retry-After) or terminated (502, 504)
-//   GET /s/TOKEN/media.m3u8               the window of the talk that this viewer has now
-//   GET /s/TOKEN/init-RUNG.mp4, NO.m4s    relayed from the box that plays it
-//   POST /cmcd                            hints as JSON, for the subscription of their sid
-//   GET /status                           counts, as JSON
+//   GET /talk/TITLE/main.m3u8?room=ROOM   requests a subscription; answered once it plays (200), is throttled
+//                                         (503, Retry-After where a time is known) or terminated (502, 504)
+//   GET /s/TOKEN/media.m3u8               the viewer's current window of the talk
+//   GET /s/TOKEN/init-RUNG.mp4, NO.m4s    relayed from the media server that plays the subscription
+//   POST /cmcd                            CMCD hints as JSON, for the subscriptions with their sid
+//   GET /status                           counters, as JSON
 #pragma once
 
 #include <array>
@@ -22,35 +23,42 @@
 
 namespace valekeel::frontends {
 
+// Limits and timeouts of the HTTP front end.
 struct HttpFrontendSettings {
     PlaylistWindowSettings window;
-    Micros silentAfter = 20'000'000;  // without a fetch, a viewer is taken to have left
-    Micros closedAfter = 3'000'000;   // the same, once its last connection is closed
-    Micros pausedAfter = 60'000'000;  // the same, while its hints say that it is paused (pr=0)
-    Micros segmentWithin = 12'000'000;
-    std::size_t fetchesEach = 4;        // of one viewer at once
-    std::size_t relayBytes = 131'072;   // unsent to a viewer before the box is made to wait
-    std::size_t cachedPlaylists = 512;  // media playlists of boxes
-    Micros retryWhenFull = 1'000'000;   // named to those that admission turns away
+    Micros idleTimeout = 20'000'000;         // a viewer without requests for this long has left
+    Micros disconnectedTimeout = 3'000'000;  // the same, once a connection closed during a request
+    Micros pausedTimeout = 60'000'000;       // the same, while its hints say that it is paused (pr=0)
+    Micros segmentTimeout = 12'000'000;
+    std::size_t maxFetchesPerViewer = 4;    // concurrent
+    std::size_t maxUnsentBytes = 131'072;   // unsent to a viewer; above it, upstream reading pauses
+    std::size_t maxCachedPlaylists = 512;   // media playlists of the media servers
+    Micros retryAfterWhenFull = 1'000'000;  // Retry-After of rejected requests
 };
 
+// Serves viewers over HTTP, from construction until shutDown().
 class HttpFrontend final : public core::SubscriptionHandler,
                            public http::Handler,
                            public upstream::JoinRequestSource,
                            FrontendContext {
   public:
+    // Starts to listen at the endpoint; port 0 lets the kernel choose one.
     HttpFrontend(const FrontendContext&, const net::Endpoint&, const http::HttpLimits&,
                  const HttpFrontendSettings&, const hints::HintLimits&);
     ~HttpFrontend() override;
 
     net::Endpoint endpoint() const { return server_->endpoint(); }
-    // Nothing new is taken from now on; what plays goes on.
+    // Rejects new subscriptions with 503 from now on; existing ones continue.
     void stopAccepting() { stopping_ = true; }
-    // Ends what plays, and calls back when all is said.
+    // Ends all subscriptions and closes the server; calls `done` once all responses are sent.
     void shutDown(std::function<void()> done);
+    // The number of subscriptions held, waiting or playing.
     std::size_t viewers() const { return viewers_.size(); }
+    // Counts of CMCD keys and values that were ignored, by reason.
     const hints::DropCounts& hintsDropped() const { return hintsDropped_; }
+    // The trace of a subscription, owned by it; nullptr if this front end does not hold it.
     const logging::TraceContext* traceOf(SubId) const;
+    // The JSON text of GET /status.
     std::string statusText() const;
 
   private:
@@ -69,7 +77,7 @@
     void onConnectionClosed(const net::Endpoint&) override;
     void onMalformedRequest(const net::Endpoint&, int, const std::string&) override;
 
-    // ---- core::Face ----
+    // ---- core::SubscriptionHandler ----
     void onPlaying(SubId, SfuId, int rung) override;
     void onThrottled(SubId, Micros retryAfter) override;
     void onTerminated(SubId, core::TerminationReason) override;
@@ -80,43 +88,44 @@
 
     void countDropped(const hints::CmcdReader&);
     hints::Cmcd hintsOf(const http::RequestHead&);
-    void askTalk(http::Exchange&, const std::string& title);
-    void askMedia(http::Exchange&, Viewer&);
-    void askSegment(http::Exchange&, Viewer&, std::string_view file);
-    void takeJson(http::Exchange&);
+    void handleTalkRequest(http::Exchange&, const std::string& title);
+    void handleMediaPlaylistRequest(http::Exchange&, Viewer&);
+    void handleSegmentRequest(http::Exchange&, Viewer&, std::string_view file);
+    void handleCmcdPost(http::Exchange&);
     void answerPlaying(Viewer&, http::Exchange&);
     void refuse(http::Exchange&, int status, std::string_view why, Micros retryAfter = 0);
     void sendWindow(http::Exchange&, Viewer&);
-    http::Fields cmsdFields(const Viewer&, std::string_view standingStatic, std::string_view standingDynamic,
+    http::Fields cmsdFields(const Viewer&, std::string_view upstreamStatic, std::string_view upstreamDynamic,
                             std::string_view objectType, std::optional<Micros> toHead) const;
-    void heardFrom(Viewer&, const hints::Cmcd&);
-    void endViewer(Viewer&, bool tellCore);
+    void updateHints(Viewer&, const hints::Cmcd&);
+    void endViewer(Viewer&, bool notifyCore);
     Viewer* byToken(const std::string&);
     Viewer* bySub(SubId);
     void answerWaiters(Viewer&, const std::function<void(http::Exchange&)>&);
-    void bury(std::unique_ptr<Relay>);
+    void destroyLater(std::unique_ptr<Relay>);  // once the current call-back has returned
 
-    HttpFrontendSettings terms_;
+    HttpFrontendSettings settings_;
     hints::HintLimits hintLimits_;
     std::unique_ptr<http::Server> server_;
     std::map<std::string, std::unique_ptr<Viewer>> viewers_;  // by token
-    std::map<SubId, Viewer*> subs_;
-    std::map<std::string, Viewer*> sids_;
-    struct Cached {
-        hls::MediaPlaylist list;
+    std::map<SubId, Viewer*> viewersBySub_;
+    std::map<std::string, Viewer*> viewersBySid_;
+    struct CachedPlaylist {
+        hls::MediaPlaylist playlist;
         std::vector<Micros> durations;
         std::string path;
-        std::uint64_t usedAt = 0;
+        std::uint64_t lastUse = 0;
     };
-    std::map<PlaylistKey, Cached> cache_;
-    std::uint64_t cacheUse_ = 0;
-    std::uint64_t nextFetch_ = 1;
+    std::map<PlaylistKey, CachedPlaylist> cache_;  // least recently used entry is evicted
+    std::uint64_t cacheUseCounter_ = 0;
+    std::uint64_t nextFetchId_ = 1;
     std::map<std::uint64_t, std::unique_ptr<Relay>> relays_;
-    std::vector<std::unique_ptr<Relay>> dead_;
-    std::vector<std::unique_ptr<Viewer>> deadViewers_;
-    net::Timer bury_;
+    std::vector<std::unique_ptr<Relay>> retiredRelays_;
+    std::vector<std::unique_ptr<Viewer>> retiredViewers_;
+    net::Timer cleanupTimer_;
     hints::DropCounts hintsDropped_{};
-    std::uint64_t badRequests_ = 0, relayedBytes_ = 0, relayedSegments_ = 0, turnedAway_ = 0, starved_ = 0;
+    std::uint64_t badRequests_ = 0, relayedBytes_ = 0, relayedSegments_ = 0, rejected_ = 0,
+                  starvedReports_ = 0;
     bool stopping_ = false;
 };
 
--- a/src/frontends/http/playlist_window.cpp
+++ b/src/frontends/http/playlist_window.cpp
@@ -6,15 +6,15 @@
 namespace valekeel::frontends {
 
 void PlaylistWindow::extend(Micros played, int rung, const std::vector<Micros>& durations) {
-    while (next_ < durations.size() && nextAt_ <= played + terms_.ahead) {
+    while (next_ < durations.size() && nextStart_ <= played + settings_.ahead) {
         listed_.push_back({next_, rung});
-        nextAt_ += durations[next_];
+        nextStart_ += durations[next_];
         ++next_;
     }
-    while (listed_.size() > 1 && listed_.front().no < seen_) {
-        const Micros end = firstAt_ + durations[listed_.front().no];
-        if (end >= played - terms_.behind) break;
-        firstAt_ = end;
+    while (listed_.size() > 1 && listed_.front().no < lastFetched_) {
+        const Micros end = firstStart_ + durations[listed_.front().no];
+        if (end >= played - settings_.behind) break;
+        firstStart_ = end;
         listed_.pop_front();
     }
 }
@@ -26,19 +26,20 @@
 
 hls::MediaPlaylist PlaylistWindow::playlist(const std::vector<Micros>& durations) const {
     hls::MediaPlaylist out;
-    std::map<int, int> maps;
+    std::map<int, int> mapIndexByRung;
     for (const Micros d : durations) out.target = std::max(out.target, d);
     if (!listed_.empty()) out.firstNo = listed_.front().no;
     int last = -1;
-    for (const Listed& one : listed_) {
+    for (const Listed& listed : listed_) {
         hls::Segment s;
-        s.uri = std::to_string(one.no) + ".m4s";
-        s.duration = durations[one.no];
-        const auto [it, fresh] = maps.try_emplace(one.rung, static_cast<int>(out.maps.size()));
-        if (fresh) out.maps.push_back({"init-" + std::to_string(one.rung) + ".mp4", {}});
+        s.uri = std::to_string(listed.no) + ".m4s";
+        s.duration = durations[listed.no];
+        const auto [it, fresh] = mapIndexByRung.try_emplace(listed.rung, static_cast<int>(out.maps.size()));
+        if (fresh) out.maps.push_back({"init-" + std::to_string(listed.rung) + ".mp4", {}});
         s.map = it->second;
-        s.discontinuity = last >= 0 && last != one.rung;  // another encoding begins (section 4.3.2.3)
-        last = one.rung;
+        s.discontinuity =
+            last >= 0 && last != listed.rung;  // the encoding changes (RFC 8216, section 4.3.2.3)
+        last = listed.rung;
         out.segments.push_back(std::move(s));
     }
     out.ended = next_ >= durations.size();
--- a/src/frontends/http/playlist_window.hpp
+++ b/src/frontends/http/playlist_window.hpp
@@ -1,5 +1,6 @@
-// The window of a talk that one viewer is shown: which segments were listed, and at which rung each. What was
-// listed once stays as it was, so that a change of rung never breaks what is being fetched. No I/O, no clock.
+// The sliding window of a talk's media playlist that one viewer sees: which segments are listed, and at which
+// rung each. A listed segment keeps its rung, so a change of rung never breaks a fetch in progress. Does no
+// I/O and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -12,36 +13,40 @@
 
 namespace valekeel::frontends {
 
+// Extent of the window around the playback position, in microseconds.
 struct PlaylistWindowSettings {
-    Micros ahead = 8'000'000;    // of playing, that a viewer may fetch and keep
-    Micros behind = 12'000'000;  // that stays listed
+    Micros ahead = 8'000'000;    // how far ahead of playback segments are listed
+    Micros behind = 12'000'000;  // how long segments stay listed behind playback
 };
 
+// The window of one viewer. Segments are numbered from 0 at the start of the talk.
 class PlaylistWindow {
   public:
-    explicit PlaylistWindow(const PlaylistWindowSettings& terms) : terms_(terms) {}
+    explicit PlaylistWindow(const PlaylistWindowSettings& settings) : settings_(settings) {}
     struct Listed {
         std::uint64_t no;
         int rung;
     };
-    // Lists what a viewer may have, `played` after its start, and what is new at the rung given. `durations`:
-    // of the talk's segments.
+    // Moves the window to `played` microseconds after the viewer's start: lists new segments at `rung` and
+    // removes old ones. `durations` holds the duration of each segment of the talk, in microseconds.
     void extend(Micros played, int rung, const std::vector<Micros>& durations);
-    // Segments before it are taken to have been seen. What lies behind stays listed until then: a viewer
-    // whose segments come slowly must not lose its place.
-    void fetched(std::uint64_t no) { seen_ = std::max(seen_, no); }
-    // The rung that a segment was listed at, if it was.
+    // Records that segment `no` was requested. Segments before the highest one requested may leave the list;
+    // later ones stay, so that a viewer whose segments arrive slowly does not lose its position.
+    void fetched(std::uint64_t no) { lastFetched_ = std::max(lastFetched_, no); }
+    // Returns the list entry of a segment, or nullptr if it is not listed. Invalidated by extend().
     const Listed* find(std::uint64_t no) const;
-    // With URIs "init-RUNG.mp4" and "NO.m4s", relative to it.
+    // Returns the media playlist of the window, with the relative URIs "init-RUNG.mp4" and "NO.m4s".
     hls::MediaPlaylist playlist(const std::vector<Micros>& durations) const;
+    // The number of listed segments.
     std::size_t size() const { return listed_.size(); }
+    // The number of the first segment that has not been listed yet.
     std::uint64_t next() const { return next_; }
 
   private:
-    PlaylistWindowSettings terms_;
+    PlaylistWindowSettings settings_;
     std::deque<Listed> listed_;
-    std::uint64_t next_ = 0, seen_ = 0;
-    Micros nextAt_ = 0, firstAt_ = 0;  // where in the talk the next and the first listed one begin
+    std::uint64_t next_ = 0, lastFetched_ = 0;
+    Micros nextStart_ = 0, firstStart_ = 0;  // start times within the talk, in microseconds
 };
 
 }  // namespace valekeel::frontends
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -14,8 +14,8 @@
     return Level::Info;
 }
 
-Log::Log(const std::string& path, Level least, int warningsASecond)
-    : least_(least), warningsASecond_(warningsASecond) {
+Log::Log(const std::string& path, Level minLevel, int maxWarningsPerSecond)
+    : minLevel_(minLevel), maxWarningsPerSecond_(maxWarningsPerSecond) {
     spdlog::sink_ptr sink;
     if (path.empty())
         sink = std::make_shared<spdlog::sinks::null_sink_st>();
@@ -32,33 +32,33 @@
 }
 
 bool Log::isEnabled(Level level) const {
-    return level >= least_;
+    return level >= minLevel_;
 }
 
-void Log::write(Level level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields) {
+void Log::write(Level level, Micros now, Micros wall, std::string_view event, nlohmann::ordered_json fields) {
     if (!isEnabled(level)) return;
     if (level == Level::Warning) {
-        auto it = kinds_.find(what);
-        if (it == kinds_.end()) it = kinds_.emplace(std::string(what), Kind{}).first;
-        Kind& kind = it->second;
-        if (now / kSecond != kind.second) {
-            kind.second = now / kSecond;
-            kind.written = 0;
+        auto it = warningCounts_.find(event);
+        if (it == warningCounts_.end()) it = warningCounts_.emplace(std::string(event), WarningCount{}).first;
+        WarningCount& count = it->second;
+        if (now / kSecond != count.second) {
+            count.second = now / kSecond;
+            count.written = 0;
         }
-        if (++kind.written > warningsASecond_) {
-            ++kind.heldBack;
+        if (++count.written > maxWarningsPerSecond_) {
+            ++count.suppressed;
             return;
         }
-        if (kind.heldBack > 0) fields["held_back"] = std::exchange(kind.heldBack, 0);
+        if (count.suppressed > 0) fields["held_back"] = std::exchange(count.suppressed, 0);
     }
     static constexpr const char* kNames[] = {"debug", "info", "warning", "error"};
-    nlohmann::ordered_json all;
-    all["t"] = now;
-    all["wall"] = wall;
-    all["level"] = kNames[static_cast<int>(level)];
-    all["what"] = what;
-    for (auto& [key, value] : fields.items()) all[key] = std::move(value);
-    out_->info(all.dump(-1, ' ', true, nlohmann::json::error_handler_t::replace));
+    nlohmann::ordered_json line;
+    line["t"] = now;
+    line["wall"] = wall;
+    line["level"] = kNames[static_cast<int>(level)];
+    line["what"] = event;
+    for (auto& [key, value] : fields.items()) line[key] = std::move(value);
+    out_->info(line.dump(-1, ' ', true, nlohmann::json::error_handler_t::replace));
 }
 
 void Log::flush() {
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -1,6 +1,6 @@
-// The structured log: one JSON object a line, by spdlog. Callers' bytes are escaped by the JSON writer, and
-// what is no UTF-8 is replaced. Warnings of one kind are written at most so many a second; what was held back
-// is counted in the next one.
+// The structured log: one JSON object per line, written through spdlog. The JSON writer escapes untrusted
+// text and replaces invalid UTF-8. Warnings are rate-limited by event name; the next one written carries the
+// number suppressed.
 #pragma once
 
 #include <cstdint>
@@ -20,28 +20,32 @@
 
 enum class Level { Debug, Info, Warning, Error };
 
+// A log file or stream. Closed and flushed by the destructor.
 class Log {
   public:
-    // `path`: a file that is appended to; "-" for standard output; empty for nowhere.
-    Log(const std::string& path, Level least, int warningsASecond);
+    // `path` is a file to append to, "-" for standard output, or empty to discard all lines. Lines below
+    // `minLevel` are dropped. `maxWarningsPerSecond` applies to each event name.
+    Log(const std::string& path, Level minLevel, int maxWarningsPerSecond);
     ~Log();
     bool isEnabled(Level) const;
-    // `now` on the front's own clock; `wall` since 1970. Both go into the line.
-    void write(Level, Micros now, Micros wall, std::string_view what, nlohmann::ordered_json fields);
+    // Writes one line. `now` is the front's monotonic clock and `wall` the time since 1970, in microseconds;
+    // `event` becomes the field "what". `fields` are appended in their order.
+    void write(Level, Micros now, Micros wall, std::string_view event, nlohmann::ordered_json fields);
     void flush();
 
   private:
     std::shared_ptr<spdlog::logger> out_;
-    Level least_;
-    int warningsASecond_;
-    struct Kind {
+    Level minLevel_;
+    int maxWarningsPerSecond_;
+    struct WarningCount {  // of one event name, within one second of the front's clock
         Micros second = 0;
         int written = 0;
-        std::uint64_t heldBack = 0;
+        std::uint64_t suppressed = 0;
     };
-    std::map<std::string, Kind, std::less<>> kinds_;
+    std::map<std::string, WarningCount, std::less<>> warningCounts_;
 };
 
-Level parseLevel(const std::string& name);  // "debug", "info", "warning", "error"
+// Parses "debug", "info", "warning" or "error"; any other name is taken as "info".
+Level parseLevel(const std::string& name);
 
 }  // namespace valekeel::logging
--- a/src/logging/trace_context.cpp
+++ b/src/logging/trace_context.cpp
@@ -5,14 +5,14 @@
 namespace valekeel::logging {
 namespace {
 
-bool lowerHex(std::string_view text) {
+bool isLowerHex(std::string_view text) {
     return std::all_of(text.begin(), text.end(),
                        [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); });
 }
-bool zero(std::string_view text) {
+bool isZero(std::string_view text) {
     return std::all_of(text.begin(), text.end(), [](char c) { return c == '0'; });
 }
-int digit(char c) {
+int hexDigitValue(char c) {
     return c <= '9' ? c - '0' : c - 'a' + 10;
 }
 
@@ -29,22 +29,23 @@
     if (text.size() < 55 || text[2] != '-' || text[35] != '-' || text[52] != '-') return std::nullopt;
     const auto version = text.substr(0, 2), trace = text.substr(3, 32), parent = text.substr(36, 16),
                flags = text.substr(53, 2);
-    if (!lowerHex(version) || !lowerHex(trace) || !lowerHex(parent) || !lowerHex(flags)) return std::nullopt;
+    if (!isLowerHex(version) || !isLowerHex(trace) || !isLowerHex(parent) || !isLowerHex(flags))
+        return std::nullopt;
     if (version == "ff" || (version == "00" && text.size() != 55)) return std::nullopt;
-    if (text.size() > 55 && text[55] != '-') return std::nullopt;  // a later version may say more
-    if (zero(trace) || zero(parent)) return std::nullopt;
+    if (text.size() > 55 && text[55] != '-') return std::nullopt;  // later versions may append fields
+    if (isZero(trace) || isZero(parent)) return std::nullopt;
     return TraceContext{std::string(trace), std::string(parent),
-                        static_cast<std::uint8_t>(digit(flags[0]) * 16 + digit(flags[1]))};
+                        static_cast<std::uint8_t>(hexDigitValue(flags[0]) * 16 + hexDigitValue(flags[1]))};
 }
 
-std::string write(const TraceContext& c) {
-    return "00-" + c.trace + "-" + c.parent + "-" + toHex(c.flags).substr(14);
+std::string write(const TraceContext& context) {
+    return "00-" + context.trace + "-" + context.parent + "-" + toHex(context.flags).substr(14);
 }
 
-TraceContext newTrace(std::uint64_t a, std::uint64_t b, std::uint64_t c) {
-    if (a == 0 && b == 0) a = 1;
-    if (c == 0) c = 1;
-    return {toHex(a) + toHex(b), toHex(c), 1};
+TraceContext newTrace(std::uint64_t traceHigh, std::uint64_t traceLow, std::uint64_t parent) {
+    if (traceHigh == 0 && traceLow == 0) traceHigh = 1;
+    if (parent == 0) parent = 1;
+    return {toHex(traceHigh) + toHex(traceLow), toHex(parent), 1};
 }
 
 }  // namespace valekeel::logging
--- a/src/settings/document.cpp
+++ b/src/settings/document.cpp
@@ -10,35 +10,35 @@
 namespace valekeel::settings {
 namespace {
 
-std::size_t distance(std::string_view a, std::string_view b) {
+std::size_t editDistance(std::string_view a, std::string_view b) {
     std::vector<std::size_t> row(b.size() + 1);
     for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
     for (std::size_t i = 1; i <= a.size(); ++i) {
-        std::size_t corner = row[0];
+        std::size_t diagonal = row[0];
         row[0] = i;
         for (std::size_t j = 1; j <= b.size(); ++j) {
             const std::size_t above = row[j];
-            row[j] = std::min({above + 1, row[j - 1] + 1, corner + (a[i - 1] == b[j - 1] ? 0 : 1)});
-            corner = above;
+            row[j] = std::min({above + 1, row[j - 1] + 1, diagonal + (a[i - 1] == b[j - 1] ? 0 : 1)});
+            diagonal = above;
         }
     }
     return row[b.size()];
 }
 
-std::string plain(double v) {
+std::string formatNumber(double v) {
     std::ostringstream out;
     out << v;
     return out.str();
 }
 
-std::string kindOf(const Value& v) {
+std::string typeName(const Value& v) {
     if (std::holds_alternative<Null>(v.data)) return "null";
     if (std::holds_alternative<bool>(v.data)) return "true or false";
     if (std::holds_alternative<Number>(v.data)) return "a number";
     return "a string";
 }
 
-std::string shownTime(Micros t) {
+std::string formatDuration(Micros t) {
     if (t % kSecond == 0) return std::to_string(t / kSecond) + "s";
     if (t % 1000 == 0) return std::to_string(t / 1000) + "ms";
     return std::to_string(t) + "us";
@@ -46,25 +46,25 @@
 
 }  // namespace
 
-std::string nearest(std::string_view to, const std::set<std::string, std::less<>>& among) {
+std::string nearest(std::string_view text, const std::set<std::string, std::less<>>& names) {
     std::string best;
-    std::size_t least = 1 + to.size() / 3;
-    for (const std::string& one : among) {
-        const std::size_t d = distance(to, one);
-        if (d <= least && (best.empty() || d < distance(to, best))) best = one;
+    std::size_t maxDistance = 1 + text.size() / 3;
+    for (const std::string& name : names) {
+        const std::size_t d = editDistance(text, name);
+        if (d <= maxDistance && (best.empty() || d < editDistance(text, best))) best = name;
     }
     return best;
 }
 
-std::string suggestionFor(std::string_view to, const std::set<std::string, std::less<>>& among) {
-    const std::string near = nearest(to, among);
-    return near.empty() ? "" : "; did you mean '" + near + "'?";
+std::string suggestionFor(std::string_view text, const std::set<std::string, std::less<>>& names) {
+    const std::string suggestion = nearest(text, names);
+    return suggestion.empty() ? "" : "; did you mean '" + suggestion + "'?";
 }
 
 std::optional<Micros> parseDuration(std::string_view text) {
     double value = 0;
-    const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (bad != std::errc{} || !std::isfinite(value)) return std::nullopt;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc{} || !std::isfinite(value)) return std::nullopt;
     const std::string_view unit(end, static_cast<std::size_t>(text.data() + text.size() - end));
     double factor = 0;
     if (unit == "us") factor = 1;
@@ -85,14 +85,14 @@
 }
 
 void writeFileAtomically(const std::string& path, const std::string& text) {
-    const std::string beside = path + ".new";
+    const std::string temporaryPath = path + ".new";
     {
-        std::ofstream out(beside, std::ios::binary | std::ios::trunc);
+        std::ofstream out(temporaryPath, std::ios::binary | std::ios::trunc);
         out << text;
         out.flush();
-        if (!out) throw std::runtime_error(beside + ": cannot be written");
+        if (!out) throw std::runtime_error(temporaryPath + ": cannot be written");
     }
-    std::filesystem::rename(beside, path);
+    std::filesystem::rename(temporaryPath, path);
 }
 
 std::string readFile(const std::string& path) {
@@ -107,15 +107,15 @@
     return fromText(path, readFile(path));
 }
 
-void Document::fail(SourcePosition at, const std::string& what) const {
-    throw SettingsError(file_, text_, at, what);
+void Document::fail(SourcePosition at, const std::string& message) const {
+    throw SettingsError(file_, text_, at, message);
 }
 
 Node Document::withDefaults(const Node& node) const {
     Node out = node;
     out.children.clear();
     for (const Node& child : node.children) out.children.push_back(withDefaults(child));
-    if (const auto it = taken_->defaults.find(&node); it != taken_->defaults.end())
+    if (const auto it = appliedDefaults_->defaults.find(&node); it != appliedDefaults_->defaults.end())
         out.properties.insert(out.properties.end(), it->second.begin(), it->second.end());
     return out;
 }
@@ -123,7 +123,7 @@
 std::string Document::effectiveText() const {
     std::vector<Node> all;
     for (const Node& node : nodes_) all.push_back(withDefaults(node));
-    for (const Node& node : taken_->absent) all.push_back(withDefaults(node));
+    for (const Node& node : appliedDefaults_->absent) all.push_back(withDefaults(node));
     return printKdl(all);
 }
 
@@ -138,18 +138,18 @@
     return node_ ? node_->name : kTop;
 }
 
-void NodeReader::fail(const std::string& what) const {
-    document_->fail(node_ ? node_->at : SourcePosition{}, what);
+void NodeReader::fail(const std::string& message) const {
+    document_->fail(node_ ? node_->at : SourcePosition{}, message);
 }
-void NodeReader::failProperty(std::string_view property, const std::string& what) const {
+void NodeReader::failProperty(std::string_view property, const std::string& message) const {
     if (node_)
         for (const auto& [name, value] : node_->properties)
-            if (name == property) document_->fail(value.at, what);
-    fail(what);
+            if (name == property) document_->fail(value.at, message);
+    fail(message);
 }
 
 std::vector<NodeReader> NodeReader::childrenNamed(std::string_view name) {
-    askedNodes_.emplace(name);
+    readNodes_.emplace(name);
     std::vector<NodeReader> out;
     for (const Node& child : children())
         if (child.name == name) out.emplace_back(*document_, child);
@@ -159,21 +159,22 @@
 std::unique_ptr<NodeReader> NodeReader::optionalChild(std::string_view name) {
     std::vector<NodeReader> all = childrenNamed(name);
     if (all.empty()) return nullptr;
-    if (all.size() > 1) all[1].fail("'" + std::string(name) + "' stands here a second time; one is expected");
+    if (all.size() > 1)
+        all[1].fail("'" + std::string(name) + "' appears more than once; at most one is allowed");
     return std::make_unique<NodeReader>(std::move(all.front()));
 }
 
 NodeReader NodeReader::childOrDefaults(std::string_view name) {
     if (auto found = optionalChild(name)) return std::move(*found);
-    Node& node = document_->taken_->absent.emplace_back();
+    Node& node = document_->appliedDefaults_->absent.emplace_back();
     node.name = name;
     if (node_) node.at = node_->at;
     return NodeReader(*document_, node);
 }
 
-void NodeReader::defaulted(std::string_view name, decltype(Value::data) data) const {
+void NodeReader::recordDefault(std::string_view name, decltype(Value::data) data) const {
     if (!node_) return;
-    auto& all = document_->taken_->defaults[node_];
+    auto& all = document_->appliedDefaults_->defaults[node_];
     for (const auto& [known, value] : all)
         if (known == name) return;
     all.emplace_back(name, Value{std::nullopt, std::move(data), {}});
@@ -181,13 +182,12 @@
 
 NodeReader NodeReader::requiredChild(std::string_view name) {
     auto found = optionalChild(name);
-    if (!found)
-        fail("in " + this->name() + " a node '" + std::string(name) + "' is expected, and there is none");
+    if (!found) fail("in " + this->name() + ", the node '" + std::string(name) + "' is missing");
     return std::move(*found);
 }
 
 const Value* NodeReader::find(std::string_view name) {
-    askedProperties_.emplace(name);
+    readProperties_.emplace(name);
     if (!node_) return nullptr;
     for (const auto& [key, value] : node_->properties)
         if (key == name) return &value;
@@ -200,159 +200,159 @@
     return false;
 }
 
-const Value& NodeReader::needed(std::string_view name) {
+const Value& NodeReader::required(std::string_view name) {
     const Value* v = find(name);
     if (!v) fail("'" + this->name() + "' needs " + std::string(name) + "=");
     return *v;
 }
 
 std::string NodeReader::text(std::string_view name) {
-    const Value& v = needed(name);
+    const Value& v = required(name);
     const auto* s = std::get_if<std::string>(&v.data);
-    if (!s) document_->fail(v.at, std::string(name) + " is expected to be a string, and is " + kindOf(v));
+    if (!s) document_->fail(v.at, std::string(name) + " must be a string, not " + typeName(v));
     return *s;
 }
-std::string NodeReader::text(std::string_view name, std::string otherwise) {
+std::string NodeReader::text(std::string_view name, std::string defaultValue) {
     if (find(name)) return text(name);
-    defaulted(name, otherwise);
-    return otherwise;
+    recordDefault(name, defaultValue);
+    return defaultValue;
 }
 
-double NodeReader::number(std::string_view name, double least, double most) {
-    const Value& v = needed(name);
+double NodeReader::number(std::string_view name, double min, double max) {
+    const Value& v = required(name);
     const auto* n = std::get_if<Number>(&v.data);
-    if (!n) document_->fail(v.at, std::string(name) + " is expected to be a number, and is " + kindOf(v));
-    if (!(n->value >= least && n->value <= most))
-        document_->fail(v.at,
-                        std::string(name) + " is expected between " + plain(least) + " and " + plain(most));
+    if (!n) document_->fail(v.at, std::string(name) + " must be a number, not " + typeName(v));
+    if (!(n->value >= min && n->value <= max))
+        document_->fail(
+            v.at, std::string(name) + " must be between " + formatNumber(min) + " and " + formatNumber(max));
     return n->value;
 }
-double NodeReader::number(std::string_view name, double least, double most, double otherwise) {
-    if (find(name)) return number(name, least, most);
-    defaulted(name, Number{plain(otherwise), otherwise, {}});
-    return otherwise;
+double NodeReader::number(std::string_view name, double min, double max, double defaultValue) {
+    if (find(name)) return number(name, min, max);
+    recordDefault(name, Number{formatNumber(defaultValue), defaultValue, {}});
+    return defaultValue;
 }
 
-std::int64_t NodeReader::integer(std::string_view name, std::int64_t least, std::int64_t most) {
-    const Value& v = needed(name);
+std::int64_t NodeReader::integer(std::string_view name, std::int64_t min, std::int64_t max) {
+    const Value& v = required(name);
     const auto* n = std::get_if<Number>(&v.data);
-    if (!n || !n->whole) document_->fail(v.at, std::string(name) + " is expected to be a whole number");
-    if (*n->whole < least || *n->whole > most)
-        document_->fail(v.at, std::string(name) + " is expected between " + std::to_string(least) + " and " +
-                                  std::to_string(most));
+    if (!n || !n->whole) document_->fail(v.at, std::string(name) + " must be an integer");
+    if (*n->whole < min || *n->whole > max)
+        document_->fail(v.at, std::string(name) + " must be between " + std::to_string(min) + " and " +
+                                  std::to_string(max));
     return *n->whole;
 }
-std::int64_t NodeReader::integer(std::string_view name, std::int64_t least, std::int64_t most,
-                                 std::int64_t otherwise) {
-    if (find(name)) return integer(name, least, most);
-    defaulted(name, Number{std::to_string(otherwise), static_cast<double>(otherwise), otherwise});
-    return otherwise;
+std::int64_t NodeReader::integer(std::string_view name, std::int64_t min, std::int64_t max,
+                                 std::int64_t defaultValue) {
+    if (find(name)) return integer(name, min, max);
+    recordDefault(name,
+                  Number{std::to_string(defaultValue), static_cast<double>(defaultValue), defaultValue});
+    return defaultValue;
 }
 
-bool NodeReader::flag(std::string_view name, bool otherwise) {
+bool NodeReader::flag(std::string_view name, bool defaultValue) {
     const Value* v = find(name);
     if (!v) {
-        defaulted(name, otherwise);
-        return otherwise;
+        recordDefault(name, defaultValue);
+        return defaultValue;
     }
     const bool* b = std::get_if<bool>(&v->data);
-    if (!b) document_->fail(v->at, std::string(name) + " is expected to be #true or #false");
+    if (!b) document_->fail(v->at, std::string(name) + " must be #true or #false");
     return *b;
 }
 
-Micros NodeReader::duration(std::string_view name, Micros least, Micros most) {
-    const Value& v = needed(name);
+Micros NodeReader::duration(std::string_view name, Micros min, Micros max) {
+    const Value& v = required(name);
     const auto* s = std::get_if<std::string>(&v.data);
     const auto t = s ? parseDuration(*s) : std::nullopt;
     if (!t)
-        document_->fail(
-            v.at,
-            std::string(name) + " is expected to be a time with its unit, as \"250ms\", \"2s\" or \"5min\"");
-    if (*t < least || *t > most)
-        document_->fail(
-            v.at, std::string(name) + " is expected between " + shownTime(least) + " and " + shownTime(most));
+        document_->fail(v.at, std::string(name) +
+                                  " must be a duration with a unit, such as \"250ms\", \"2s\" or \"5min\"");
+    if (*t < min || *t > max)
+        document_->fail(v.at, std::string(name) + " must be between " + formatDuration(min) + " and " +
+                                  formatDuration(max));
     return *t;
 }
-Micros NodeReader::duration(std::string_view name, Micros least, Micros most, Micros otherwise) {
-    if (find(name)) return duration(name, least, most);
-    defaulted(name, shownTime(otherwise));
-    return otherwise;
+Micros NodeReader::duration(std::string_view name, Micros min, Micros max, Micros defaultValue) {
+    if (find(name)) return duration(name, min, max);
+    recordDefault(name, formatDuration(defaultValue));
+    return defaultValue;
 }
 
 net::Endpoint NodeReader::address(std::string_view name) {
-    const Value& v = needed(name);
+    const Value& v = required(name);
     const auto* s = std::get_if<std::string>(&v.data);
     const auto at = s ? net::parseEndpoint(*s) : std::nullopt;
     if (!at)
         document_->fail(
-            v.at, std::string(name) +
-                      " is expected to be an address and port, as \"127.0.0.1:8080\" or \"[::1]:8080\"");
+            v.at,
+            std::string(name) + " must be an address and port, such as \"127.0.0.1:8080\" or \"[::1]:8080\"");
     return *at;
 }
 
-std::string NodeReader::choice(std::string_view name, const std::vector<std::string>& among,
-                               const std::string& otherwise) {
+std::string NodeReader::choice(std::string_view name, const std::vector<std::string>& choices,
+                               const std::string& defaultValue) {
     const Value* v = find(name);
     if (!v) {
-        defaulted(name, otherwise);
-        return otherwise;
+        recordDefault(name, defaultValue);
+        return defaultValue;
     }
-    const std::string is = text(name);
-    if (std::find(among.begin(), among.end(), is) != among.end()) return is;
+    const std::string chosen = text(name);
+    if (std::find(choices.begin(), choices.end(), chosen) != choices.end()) return chosen;
     std::string all;
-    for (const std::string& one : among) all += (all.empty() ? "" : ", ") + one;
-    document_->fail(v->at, std::string(name) + " is expected to be one of " + all);
+    for (const std::string& choice : choices) all += (all.empty() ? "" : ", ") + choice;
+    document_->fail(v->at, std::string(name) + " must be one of " + all);
 }
 
-std::uint32_t NodeReader::indexOf(std::string_view property, const std::vector<std::string>& among,
-                                  const std::string& otherwise, const std::string& title,
+std::uint32_t NodeReader::indexOf(std::string_view property, const std::vector<std::string>& names,
+                                  const std::string& defaultValue, const std::string& title,
                                   const std::string& where) {
-    const std::string name = text(property, otherwise);
-    const auto place = std::find(among.begin(), among.end(), name);
-    if (place != among.end()) return static_cast<std::uint32_t>(place - among.begin());
-    if (name.empty() && otherwise.empty()) return 0;
+    const std::string name = text(property, defaultValue);
+    const auto found = std::find(names.begin(), names.end(), name);
+    if (found != names.end()) return static_cast<std::uint32_t>(found - names.begin());
+    if (name.empty() && defaultValue.empty()) return 0;
     failProperty(property, title + " '" + name + "' is not " + where +
-                               suggestionFor(name, {among.begin(), among.end()}));
+                               suggestionFor(name, {names.begin(), names.end()}));
 }
 
 std::string NodeReader::argument(std::string_view what) {
-    askedArguments_ = true;
+    readArguments_ = true;
     if (!node_ || node_->arguments.size() != 1)
-        fail("'" + name() + "' is followed by one value: " + std::string(what));
+        fail("'" + name() + "' takes exactly one argument: " + std::string(what));
     const auto* s = std::get_if<std::string>(&node_->arguments[0].data);
-    if (!s) document_->fail(node_->arguments[0].at, std::string(what) + " is expected to be a string");
+    if (!s) document_->fail(node_->arguments[0].at, std::string(what) + " must be a string");
     return *s;
 }
 
-std::vector<double> NodeReader::numbers(std::string_view what, double least, double most) {
-    askedArguments_ = true;
+std::vector<double> NodeReader::numbers(std::string_view what, double min, double max) {
+    readArguments_ = true;
     std::vector<double> out;
     if (!node_ || node_->arguments.empty())
-        fail("'" + name() + "' is followed by numbers: " + std::string(what));
+        fail("'" + name() + "' takes numbers as arguments: " + std::string(what));
     for (const Value& v : node_->arguments) {
         const auto* n = std::get_if<Number>(&v.data);
-        if (!n || !(n->value >= least && n->value <= most))
-            document_->fail(v.at, std::string(what) + " are expected to be numbers between " + plain(least) +
-                                      " and " + plain(most));
+        if (!n || !(n->value >= min && n->value <= max))
+            document_->fail(v.at, std::string(what) + " must be numbers between " + formatNumber(min) +
+                                      " and " + formatNumber(max));
         out.push_back(n->value);
     }
     return out;
 }
 
 std::vector<std::string> NodeReader::texts(std::string_view what) {
-    askedArguments_ = true;
+    readArguments_ = true;
     std::vector<std::string> out;
     if (!node_) return out;
     for (const Value& v : node_->arguments) {
         const auto* s = std::get_if<std::string>(&v.data);
-        if (!s) document_->fail(v.at, std::string(what) + " are expected to be strings");
+        if (!s) document_->fail(v.at, std::string(what) + " must be strings");
         out.push_back(*s);
     }
     return out;
 }
 
 std::vector<std::string> NodeReader::argumentsAsText() {
-    askedArguments_ = true;
+    readArguments_ = true;
     std::vector<std::string> out;
     if (!node_) return out;
     for (const Value& v : node_->arguments) {
@@ -364,16 +364,17 @@
 
 void NodeReader::rejectUnread() {
     for (const Node& child : children())
-        if (!askedNodes_.count(child.name))
-            document_->fail(child.at, "a node '" + child.name + "' is not known in " + name() +
-                                          suggestionFor(child.name, askedNodes_));
+        if (!readNodes_.count(child.name))
+            document_->fail(child.at, "unknown node '" + child.name + "' in " + name() +
+                                          suggestionFor(child.name, readNodes_));
     if (!node_) return;
     for (const auto& [key, value] : node_->properties)
-        if (!askedProperties_.count(key))
-            document_->fail(
-                value.at, "'" + name() + "' knows no '" + key + "='" + suggestionFor(key, askedProperties_));
-    if (!askedArguments_ && !node_->arguments.empty())
-        document_->fail(node_->arguments[0].at, "'" + name() + "' takes no value here, only name=value");
+        if (!readProperties_.count(key))
+            document_->fail(value.at, "'" + name() + "' has no property '" + key + "='" +
+                                          suggestionFor(key, readProperties_));
+    if (!readArguments_ && !node_->arguments.empty())
+        document_->fail(node_->arguments[0].at,
+                        "'" + name() + "' takes no arguments, only properties (name=value)");
 }
 
 }  // namespace valekeel::settings
--- a/src/settings/document.hpp
+++ b/src/settings/document.hpp
@@ -1,5 +1,6 @@
-// Checked reading of a KDL document: each part of the program reads its own few nodes through a Cursor, which
-// knows what was asked for. What nobody asked for is refused, with the nearest known name.
+// Validated reading of a KDL document. Each component reads its own nodes through a NodeReader, which records
+// the names that were read; nodes and properties that nobody read are rejected, with the nearest known name
+// as a suggestion.
 #pragma once
 
 #include <deque>
@@ -17,99 +18,109 @@
 
 namespace valekeel::settings {
 
-// All that a file holds. Throws std::runtime_error, naming it.
+// Returns the content of a file. Throws std::runtime_error with the path.
 std::string readFile(const std::string& path);
-// Written beside, then renamed: a reader finds the old one or the new one, whole. Throws std::runtime_error.
+// Writes to PATH.new and renames it, so that readers see either the old or the new content, complete. Throws
+// std::runtime_error.
 void writeFileAtomically(const std::string& path, const std::string& text);
 
-// A whole file, kept for its lines in errors.
+// A parsed settings text, with its source for error messages. NodeReaders point into it: it must outlive
+// them.
 class Document {
   public:
-    static Document fromText(std::string file, std::string text);  // throws Wrong
-    static Document fromFile(const std::string& path);  // also std::runtime_error if it can't be read
+    static Document fromText(std::string file, std::string text);  // throws SettingsError
+    static Document fromFile(const std::string& path);             // also std::runtime_error
     const std::vector<Node>& nodes() const { return nodes_; }
     const std::string& file() const { return file_; }
-    [[noreturn]] void fail(SourcePosition, const std::string& what) const;
-    // What is in force once all of it was read: what stands there, and each default that was taken beside it.
+    // Throws SettingsError at a position.
+    [[noreturn]] void fail(SourcePosition, const std::string& message) const;
+    // Returns the document with all defaults that readers have applied so far.
     std::string effectiveText() const;
 
   private:
     friend class NodeReader;
-    struct Taken {                // by reading, which is const for all else
-        std::deque<Node> absent;  // nodes that were read and do not stand there
+    struct AppliedDefaults {      // recorded by readers, which see the document as const
+        std::deque<Node> absent;  // nodes that were read but are not in the text
         std::map<const Node*, std::vector<std::pair<std::string, Value>>> defaults;
     };
     Node withDefaults(const Node&) const;
-    std::shared_ptr<Taken> taken_ = std::make_shared<Taken>();
+    std::shared_ptr<AppliedDefaults> appliedDefaults_ = std::make_shared<AppliedDefaults>();
     std::string file_, text_;
     std::vector<Node> nodes_;
 };
 
-// One node, or the top of the document. `finish()` refuses what was not asked for; it is called for children
-// by whoever reads them.
+// Reads one node, or the top level of the document. Values that are missing, of the wrong type or out of
+// range throw SettingsError at their position. After reading, call rejectUnread() on each reader.
 class NodeReader {
   public:
     explicit NodeReader(const Document&);
     NodeReader(const Document&, const Node&);
 
-    // Children by name. one(): none or one; a second is refused.
+    // Children by name. optionalChild() returns nullptr if there is none and rejects a second one.
     std::unique_ptr<NodeReader> optionalChild(std::string_view name);
-    // The same of one that may be left out: then all of it is read as its defaults.
+    // Returns the child, or an empty one whose properties all read as their defaults.
     NodeReader childOrDefaults(std::string_view name);
+    // Returns the only child of that name; rejects a missing or second one.
     NodeReader requiredChild(std::string_view name);
     std::vector<NodeReader> childrenNamed(std::string_view name);
 
-    // Properties of this node. The first form refuses if it is missing.
+    // Properties of this node. The form without a default rejects a missing property; limits are inclusive.
     std::string text(std::string_view name);
-    std::string text(std::string_view name, std::string otherwise);
-    double number(std::string_view name, double least, double most);
-    double number(std::string_view name, double least, double most, double otherwise);
-    std::int64_t integer(std::string_view name, std::int64_t least, std::int64_t most);
-    std::int64_t integer(std::string_view name, std::int64_t least, std::int64_t most,
-                         std::int64_t otherwise);
-    bool flag(std::string_view name, bool otherwise);
-    // A time, written as a string with its unit: "250ms", "2s", "5min"; whole microseconds.
-    Micros duration(std::string_view name, Micros least, Micros most);
-    Micros duration(std::string_view name, Micros least, Micros most, Micros otherwise);
+    std::string text(std::string_view name, std::string defaultValue);
+    double number(std::string_view name, double min, double max);
+    double number(std::string_view name, double min, double max, double defaultValue);
+    std::int64_t integer(std::string_view name, std::int64_t min, std::int64_t max);
+    std::int64_t integer(std::string_view name, std::int64_t min, std::int64_t max,
+                         std::int64_t defaultValue);
+    bool flag(std::string_view name, bool defaultValue);
+    // A duration, written as a string with its unit: "250ms", "2s", "5min". In microseconds.
+    Micros duration(std::string_view name, Micros min, Micros max);
+    Micros duration(std::string_view name, Micros min, Micros max, Micros defaultValue);
+    // An address and port, written as "127.0.0.1:8080" or "[::1]:8080".
     net::Endpoint address(std::string_view name);
+    // Whether the property is present; does not count as reading it.
     bool has(std::string_view property) const;
-    std::string choice(std::string_view name, const std::vector<std::string>& among,
-                       const std::string& otherwise);
-    // The place of a name among others that the settings give. `title` and `where` are for the complaint: "a
-    // zone", "in the settings". The name may be left out; with no `otherwise` the place is then the first.
-    std::uint32_t indexOf(std::string_view property, const std::vector<std::string>& among,
-                          const std::string& otherwise, const std::string& title, const std::string& where);
+    // One of the given strings.
+    std::string choice(std::string_view name, const std::vector<std::string>& choices,
+                       const std::string& defaultValue);
+    // Returns the index of the property's value in `names`. If the property is missing and `defaultValue` is
+    // empty, returns 0. `title` and `where` complete the error message: "a zone", "among those of 'fleet'".
+    std::uint32_t indexOf(std::string_view property, const std::vector<std::string>& names,
+                          const std::string& defaultValue, const std::string& title,
+                          const std::string& where);
 
-    // Arguments of this node.
+    // Arguments of this node. `what` names them in error messages. argument() takes exactly one string.
     std::string argument(std::string_view what);
-    std::vector<double> numbers(std::string_view what, double least, double most);
+    std::vector<double> numbers(std::string_view what, double min, double max);
     std::vector<std::string> texts(std::string_view what);
-    std::vector<std::string>
-    argumentsAsText();  // of any kind: strings as they are, others as they are written
+    std::vector<std::string> argumentsAsText();  // of any type: strings unquoted, others as written
 
+    // Throws if the node has a child, property or argument that was not read. Does not descend into children.
     void rejectUnread();
-    [[noreturn]] void fail(const std::string& what) const;
-    [[noreturn]] void failProperty(std::string_view property, const std::string& what) const;
-    const Node* node() const { return node_; }
+    // Throw SettingsError at the node or at one of its properties.
+    [[noreturn]] void fail(const std::string& message) const;
+    [[noreturn]] void failProperty(std::string_view property, const std::string& message) const;
+    const Node* node() const { return node_; }  // nullptr at the top level
     const std::string& name() const;
 
   private:
-    void defaulted(std::string_view name, decltype(Value::data)) const;
+    void recordDefault(std::string_view name, decltype(Value::data)) const;
     const Value* find(std::string_view name);
-    const Value& needed(std::string_view name);
+    const Value& required(std::string_view name);
     const std::vector<Node>& children() const;
     const Document* document_;
     const Node* node_ = nullptr;
-    std::set<std::string, std::less<>> askedNodes_, askedProperties_;
-    bool askedArguments_ = false;
+    std::set<std::string, std::less<>> readNodes_, readProperties_;
+    bool readArguments_ = false;
 };
 
-// The nearest of some names, if it is near enough to be meant.
-std::string nearest(std::string_view to, const std::set<std::string, std::less<>>& among);
-// The same for the end of a complaint: "; did you mean 'NAME'?", or nothing.
-std::string suggestionFor(std::string_view to, const std::set<std::string, std::less<>>& among);
+// Returns the name closest to `text` by edit distance, or "" if none is within a third of its length plus 1.
+std::string nearest(std::string_view text, const std::set<std::string, std::less<>>& names);
+// Returns "; did you mean 'NAME'?" with the nearest name, or "".
+std::string suggestionFor(std::string_view text, const std::set<std::string, std::less<>>& names);
 
-// "1500us", "20ms", "2s", "1.5min", "1h". Nothing if it is none.
+// Parses a duration such as "1500us", "20ms", "2s", "1.5min" or "1h", in microseconds. Empty if it is
+// malformed.
 std::optional<Micros> parseDuration(std::string_view text);
 
 }  // namespace valekeel::settings
--- a/src/settings/kdl.cpp
+++ b/src/settings/kdl.cpp
@@ -11,24 +11,25 @@
 using Rune = char32_t;
 constexpr Rune kEnd = 0xffffffff;
 
-bool newlineRune(Rune c) {
+bool isNewline(Rune c) {
     return c == 0x0d || c == 0x0a || c == 0x85 || c == 0x0b || c == 0x0c || c == 0x2028 || c == 0x2029;
 }
-bool spaceRune(Rune c) {
+bool isSpace(Rune c) {
     return c == 0x09 || c == 0x20 || c == 0xa0 || c == 0x1680 || (c >= 0x2000 && c <= 0x200a) ||
            c == 0x202f || c == 0x205f || c == 0x3000;
 }
-// Section 3.19: control characters, surrogates, direction marks and a byte order mark inside the text.
-bool bannedRune(Rune c) {
+// Code points that KDL disallows as literals (section 3.19): control characters, surrogates, direction marks
+// and a byte order mark inside the text.
+bool isDisallowed(Rune c) {
     return c <= 0x08 || (c >= 0x0e && c <= 0x1f) || c == 0x7f || (c >= 0xd800 && c <= 0xdfff) ||
            (c >= 0x200e && c <= 0x200f) || (c >= 0x202a && c <= 0x202e) || (c >= 0x2066 && c <= 0x2069) ||
            c == 0xfeff || c > 0x10ffff;
 }
-bool identifierRune(Rune c) {
-    if (c == kEnd || spaceRune(c) || newlineRune(c) || bannedRune(c)) return false;
+bool isIdentifierRune(Rune c) {
+    if (c == kEnd || isSpace(c) || isNewline(c) || isDisallowed(c)) return false;
     return c > 127 || std::string_view("\\/(){};[]\"#=").find(static_cast<char>(c)) == std::string_view::npos;
 }
-bool digitRune(Rune c) {
+bool isDigit(Rune c) {
     return c >= '0' && c <= '9';
 }
 
@@ -50,7 +51,8 @@
     }
 }
 
-// One code point; kEnd with length 0 at the end, with length 1 where the bytes are no UTF-8.
+// A code point and its length in bytes. kEnd with length 0 at the end of the text, with length 1 for invalid
+// UTF-8.
 struct Decoded {
     Rune rune = kEnd;
     std::size_t length = 0;
@@ -58,32 +60,33 @@
 Decoded decode(std::string_view s) {
     if (s.empty()) return {};
     const auto b = [&](std::size_t i) { return static_cast<unsigned char>(s[i]); };
-    const auto tail = [&](std::size_t i) { return i < s.size() && (b(i) & 0xc0) == 0x80; };
+    const auto isContinuation = [&](std::size_t i) { return i < s.size() && (b(i) & 0xc0) == 0x80; };
     if (b(0) < 0x80) return {b(0), 1};
-    if (b(0) >= 0xc2 && b(0) <= 0xdf && tail(1)) return {Rune((b(0) & 0x1f) << 6 | (b(1) & 0x3f)), 2};
-    if ((b(0) & 0xf0) == 0xe0 && tail(1) && tail(2)) {
+    if (b(0) >= 0xc2 && b(0) <= 0xdf && isContinuation(1))
+        return {Rune((b(0) & 0x1f) << 6 | (b(1) & 0x3f)), 2};
+    if ((b(0) & 0xf0) == 0xe0 && isContinuation(1) && isContinuation(2)) {
         const Rune c = Rune((b(0) & 0x0f) << 12 | (b(1) & 0x3f) << 6 | (b(2) & 0x3f));
         if (c >= 0x800) return {c, 3};
     }
-    if (b(0) >= 0xf0 && b(0) <= 0xf4 && tail(1) && tail(2) && tail(3)) {
+    if (b(0) >= 0xf0 && b(0) <= 0xf4 && isContinuation(1) && isContinuation(2) && isContinuation(3)) {
         const Rune c = Rune((b(0) & 0x07) << 18 | (b(1) & 0x3f) << 12 | (b(2) & 0x3f) << 6 | (b(3) & 0x3f));
         if (c >= 0x10000 && c <= 0x10ffff) return {c, 4};
     }
     return {kEnd, 1};
 }
 
-class Reader {
+class Parser {
   public:
-    Reader(const std::string& file, std::string_view text, const KdlLimits& limits)
+    Parser(const std::string& file, std::string_view text, const KdlLimits& limits)
         : file_(file), text_(text), limits_(limits) {}
 
-    std::vector<Node> document() {
+    std::vector<Node> parseDocument() {
         if (text_.size() > limits_.bytes)
-            wrong("the text is larger than " + std::to_string(limits_.bytes) + " bytes");
-        if (peek() == 0xfeff) step();
-        versionMarker();
-        std::vector<Node> out = nodes(0);
-        if (peek() != kEnd || !atEnd()) wrong("a node was expected here, not " + shown());
+            fail("the text exceeds " + std::to_string(limits_.bytes) + " bytes");
+        if (peek() == 0xfeff) advance();
+        skipVersionMarker();
+        std::vector<Node> out = parseNodes(0);
+        if (peek() != kEnd || !atEnd()) fail("expected a node, found " + describeNext());
         return out;
     }
 
@@ -93,46 +96,46 @@
     Rune peek() {
         if (atEnd()) return kEnd;
         const Decoded d = decode(text_.substr(pos_));
-        if (d.rune == kEnd) wrong("these bytes are not UTF-8");
+        if (d.rune == kEnd) fail("invalid UTF-8");
         return d.rune;
     }
-    Rune peek(std::size_t ahead) const {  // of plain characters only
+    Rune peek(std::size_t ahead) const {  // in bytes; meaningful for ASCII only
         return pos_ + ahead < text_.size() ? static_cast<unsigned char>(text_[pos_ + ahead]) : kEnd;
     }
-    bool sees(std::string_view what) const { return text_.substr(pos_, what.size()) == what; }
-    void step() {
+    bool startsWith(std::string_view what) const { return text_.substr(pos_, what.size()) == what; }
+    void advance() {
         const Decoded d = decode(text_.substr(pos_));
-        if (d.rune == kEnd) wrong("these bytes are not UTF-8");
-        if (bannedRune(d.rune) && !(d.rune == 0xfeff && pos_ == 0))
-            wrong("a character that KDL does not allow as it is (write it as \\u{...})");
+        if (d.rune == kEnd) fail("invalid UTF-8");
+        if (isDisallowed(d.rune) && !(d.rune == 0xfeff && pos_ == 0))
+            fail("this character must be escaped, as \\u{...}");
         pos_ += d.length;
         if (d.rune == 0x0d && pos_ < text_.size() && text_[pos_] == '\n') ++pos_;  // CRLF is one newline
-        if (newlineRune(d.rune)) {
-            ++place_.line;
-            place_.column = 1;
+        if (isNewline(d.rune)) {
+            ++position_.line;
+            position_.column = 1;
         } else {
-            ++place_.column;
+            ++position_.column;
         }
     }
-    void step(std::size_t count) {
-        for (std::size_t i = 0; i < count; ++i) step();
+    void advance(std::size_t count) {
+        for (std::size_t i = 0; i < count; ++i) advance();
     }
-    [[noreturn]] void wrong(const std::string& what) { throw SettingsError(file_, text_, place_, what); }
-    [[noreturn]] void wrongAt(SourcePosition at, const std::string& what) {
+    [[noreturn]] void fail(const std::string& what) { throw SettingsError(file_, text_, position_, what); }
+    [[noreturn]] void failAt(SourcePosition at, const std::string& what) {
         throw SettingsError(file_, text_, at, what);
     }
-    std::string shown() {
+    std::string describeNext() {
         const Rune c = peek();
         if (c == kEnd) return "the end of the text";
-        if (newlineRune(c)) return "the end of the line";
+        if (isNewline(c)) return "the end of the line";
         std::string out = "'";
         appendRune(out, c);
         return out + "'";
     }
 
-    // ---- space and comments ----
-    void versionMarker() {
-        if (!sees("/-")) return;
+    // ---- white space and comments ----
+    void skipVersionMarker() {
+        if (!startsWith("/-")) return;
         std::size_t i = pos_ + 2;
         while (i < text_.size() && (text_[i] == ' ' || text_[i] == '\t')) ++i;
         constexpr std::string_view kWord = "kdl-version";
@@ -145,72 +148,72 @@
         if (version != '1' && version != '2') return;
         if (i + 1 < text_.size() && text_[i + 1] != '\n' && text_[i + 1] != '\r' && text_[i + 1] != ' ')
             return;
-        if (version == '1') wrong("this text says it is KDL 1; KDL 2 is read here");
-        while (pos_ <= i) step();
+        if (version == '1') fail("the version marker says KDL 1; only KDL 2 is supported");
+        while (pos_ <= i) advance();
     }
-    void blockComment(int depth) {
-        const SourcePosition began = place_;
-        if (depth > limits_.depth) wrong("comments are nested too deeply");
-        step(2);
+    void skipBlockComment(int depth) {
+        const SourcePosition start = position_;
+        if (depth > limits_.depth) fail("comments are nested too deeply");
+        advance(2);
         for (;;) {
-            if (atEnd()) wrongAt(began, "this comment is never closed by */");
-            if (sees("*/")) {
-                step(2);
+            if (atEnd()) failAt(start, "unterminated comment: */ is missing");
+            if (startsWith("*/")) {
+                advance(2);
                 return;
             }
-            if (sees("/*"))
-                blockComment(depth + 1);
+            if (startsWith("/*"))
+                skipBlockComment(depth + 1);
             else
-                step();
+                advance();
         }
     }
-    void lineComment() {
-        while (!atEnd() && !newlineRune(peek())) step();
-        if (!atEnd()) step();
+    void skipLineComment() {
+        while (!atEnd() && !isNewline(peek())) advance();
+        if (!atEnd()) advance();
     }
-    // Spaces and comments within a line; true if there was any.
-    bool space() {
+    // Skips spaces and comments within a line; returns true if there were any.
+    bool skipSpace() {
         bool any = false;
         for (;;) {
-            if (!atEnd() && spaceRune(peek()))
-                step();
-            else if (sees("/*"))
-                blockComment(0);
+            if (!atEnd() && isSpace(peek()))
+                advance();
+            else if (startsWith("/*"))
+                skipBlockComment(0);
             else
                 return any;
             any = true;
         }
     }
-    // Space within a node, which may go over lines behind a backslash.
-    bool nodeSpace() {
-        bool any = space();
+    // Skips space within a node, including line continuations by a backslash.
+    bool skipNodeSpace() {
+        bool any = skipSpace();
         while (peek() == '\\') {
-            step();
-            space();
-            if (sees("//")) {
-                lineComment();
+            advance();
+            skipSpace();
+            if (startsWith("//")) {
+                skipLineComment();
             } else if (atEnd()) {
                 return true;
-            } else if (newlineRune(peek())) {
-                step();
+            } else if (isNewline(peek())) {
+                advance();
             } else {
-                wrong("after a backslash only a comment and the end of the line may stand, not " + shown());
+                fail("only a comment or the end of the line may follow a backslash, not " + describeNext());
             }
             any = true;
-            space();
+            skipSpace();
         }
         return any;
     }
-    bool lineSpace() {
+    bool skipLineSpace() {
         bool any = false;
         for (;;) {
-            if (nodeSpace()) {
+            if (skipNodeSpace()) {
                 any = true;
-            } else if (!atEnd() && newlineRune(peek())) {
-                step();
+            } else if (!atEnd() && isNewline(peek())) {
+                advance();
                 any = true;
-            } else if (sees("//")) {
-                lineComment();
+            } else if (startsWith("//")) {
+                skipLineComment();
                 any = true;
             } else {
                 return any;
@@ -219,61 +222,61 @@
     }
 
     // ---- nodes ----
-    std::vector<Node> nodes(int depth) {
+    std::vector<Node> parseNodes(int depth) {
         std::vector<Node> out;
         for (;;) {
-            lineSpace();
+            skipLineSpace();
             if (atEnd() || peek() == '}') return out;
-            if (peek() == ';') wrong("a node was expected here, not ';'");
-            bool dropped = false;
-            if (sees("/-")) {
-                step(2);
-                lineSpace();
-                dropped = true;
-                if (atEnd() || peek() == '}') wrong("after /- a node was expected, not " + shown());
+            if (peek() == ';') fail("expected a node, found ';'");
+            bool isSlashdashed = false;
+            if (startsWith("/-")) {
+                advance(2);
+                skipLineSpace();
+                isSlashdashed = true;
+                if (atEnd() || peek() == '}') fail("expected a node after /-, found " + describeNext());
             }
-            Node one = node(depth);
-            if (!dropped) out.push_back(std::move(one));
+            Node child = parseNode(depth);
+            if (!isSlashdashed) out.push_back(std::move(child));
         }
     }
 
-    Node node(int depth) {
-        if (depth > limits_.depth) wrong("nodes are nested too deeply");
+    Node parseNode(int depth) {
+        if (depth > limits_.depth) fail("nodes are nested too deeply");
         Node out;
-        out.at = place_;
-        out.type = typeMark();
-        out.at = place_;
-        if (!stringAhead()) wrong("a node's name was expected here, not " + shown());
-        out.name = string();
+        out.at = position_;
+        out.type = parseType();
+        out.at = position_;
+        if (!atString()) fail("expected the name of a node, found " + describeNext());
+        out.name = parseString();
         bool childrenSeen = false, ended = false;
         while (!ended) {
-            const bool spaced = nodeSpace();
+            const bool hasSpace = skipNodeSpace();
             if (atEnd()) break;
             const Rune c = peek();
-            if (newlineRune(c) || c == ';') {
-                step();
+            if (isNewline(c) || c == ';') {
+                advance();
                 break;
             }
-            if (sees("//")) {
-                lineComment();
+            if (startsWith("//")) {
+                skipLineComment();
                 break;
             }
-            if (c == '}') break;  // the end of the parent's children ends this node too
-            bool dropped = false;
-            if (sees("/-")) {
-                step(2);
-                lineSpace();
-                dropped = true;
-                if (atEnd()) wrong("after /- something to drop was expected");
+            if (c == '}') break;  // the end of the parent's block also ends this node
+            bool isSlashdashed = false;
+            if (startsWith("/-")) {
+                advance(2);
+                skipLineSpace();
+                isSlashdashed = true;
+                if (atEnd()) fail("expected a value or a block after /-");
             }
             if (peek() == '{') {
-                if (childrenSeen && !dropped) wrong("a node has one block of children");
-                const SourcePosition began = place_;
-                step();
-                std::vector<Node> children = nodes(depth + 1);
-                if (peek() != '}') wrongAt(began, "this block of children is never closed by }");
-                step();
-                if (!dropped) {
+                if (childrenSeen && !isSlashdashed) fail("a node can have only one block of children");
+                const SourcePosition start = position_;
+                advance();
+                std::vector<Node> children = parseNodes(depth + 1);
+                if (peek() != '}') failAt(start, "unterminated block of children: } is missing");
+                advance();
+                if (!isSlashdashed) {
                     out.children = std::move(children);
                     out.braces = true;
                     childrenSeen = true;
@@ -281,25 +284,25 @@
                 continue;
             }
             if (childrenSeen)
-                wrong("nothing but the node's end may stand after its children, not " + shown());
-            if (!spaced && !dropped) wrong("a space was expected before " + shown());
-            entry(out, dropped);
+                fail("expected the end of the node after its children, found " + describeNext());
+            if (!hasSpace && !isSlashdashed) fail("expected a space before " + describeNext());
+            parseEntry(out, isSlashdashed);
         }
         return out;
     }
 
-    void entry(Node& out, bool dropped) {
-        const SourcePosition at = place_;
-        if (peek() != '(' && stringAhead()) {
-            std::string word = string();
-            // Space may stand around the equals sign of a property.
-            const auto mark = save();
-            nodeSpace();
+    void parseEntry(Node& out, bool isSlashdashed) {
+        const SourcePosition at = position_;
+        if (peek() != '(' && atString()) {
+            std::string word = parseString();
+            // The equals sign of a property may be surrounded by space.
+            const auto saved = save();
+            skipNodeSpace();
             if (peek() == '=') {
-                step();
-                nodeSpace();
-                Value v = value();
-                if (dropped) return;
+                advance();
+                skipNodeSpace();
+                Value v = parseValue();
+                if (isSlashdashed) return;
                 for (auto& [name, old] : out.properties) {
                     if (name == word) {
                         old = std::move(v);
@@ -309,54 +312,54 @@
                 out.properties.emplace_back(std::move(word), std::move(v));
                 return;
             }
-            restore(mark);
-            if (!dropped) out.arguments.push_back(Value{std::nullopt, std::move(word), at});
+            restore(saved);
+            if (!isSlashdashed) out.arguments.push_back(Value{std::nullopt, std::move(word), at});
             return;
         }
-        Value v = value();
-        if (!dropped) out.arguments.push_back(std::move(v));
+        Value v = parseValue();
+        if (!isSlashdashed) out.arguments.push_back(std::move(v));
     }
 
-    std::optional<std::string> typeMark() {
+    std::optional<std::string> parseType() {
         if (peek() != '(') return std::nullopt;
-        step();
-        nodeSpace();
-        if (!stringAhead()) wrong("a type's name was expected here, not " + shown());
-        std::string name = string();
-        nodeSpace();
-        if (peek() != ')') wrong("a type ends with ), not " + shown());
-        step();
-        nodeSpace();
+        advance();
+        skipNodeSpace();
+        if (!atString()) fail("expected the name of a type, found " + describeNext());
+        std::string name = parseString();
+        skipNodeSpace();
+        if (peek() != ')') fail("expected ) after the type, found " + describeNext());
+        advance();
+        skipNodeSpace();
         return name;
     }
 
-    Value value() {
+    Value parseValue() {
         Value out;
-        out.at = place_;
-        out.type = typeMark();
-        out.at = place_;
+        out.at = position_;
+        out.type = parseType();
+        out.at = position_;
         const Rune c = peek();
         if (c == '#' && !(peek(1) == '"' || peek(1) == '#')) {
-            keyword(out);
-        } else if (numberAhead()) {
-            number(out);
-        } else if (stringAhead()) {
-            out.data = string();
+            parseKeyword(out);
+        } else if (atNumber()) {
+            parseNumber(out);
+        } else if (atString()) {
+            out.data = parseString();
         } else {
-            wrong("a value was expected here, not " + shown());
+            fail("expected a value, found " + describeNext());
         }
         return out;
     }
 
-    void keyword(Value& out) {
-        const SourcePosition at = place_;
+    void parseKeyword(Value& out) {
+        const SourcePosition at = position_;
         std::size_t end = pos_ + 1;
         while (end < text_.size() &&
                (std::isalpha(static_cast<unsigned char>(text_[end])) || text_[end] == '-'))
             ++end;
         const std::string_view word = text_.substr(pos_, end - pos_);
-        step(word.size());
-        if (!atEnd() && identifierRune(peek())) wrongAt(at, "this is no keyword of KDL");
+        advance(word.size());
+        if (!atEnd() && isIdentifierRune(peek())) failAt(at, "unknown keyword");
         if (word == "#true")
             out.data = true;
         else if (word == "#false")
@@ -370,31 +373,31 @@
         else if (word == "#nan")
             out.data = Number{"#nan", std::numeric_limits<double>::quiet_NaN(), {}};
         else
-            wrongAt(at, "this is no keyword of KDL: #true, #false, #null, #inf, #-inf and #nan are");
+            failAt(at, "unknown keyword; KDL has #true, #false, #null, #inf, #-inf and #nan");
     }
 
-    bool numberAhead() {
+    bool atNumber() {
         std::size_t i = peek() == '+' || peek() == '-' ? 1 : 0;
-        return digitRune(peek(i));
+        return isDigit(peek(i));
     }
 
-    void number(Value& out) {
-        const SourcePosition at = place_;
+    void parseNumber(Value& out) {
+        const SourcePosition at = position_;
         const std::size_t start = pos_;
         std::string digits;  // without the underscores
         if (peek() == '+' || peek() == '-') {
             if (peek() == '-') digits += '-';
-            step();
+            advance();
         }
         int base = 10;
-        if (sees("0x")) base = 16;
-        if (sees("0o")) base = 8;
-        if (sees("0b")) base = 2;
-        const auto run = [&](int inBase) {
+        if (startsWith("0x")) base = 16;
+        if (startsWith("0o")) base = 8;
+        if (startsWith("0b")) base = 2;
+        const auto readDigits = [&](int inBase) {
             bool any = false;
             for (;;) {
                 const Rune c = peek();
-                const int v = digitRune(c)           ? static_cast<int>(c - '0')
+                const int v = isDigit(c)             ? static_cast<int>(c - '0')
                               : c >= 'a' && c <= 'f' ? static_cast<int>(c - 'a') + 10
                               : c >= 'A' && c <= 'F' ? static_cast<int>(c - 'A') + 10
                                                      : 99;
@@ -404,98 +407,100 @@
                 } else if (c != '_' || !any) {
                     break;
                 }
-                step();
+                advance();
             }
-            if (!any) wrong("a digit was expected here, not " + shown());
+            if (!any) fail("expected a digit, found " + describeNext());
         };
         Number n;
         if (base != 10) {
-            step(2);
-            run(base);
+            advance(2);
+            readDigits(base);
             std::int64_t whole = 0;
-            const auto [end, bad] =
+            const auto [end, error] =
                 std::from_chars(digits.data(), digits.data() + digits.size(), whole, base);
             (void)end;
-            if (bad == std::errc{}) n.whole = whole;
+            if (error == std::errc{}) n.whole = whole;
             n.value = 0;
             for (const char c : digits)
                 if (c != '-') n.value = n.value * base + (c <= '9' ? c - '0' : (c | 32) - 'a' + 10);
             if (digits.front() == '-') n.value = -n.value;
         } else {
-            run(10);
+            readDigits(10);
             bool plain = true;
             if (peek() == '.') {
                 plain = false;
                 digits += '.';
-                step();
-                run(10);
+                advance();
+                readDigits(10);
             }
             if (peek() == 'e' || peek() == 'E') {
                 plain = false;
                 digits += 'e';
-                step();
+                advance();
                 if (peek() == '+' || peek() == '-') {
                     digits += static_cast<char>(peek());
-                    step();
+                    advance();
                 }
-                run(10);
+                readDigits(10);
             }
             n.value = std::strtod(digits.c_str(), nullptr);
             std::int64_t whole = 0;
             if (plain) {
-                const auto [end, bad] = std::from_chars(digits.data(), digits.data() + digits.size(), whole);
+                const auto [end, error] =
+                    std::from_chars(digits.data(), digits.data() + digits.size(), whole);
                 (void)end;
-                if (bad == std::errc{}) n.whole = whole;
+                if (error == std::errc{}) n.whole = whole;
             }
         }
-        if (!atEnd() && identifierRune(peek()))
-            wrongAt(at, "this begins like a number and does not end like one");
+        if (!atEnd() && isIdentifierRune(peek()))
+            failAt(at, "malformed number: unexpected character after the digits");
         n.written = std::string(text_.substr(start, pos_ - start));
         out.data = std::move(n);
     }
 
     // ---- strings ----
-    bool stringAhead() {
+    bool atString() {
         const Rune c = peek();
         if (c == '"') return true;
-        if (c == '#') return rawAhead();
-        return identifierRune(c) && !numberAhead();
+        if (c == '#') return atRawString();
+        return isIdentifierRune(c) && !atNumber();
     }
-    bool rawAhead() const {
+    bool atRawString() const {
         std::size_t i = pos_;
         while (i < text_.size() && text_[i] == '#') ++i;
         return i > pos_ && i < text_.size() && text_[i] == '"';
     }
-    std::string string() {
-        if (peek() == '"') return sees("\"\"\"") ? multiline(0) : quoted();
-        if (peek() == '#') return raw();
-        return identifier();
+    std::string parseString() {
+        if (peek() == '"') return startsWith("\"\"\"") ? parseMultiline(0) : parseQuoted();
+        if (peek() == '#') return parseRaw();
+        return parseIdentifier();
     }
-    std::string identifier() {
-        const SourcePosition at = place_;
+    std::string parseIdentifier() {
+        const SourcePosition at = position_;
         const std::size_t start = pos_;
-        while (!atEnd() && identifierRune(peek())) step();
+        while (!atEnd() && isIdentifierRune(peek())) advance();
         const std::string word(text_.substr(start, pos_ - start));
-        // ".1" and "-.1" look like numbers, and the bare keywords like KDL 1's: both are refused.
+        // Rejected: ".1" and "-.1", which look like numbers, and the bare keywords of KDL 1.
         std::size_t i = word[0] == '+' || word[0] == '-' ? 1 : 0;
         if (i < word.size() && word[i] == '.' && i + 1 < word.size() &&
-            digitRune(static_cast<unsigned char>(word[i + 1])))
-            wrongAt(at, "a number needs a digit before its point");
+            isDigit(static_cast<unsigned char>(word[i + 1])))
+            failAt(at, "a number needs a digit before the decimal point");
         for (const std::string_view key : {"inf", "-inf", "nan", "true", "false", "null"})
             if (word == key)
-                wrongAt(at, "'" + word + "' alone is no string: write #" + word + " or \"" + word + "\"");
+                failAt(at,
+                       "'" + word + "' is not a valid bare string: write #" + word + " or \"" + word + "\"");
         return word;
     }
-    // Behind the backslash. Nothing if it was space, which is left out.
-    std::optional<Rune> escape() {
-        const SourcePosition at = place_;
+    // Parses an escape after the backslash. Empty for escaped white space, which is dropped.
+    std::optional<Rune> parseEscape() {
+        const SourcePosition at = position_;
         const Rune c = peek();
-        if (c == kEnd) wrong("the text ends within a string");
-        if (spaceRune(c) || newlineRune(c)) {
-            while (!atEnd() && (spaceRune(peek()) || newlineRune(peek()))) step();
+        if (c == kEnd) fail("unterminated string");
+        if (isSpace(c) || isNewline(c)) {
+            while (!atEnd() && (isSpace(peek()) || isNewline(peek()))) advance();
             return std::nullopt;
         }
-        step();
+        advance();
         switch (c) {
             case 'n':
                 return '\n';
@@ -516,160 +521,158 @@
             case 'u':
                 break;
             default:
-                wrongAt(at, "this escape is not one of KDL's");
+                failAt(at, "unknown escape sequence");
         }
-        if (peek() != '{') wrong("\\u is followed by {, not " + shown());
-        step();
+        if (peek() != '{') fail("expected { after \\u, found " + describeNext());
+        advance();
         Rune value = 0;
         int digits = 0;
         while (!atEnd() && peek() < 128 && std::isxdigit(static_cast<int>(peek()))) {
             const char h = static_cast<char>(peek());
             value = value * 16 + Rune(h <= '9' ? h - '0' : (h | 32) - 'a' + 10);
-            if (++digits > 6) wrongAt(at, "\\u{...} holds one to six digits");
-            step();
+            if (++digits > 6) failAt(at, "\\u{...} takes one to six hex digits");
+            advance();
         }
-        if (digits == 0 || peek() != '}') wrongAt(at, "\\u{...} holds one to six digits");
-        step();
+        if (digits == 0 || peek() != '}') failAt(at, "\\u{...} takes one to six hex digits");
+        advance();
         if (value > 0x10ffff || (value >= 0xd800 && value <= 0xdfff))
-            wrongAt(at, "this is no character of Unicode");
+            failAt(at, "not a Unicode scalar value");
         return value;
     }
-    std::string quoted() {
-        const SourcePosition began = place_;
-        step();
+    std::string parseQuoted() {
+        const SourcePosition start = position_;
+        advance();
         std::string out;
         for (;;) {
-            if (atEnd()) wrongAt(began, "this string is never closed");
+            if (atEnd()) failAt(start, "unterminated string: \" is missing");
             const Rune c = peek();
             if (c == '"') {
-                step();
+                advance();
                 return out;
             }
-            if (newlineRune(c))
-                wrong("a string in single quotes ends on its line: use \"\"\" for more lines");
-            step();
+            if (isNewline(c)) fail("a quoted string cannot span lines: use \"\"\" instead");
+            advance();
             if (c == '\\') {
-                if (const auto e = escape()) appendRune(out, *e);
+                if (const auto e = parseEscape()) appendRune(out, *e);
             } else {
                 appendRune(out, c);
             }
         }
     }
-    std::string raw() {
-        const SourcePosition began = place_;
+    std::string parseRaw() {
+        const SourcePosition opening = position_;
         std::size_t hashes = 0;
         while (peek() == '#') {
-            step();
+            advance();
             ++hashes;
         }
-        if (sees("\"\"\"")) return multiline(hashes);
-        step();
+        if (startsWith("\"\"\"")) return parseMultiline(hashes);
+        advance();
         const std::string close = "\"" + std::string(hashes, '#');
         const std::size_t start = pos_;
-        while (!sees(close)) {
-            if (atEnd()) wrongAt(began, "this raw string is never closed by " + close);
-            if (newlineRune(peek()))
-                wrong("a raw string in single quotes ends on its line: use \"\"\" for more lines");
-            step();
+        while (!startsWith(close)) {
+            if (atEnd()) failAt(opening, "unterminated raw string: missing " + close);
+            if (isNewline(peek())) fail("a raw string cannot span lines: use \"\"\" instead");
+            advance();
         }
         std::string out(text_.substr(start, pos_ - start));
-        step(close.size());
+        advance(close.size());
         return out;
     }
 
-    // Section 3.10: lines between the quotes, less the indent of the last. Newlines become LF. An escaped
-    // newline joins lines before the indent is looked at.
-    std::string multiline(std::size_t hashes) {
-        const SourcePosition began = place_;
-        step(3);
-        if (atEnd() || !newlineRune(peek())) wrong("after \"\"\" the line must end");
-        step();
+    // Multi-line strings (section 3.10): the lines between the quotes, without the indent of the last one.
+    // Newlines become LF. Escaped newlines join lines before the indent is removed.
+    std::string parseMultiline(std::size_t hashes) {
+        const SourcePosition start = position_;
+        advance(3);
+        if (atEnd() || !isNewline(peek())) fail("the line must end after \"\"\"");
+        advance();
         const std::string close = "\"\"\"" + std::string(hashes, '#');
         struct Line {
-            std::string text;    // with escapes still as they stand
-            std::string indent;  // literal space at its start
+            std::string text;    // with escapes resolved
+            std::string indent;  // literal leading white space
             bool onlySpace = true;
             SourcePosition at;
         };
         std::vector<Line> lines(1);
-        lines.back().at = place_;
+        lines.back().at = position_;
         for (;;) {
-            if (atEnd()) wrongAt(began, "this string is never closed by " + close);
-            if (sees(close)) {
-                step(close.size());
+            if (atEnd()) failAt(start, "unterminated string: missing " + close);
+            if (startsWith(close)) {
+                advance(close.size());
                 break;
             }
             const Rune c = peek();
             Line& line = lines.back();
-            if (newlineRune(c)) {
-                step();
+            if (isNewline(c)) {
+                advance();
                 lines.emplace_back();
-                lines.back().at = place_;
+                lines.back().at = position_;
                 continue;
             }
-            step();
+            advance();
             if (c == '\\' && hashes == 0) {
                 const Rune next = peek();
-                if (next != kEnd && (spaceRune(next) || newlineRune(next))) {
-                    escape();
-                    if (sees(close) && line.onlySpace) continue;
+                if (next != kEnd && (isSpace(next) || isNewline(next))) {
+                    parseEscape();
+                    if (startsWith(close) && line.onlySpace) continue;
                     continue;
                 }
-                if (const auto e = escape()) {
+                if (const auto e = parseEscape()) {
                     appendRune(line.text, *e);
                     line.onlySpace = false;
                 }
                 continue;
             }
-            if (spaceRune(c) && line.onlySpace) appendRune(line.indent, c);
-            if (!spaceRune(c)) line.onlySpace = false;
+            if (isSpace(c) && line.onlySpace) appendRune(line.indent, c);
+            if (!isSpace(c)) line.onlySpace = false;
             appendRune(line.text, c);
         }
         const Line last = lines.back();
-        if (!last.onlySpace) wrongAt(last.at, "the closing \"\"\" must stand on a line of its own");
+        if (!last.onlySpace) failAt(last.at, "the closing \"\"\" must be on a line of its own");
         lines.pop_back();
         std::string out;
         for (std::size_t i = 0; i < lines.size(); ++i) {
             if (i) out += '\n';
             if (lines[i].onlySpace) continue;
             if (lines[i].indent.compare(0, last.text.size(), last.text) != 0)
-                wrongAt(lines[i].at, "this line is not indented as the closing \"\"\" is");
+                failAt(lines[i].at, "this line lacks the indentation of the closing \"\"\"");
             out += lines[i].text.substr(last.text.size());
         }
         return out;
     }
 
-    struct Mark {
+    struct SavedPosition {
         std::size_t pos;
         SourcePosition place;
     };
-    Mark save() const { return {pos_, place_}; }
-    void restore(const Mark& m) {
+    SavedPosition save() const { return {pos_, position_}; }
+    void restore(const SavedPosition& m) {
         pos_ = m.pos;
-        place_ = m.place;
+        position_ = m.place;
     }
 
     const std::string& file_;
     std::string_view text_;
     KdlLimits limits_;
     std::size_t pos_ = 0;
-    SourcePosition place_;
+    SourcePosition position_;
 };
 
-bool bareWord(const std::string& s) {
+bool isBareIdentifier(const std::string& s) {
     if (s.empty()) return false;
     for (const std::string_view key : {"inf", "-inf", "nan", "true", "false", "null"})
         if (s == key) return false;
     std::size_t i = s[0] == '+' || s[0] == '-' ? 1 : 0;
     if (i < s.size() && (std::isdigit(static_cast<unsigned char>(s[i])) || s[i] == '.')) return false;
     for (const char c : s)
-        if (static_cast<unsigned char>(c) >= 0x80 || !identifierRune(static_cast<unsigned char>(c)))
+        if (static_cast<unsigned char>(c) >= 0x80 || !isIdentifierRune(static_cast<unsigned char>(c)))
             return false;
     return true;
 }
 
-std::string word(const std::string& s) {
-    if (bareWord(s)) return s;
+std::string quoteIfNeeded(const std::string& s) {
+    if (isBareIdentifier(s)) return s;
     std::string out = "\"";
     std::string_view rest = s;
     while (!rest.empty()) {
@@ -680,7 +683,7 @@
             out += static_cast<char>(d.rune);
         } else if (d.rune == '\n') {
             out += "\\n";
-        } else if (d.rune != kEnd && (bannedRune(d.rune) || newlineRune(d.rune))) {
+        } else if (d.rune != kEnd && (isDisallowed(d.rune) || isNewline(d.rune))) {
             char hex[16];
             std::snprintf(hex, sizeof hex, "\\u{%x}", static_cast<unsigned>(d.rune));
             out += hex;
@@ -692,22 +695,22 @@
     return out + "\"";
 }
 
-void print(const Node& node, int level, std::string& out) {
+void printNode(const Node& node, int level, std::string& out) {
     out.append(static_cast<std::size_t>(level) * 4, ' ');
-    if (node.type) out += "(" + word(*node.type) + ")";
-    out += word(node.name);
+    if (node.type) out += "(" + quoteIfNeeded(*node.type) + ")";
+    out += quoteIfNeeded(node.name);
     for (const Value& v : node.arguments) out += " " + formatValue(v);
-    for (const auto& [name, v] : node.properties) out += " " + word(name) + "=" + formatValue(v);
+    for (const auto& [name, v] : node.properties) out += " " + quoteIfNeeded(name) + "=" + formatValue(v);
     if (node.braces) {
         out += " {\n";
-        for (const Node& child : node.children) print(child, level + 1, out);
+        for (const Node& child : node.children) printNode(child, level + 1, out);
         out.append(static_cast<std::size_t>(level) * 4, ' ');
         out += "}";
     }
     out += "\n";
 }
 
-std::string lineOf(std::string_view text, int line) {
+std::string sourceLine(std::string_view text, int line) {
     std::size_t start = 0;
     for (int i = 1; i < line; ++i) {
         const auto end = text.find_first_of("\n\r", start);
@@ -729,26 +732,26 @@
                              const std::string& what)
     : std::runtime_error(
           file + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + what + "\n    " +
-          lineOf(text, at.line) + "\n    " +
+          sourceLine(text, at.line) + "\n    " +
           std::string(static_cast<std::size_t>(std::max(0, std::min(at.column, 200) - 1)), ' ') + "^"),
       at(at),
       brief(file + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + what) {}
 
 std::vector<Node> parseKdl(const std::string& file, std::string_view text, const KdlLimits& limits) {
-    return Reader(file, text, limits).document();
+    return Parser(file, text, limits).parseDocument();
 }
 
 std::string formatValue(const Value& v) {
-    std::string out = v.type ? "(" + word(*v.type) + ")" : "";
+    std::string out = v.type ? "(" + quoteIfNeeded(*v.type) + ")" : "";
     if (std::holds_alternative<Null>(v.data)) return out + "#null";
     if (const bool* b = std::get_if<bool>(&v.data)) return out + (*b ? "#true" : "#false");
     if (const Number* n = std::get_if<Number>(&v.data)) return out + n->written;
-    return out + word(std::get<std::string>(v.data));
+    return out + quoteIfNeeded(std::get<std::string>(v.data));
 }
 
 std::string printKdl(const std::vector<Node>& nodes) {
     std::string out;
-    for (const Node& n : nodes) print(n, 0, out);
+    for (const Node& n : nodes) printNode(n, 0, out);
     return out;
 }
 
--- a/src/settings/kdl.hpp
+++ b/src/settings/kdl.hpp
@@ -1,6 +1,7 @@
-// KDL 2.0 (kdl.dev/spec, 2.0.0): a reader and a printer. No library for it is served, so it is our own; it
-// follows the specification's grammar whole: strings of all five kinds, numbers in all bases and the keyword
-// numbers, types, slashdash, comments that nest, line continuation, the version marker. Fuzzed in fuzz/.
+// Parser and printer for KDL 2.0 (kdl.dev/spec, 2.0.0). Written here because no packaged library was
+// available. It covers the full grammar: all five kinds of strings, numbers in all bases and the keyword
+// numbers, type annotations, slashdash, nested comments, line continuation and the version marker. Fuzzed in
+// fuzz/.
 #pragma once
 
 #include <cstdint>
@@ -13,55 +14,64 @@
 
 namespace valekeel::settings {
 
-struct SourcePosition {  // both start at 1; a column counts code points
+// A position in a text. Lines and columns start at 1; columns count code points.
+struct SourcePosition {
     int line = 1, column = 1;
 };
 
+// The KDL value #null.
 struct Null {
     bool operator==(const Null&) const = default;
 };
-// A number keeps how it was written: what reads it says what it has to be.
+// A number with its original spelling; the reader of a setting decides which range and kind it accepts.
 struct Number {
-    std::string written;
+    std::string written;  // as in the source
     double value = 0;
-    std::optional<std::int64_t> whole;
+    std::optional<std::int64_t> whole;  // set if it is an integer of at most 64 bits
     bool operator==(const Number& o) const { return written == o.written; }
 };
 
+// An argument or a property value of a node.
 struct Value {
-    std::optional<std::string> type;
+    std::optional<std::string> type;  // annotation, as in (u8)1
     std::variant<Null, bool, Number, std::string> data;
     SourcePosition at;
 };
 
+// A KDL node with its arguments, properties and children.
 struct Node {
     std::optional<std::string> type;
     std::string name;
     SourcePosition at;
     std::vector<Value> arguments;
-    std::vector<std::pair<std::string, Value>> properties;  // the last of a name wins, in its first place
+    // A repeated name keeps its first position and its last value.
+    std::vector<std::pair<std::string, Value>> properties;
     std::vector<Node> children;
-    bool braces = false;
+    bool braces = false;  // has a block of children, maybe an empty one
 };
 
-// "FILE:LINE:COLUMN: what", then the line and a caret under the place.
+// An error in a settings text. what() is "FILE:LINE:COLUMN: MESSAGE", the source line and a caret below the
+// column.
 class SettingsError : public std::runtime_error {
   public:
-    SettingsError(const std::string& file, std::string_view text, SourcePosition, const std::string& what);
+    SettingsError(const std::string& file, std::string_view text, SourcePosition, const std::string& message);
     SourcePosition at;
-    std::string brief;  // the first line alone
+    std::string brief;  // the first line of what()
 };
 
+// Limits on the input of the parser.
 struct KdlLimits {
     std::size_t bytes = 4'000'000;
-    int depth = 64;  // of braces and of comments in comments
+    int depth = 64;  // nesting of children, and of comments
 };
 
-// Throws Wrong.
+// Parses a document; `file` is the name used in errors. Throws SettingsError.
 std::vector<Node> parseKdl(const std::string& file, std::string_view text, const KdlLimits& = {});
 
-// What parses back to the same; strings quoted where they must be, four spaces a level.
+// Prints nodes so that they parse back to the same: quotes strings only where necessary, indents by four
+// spaces.
 std::string printKdl(const std::vector<Node>&);
+// Prints one value, with its type annotation.
 std::string formatValue(const Value&);
 
 }  // namespace valekeel::settings
--- a/src/settings/site_settings.cpp
+++ b/src/settings/site_settings.cpp
@@ -5,7 +5,7 @@
 namespace valekeel::settings {
 namespace {
 
-constexpr Micros kLong = 3'600 * kSecond;
+constexpr Micros kHour = 3'600 * kSecond;  // upper limit of most durations
 
 }  // namespace
 
@@ -18,15 +18,15 @@
     for (NodeReader& rung : node.childrenNamed("rung")) {
         const double kb = rung.number("kb", 0.01, 1e7), worth = rung.number("worth", 0, 1);
         if (!ladder.kb.empty() && kb <= ladder.kb.back())
-            rung.failProperty("kb", "rungs are expected to rise in kb");
+            rung.failProperty("kb", "each rung must have a higher kb= than the one before");
         if (!ladder.worth.empty() && worth < ladder.worth.back())
-            rung.failProperty("worth", "a higher rung is expected to be worth no less");
+            rung.failProperty("worth", "a rung must not have a lower worth= than the one before");
         ladder.kb.push_back(kb);
         ladder.worth.push_back(worth);
         rung.rejectUnread();
     }
-    if (ladder.kb.empty()) node.fail("'ladder' is expected to hold rungs: rung kb=... worth=...");
-    if (ladder.kb.size() > 32) node.fail("a ladder has 32 rungs at most");
+    if (ladder.kb.empty()) node.fail("'ladder' has no rungs; example: rung kb=10 worth=0.5");
+    if (ladder.kb.size() > 32) node.fail("'ladder' has more than 32 rungs");
     node.rejectUnread();
     return ladder;
 }
@@ -43,16 +43,17 @@
     for (NodeReader& node : top.childrenNamed("room-type")) {
         RoomType room;
         room.name = node.argument("its name");
-        if (room.name.empty() || out.find(room.name)) node.fail("a room type needs a name of its own");
-        const Micros timeout = node.duration("client-timeout", 100'000, kLong);
-        room.joinObjective = node.duration("join-objective", 10'000, kLong);
+        if (room.name.empty() || out.find(room.name))
+            node.fail("the name of a room type must be unique and not empty");
+        const Micros timeout = node.duration("client-timeout", 100'000, kHour);
+        room.joinObjective = node.duration("join-objective", 10'000, kHour);
         if (room.joinObjective > timeout)
-            node.failProperty("join-objective", "the join objective is expected within the client timeout");
+            node.failProperty("join-objective", "join-objective must not exceed client-timeout");
         room.benefit = node.number("benefit", 0.0001, 1e6, 1);
-        const std::string repeat = node.choice("set-up", {"free", "paid", "keyed"}, "free");
-        room.paid = repeat == "paid";
-        room.keyed = repeat == "keyed";
-        if (room.keyed) room.repeatWithin = node.duration("repeat-within", 0, kLong, timeout);
+        const std::string setUp = node.choice("set-up", {"free", "paid", "keyed"}, "free");
+        room.paid = setUp == "paid";
+        room.keyed = setUp == "keyed";
+        if (room.keyed) room.repeatWithin = node.duration("repeat-within", 0, kHour, timeout);
         room.rateFactor = node.number("rate-factor", 0.01, 100, 1);
         room.floor = static_cast<int>(node.integer("floor", 0, last, 0));
         room.top = static_cast<int>(node.integer("top", room.floor, last, last));
@@ -62,7 +63,7 @@
         out.types.push_back(std::move(room));
         out.clientTimeouts.push_back(timeout);
     }
-    if (out.types.empty()) top.fail("at least one 'room-type' is expected");
+    if (out.types.empty()) top.fail("at least one 'room-type' is required");
     return out;
 }
 
@@ -81,8 +82,8 @@
     for (NodeReader& zone : node.childrenNamed("zone")) {
         const std::string name = zone.argument("its name");
         if (name.empty() || std::find(out.zones.begin(), out.zones.end(), name) != out.zones.end())
-            zone.fail("a zone needs a name of its own");
-        if (out.zones.size() >= 1'000) zone.fail("a fleet has 1000 zones at most");
+            zone.fail("the name of a zone must be unique and not empty");
+        if (out.zones.size() >= 1'000) zone.fail("'fleet' has more than 1000 zones");
         out.zones.push_back(name);
         zone.rejectUnread();
     }
@@ -91,8 +92,7 @@
         fleet.places.push_back(static_cast<int>(kind.integer("places", 1, 1'000'000)));
         kind.rejectUnread();
     }
-    if (out.kinds.empty())
-        node.fail("'fleet' is expected to name at least one kind: kind \"NAME\" places=...");
+    if (out.kinds.empty()) node.fail("'fleet' has no machine kinds; example: kind \"NAME\" places=20");
     node.rejectUnread();
     return out;
 }
@@ -101,10 +101,10 @@
     ColdStartLimits out;
     auto node = top.optionalChild("cold");
     if (!node) return out;
-    out.warmUp = node->duration("warm-up", 0, kLong);
+    out.warmUp = node->duration("warm-up", 0, kHour);
     out.firstShare = node->number("first-share", 0.01, 1);
     out.fallMultiple = node->number("fall-multiple", 0.1, 100);
-    out.tipAfter = node->duration("tip-after", 1'000, kLong);
+    out.tipAfter = node->duration("tip-after", 1'000, kHour);
     node->rejectUnread();
     return out;
 }
@@ -115,7 +115,7 @@
     JoinBudget out;
     out.free = node->number("free", 0, 1e6);
     out.share = node->number("share", 0, 10);
-    out.window = node->duration("window", 100'000, kLong);
+    out.window = node->duration("window", 100'000, kHour);
     node->rejectUnread();
     return out;
 }
@@ -128,7 +128,8 @@
     out.late = node.duration("late", 0, 60 * kSecond, out.late);
     out.every = node.duration("every", 0, 60 * kSecond, out.every);
     if (out.every > 0 && out.every < 100'000)
-        node.failProperty("every", "\"0s\" (boxes tell no figures) or at least \"100ms\" is expected");
+        node.failProperty("every",
+                          "every must be \"0s\" (media servers send no reports) or at least \"100ms\"");
     node.rejectUnread();
     return out;
 }
@@ -148,7 +149,7 @@
     out.maxRetryAfter = 2 * kSecond;
     NodeReader node = top.childOrDefaults("allowed");
     out.maxJoins = static_cast<int>(node.integer("joins", 1, 100, out.maxJoins));
-    out.maxRetryAfter = node.duration("come-back-at-most", 0, kLong, out.maxRetryAfter);
+    out.maxRetryAfter = node.duration("come-back-at-most", 0, kHour, out.maxRetryAfter);
     out.retryAfter = out.maxRetryAfter > 0;
     node.rejectUnread();
     return out;
@@ -159,14 +160,14 @@
     for (NodeReader& node : top.childrenNamed("talk")) {
         const std::string name = node.argument("its title");
         if (name.empty() || name.find('/') != std::string::npos || out.count(name))
-            node.fail("a talk needs a title of its own, without '/'");
+            node.fail("the title of a talk must be unique, not empty and without '/'");
         Talk talk;
         talk.firstCell = Cell{static_cast<std::uint32_t>(node.integer("first-cell", 0, fleet.cells - 1, 0))};
         talk.holders = static_cast<int>(node.integer("holders", 1, fleet.cells, fleet.cells));
         node.rejectUnread();
         out.emplace(name, talk);
     }
-    if (out.empty()) top.fail("at least one 'talk' is expected");
+    if (out.empty()) top.fail("at least one 'talk' is required");
     return out;
 }
 
