--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -71,13 +71,13 @@
         throw std::invalid_argument(
             "the environment variable BALANCER_CONFIG is not set; it must name the configuration file");
     const std::string text = settings::readFile(path);
-    net::EpollNet net(node::seedOf(node::readConfiguration(path, text)));
+    net::EpollNet net(node::parseSeed(node::parseConfiguration(path, text)));
     logging::Log log("-", logging::parseLevel(level), 5);
     node::Node frontNode(net, path, text, log);
     net.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
         if (signal != SIGHUP) return frontNode.stop([&] { net.stop(); });
         try {
-            frontNode.reread(settings::readFile(path));
+            frontNode.reloadConfiguration(settings::readFile(path));
         } catch (const std::exception& e) {
             // Unreadable or partly written: the current configuration stays in force.
             std::fprintf(stderr, "valekeel: %s\n", e.what());
@@ -126,8 +126,8 @@
         discovery::ServerListEntry entry;
         entry.sfu.id = SfuId{static_cast<std::uint32_t>(id)};
         entry.sfu.cell = Cell{static_cast<std::uint32_t>(box.cell())};
-        entry.at = box.endpoint();
-        serverList.boxes.push_back(entry);
+        entry.endpoint = box.endpoint();
+        serverList.servers.push_back(entry);
         std::cerr << "valekeel: box " << id << " on " << net::toString(box.endpoint()) << "\n";
     }
     discovery::saveServerList(listFile, serverList, machines.kinds);
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -98,7 +98,8 @@
         v.maxUnsentBytes = static_cast<std::size_t>(node.integer("relay-bytes", 4'096, 100'000'000, 131'072));
         v.maxCachedPlaylists = static_cast<std::size_t>(node.integer("cached-playlists", 1, 1'000'000, 512));
         v.retryAfterWhenFull = node.duration("retry-when-full", kSecond, kHour, v.retryAfterWhenFull);
-        settings.coreLimits.subs = static_cast<std::size_t>(node.integer("at-most", 1, 10'000'000, 100'000));
+        settings.coreLimits.subscriptions =
+            static_cast<std::size_t>(node.integer("at-most", 1, 10'000'000, 100'000));
         settings.coreLimits.answerMargin =
             node.duration("answer-margin", 1'000, kSecond, settings.coreLimits.answerMargin);
         settings.deliveryWindow =
@@ -121,7 +122,7 @@
         b.releaseAttempts = static_cast<int>(node.integer("release-tries", 1, 100, b.releaseAttempts));
         node.rejectUnread();
     }
-    settings.coreLimits.reportEvery = settings.reportTiming.every;
+    settings.coreLimits.reportInterval = settings.reportTiming.every;
 }
 
 void readSip(NodeReader& top, FrontSettings& settings) {
@@ -162,12 +163,12 @@
         node.fail(
             "'list' takes either file=\"boxes.kdl\" or stream=\"127.0.0.1:9000\", and exactly one of them");
     settings.listSavePath = node.text("keep", "");
-    settings.listTimings.lookEvery =
-        node.duration("look-every", 1'000, kHour, settings.listTimings.lookEvery);
-    settings.listTimings.connectWithin =
-        node.duration("connect-within", 1'000, 60 * kSecond, settings.listTimings.connectWithin);
-    settings.listTimings.silentFor =
-        node.duration("silent-for", 100'000, kHour, settings.listTimings.silentFor);
+    settings.listTimings.pollInterval =
+        node.duration("look-every", 1'000, kHour, settings.listTimings.pollInterval);
+    settings.listTimings.connectTimeout =
+        node.duration("connect-within", 1'000, 60 * kSecond, settings.listTimings.connectTimeout);
+    settings.listTimings.silenceTimeout =
+        node.duration("silent-for", 100'000, kHour, settings.listTimings.silenceTimeout);
     settings.listLimits.boxes = static_cast<std::size_t>(node.integer("boxes", 1, 1'000'000, 4'096));
     settings.listLimits.bytes =
         static_cast<std::size_t>(node.integer("bytes", 1'024, 100'000'000, 1'000'000));
@@ -176,19 +177,20 @@
 
 void readAdmission(NodeReader& top, FrontSettings& settings) {
     NodeReader node = top.childOrDefaults("admission");
-    settings.concurrencyLimit.most = static_cast<std::size_t>(node.integer("waiting", 1, 1'000'000, 1'000));
-    settings.concurrencyLimit.least =
+    settings.concurrencyLimit.maxLimit =
+        static_cast<std::size_t>(node.integer("waiting", 1, 1'000'000, 1'000));
+    settings.concurrencyLimit.minLimit =
         static_cast<std::size_t>(node.integer("waiting-least", 1, 1'000'000, 64));
-    settings.concurrencyLimit.target =
-        node.duration("target-wait", 0, kHour, settings.concurrencyLimit.target);
+    settings.concurrencyLimit.targetWait =
+        node.duration("target-wait", 0, kHour, settings.concurrencyLimit.targetWait);
     admission::RetryLimiterSettings& r = settings.retryLimiter;
-    r.most = node.duration("come-back-most", 0, kHour, r.most);
-    r.over = node.number("returns-for-each", 0.1, 100, r.over);
-    r.asksForEach = node.number("asks-for-each", 1, 1e6, r.asksForEach);
-    r.least = node.number("asks-least", 1, 1e6, r.least);
+    r.maxRetryAfter = node.duration("come-back-most", 0, kHour, r.maxRetryAfter);
+    r.retriesPerPlacement = node.number("returns-for-each", 0.1, 100, r.retriesPerPlacement);
+    r.attemptsPerPlacement = node.number("asks-for-each", 1, 1e6, r.attemptsPerPlacement);
+    r.minAttemptsPerSecond = node.number("asks-least", 1, 1e6, r.minAttemptsPerSecond);
     admission::PathCapacitySettings& w = settings.pathCapacity;
-    w.on = node.flag("narrow-ways", true);
-    w.enough = node.number("way-enough", 0.1, 1, w.enough);
+    w.enabled = node.flag("narrow-ways", true);
+    w.sufficientShare = node.number("way-enough", 0.1, 1, w.sufficientShare);
     w.window = node.duration("way-window", 100'000, kHour, w.window);
     settings.maxConnectionsPerNetwork =
         static_cast<std::size_t>(node.integer("connections-each", 1, 1'000'000, 2'000));
@@ -420,8 +422,8 @@
                                       " is in a cell that the settings do not define"}});
                 continue;
             }
-            if (entry.at.port != 0) {
-                upstreamClient.setAddress(sfu.id, entry.at);
+            if (entry.endpoint.port != 0) {
+                upstreamClient.setAddress(sfu.id, entry.endpoint);
                 joinClient.releaseEarlierSessions(sfu.id);
             }
             out.push_back(sfu);
@@ -430,15 +432,15 @@
     }
     // Applies a complete list or a change to the current list and saves it, if a path is set.
     void updateCurrentList(const std::vector<discovery::ServerListEntry>& entries, bool isComplete) {
-        if (isComplete) currentList.boxes.clear();
+        if (isComplete) currentList.servers.clear();
         for (const discovery::ServerListEntry& entry : entries) {
             const auto matching =
-                std::find_if(currentList.boxes.begin(), currentList.boxes.end(),
+                std::find_if(currentList.servers.begin(), currentList.servers.end(),
                              [&](const discovery::ServerListEntry& b) { return b.sfu.id == entry.sfu.id; });
-            if (matching == currentList.boxes.end())
-                currentList.boxes.push_back(entry);
-            else if (entry.sfu.standing == ServerState::Off)
-                currentList.boxes.erase(matching);
+            if (matching == currentList.servers.end())
+                currentList.servers.push_back(entry);
+            else if (entry.sfu.state == ServerState::Off)
+                currentList.servers.erase(matching);
             else
                 *matching = entry;
         }
@@ -481,7 +483,7 @@
             const Micros fileAge = net.wallNow() - evidenceFile.savedAt;
             if (fileAge < 0 || fileAge > settings.evidenceMaxAge)
                 throw std::runtime_error("the file is older than keep-for or dated in the future");
-            for (evidence::EvidenceEntry& b : evidenceFile.boxes) b.what.age += fileAge;
+            for (evidence::EvidenceEntry& b : evidenceFile.servers) b.evidence.age += fileAge;
             restoredEvidence = std::move(evidenceFile);
         } catch (const std::exception& e) {
             writeLog(logging::Level::Warning, "learnt-not-taken", {{"why", e.what()}});
@@ -489,32 +491,32 @@
     }
     std::map<SfuId, Micros> launchTimes() const {  // of all listed servers, by the wall clock
         std::map<SfuId, Micros> out;
-        for (const discovery::ServerListEntry& box : currentList.boxes)
+        for (const discovery::ServerListEntry& box : currentList.servers)
             out.emplace(box.sfu.id, box.sfu.launched);
         return out;
     }
     // Restores the evidence of those servers that are listed now and have not been restarted since.
     void restoreEvidence() {
-        if (restoredEvidence.boxes.empty()) return;
+        if (restoredEvidence.servers.empty()) return;
         const auto launched = launchTimes();
         std::vector<ServerEvidence> matching;
-        for (const evidence::EvidenceEntry& b : restoredEvidence.boxes)
-            if (const auto listed = launched.find(b.what.id);
+        for (const evidence::EvidenceEntry& b : restoredEvidence.servers)
+            if (const auto listed = launched.find(b.evidence.id);
                 listed != launched.end() && listed->second == b.launched)
-                matching.push_back(b.what);
+                matching.push_back(b.evidence);
         writeLog(
             logging::Level::Info, "learnt-taken",
-            {{"boxes", matching.size()}, {"passed_over", restoredEvidence.boxes.size() - matching.size()}});
-        restoredEvidence.boxes.clear();
+            {{"boxes", matching.size()}, {"passed_over", restoredEvidence.servers.size() - matching.size()}});
+        restoredEvidence.servers.clear();
         core->restoreServerEvidence(matching);
     }
     void saveEvidence() {
-        if (!restoredEvidence.boxes.empty()) return;  // no list yet: the saved file is still the best data
+        if (!restoredEvidence.servers.empty()) return;  // no list yet: the saved file is still the best data
         evidence::EvidenceFile evidenceFile{net.wallNow(), {}};
         const auto launched = launchTimes();
         for (const ServerEvidence& what : core->serverEvidence())
             if (const auto listed = launched.find(what.id); listed != launched.end())
-                evidenceFile.boxes.push_back({what, listed->second});
+                evidenceFile.servers.push_back({what, listed->second});
         try {
             evidence::saveEvidenceFile(settings.evidencePath, evidenceFile);
         } catch (const std::exception& e) {
@@ -528,7 +530,7 @@
             currentList =
                 discovery::parseServerList(settings.listSavePath, settings::readFile(settings.listSavePath),
                                            names(), settings.listLimits);
-            onList(currentList.boxes, true);
+            onList(currentList.servers, true);
         } catch (const std::exception& e) {
             writeLog(logging::Level::Warning, "kept-list-odd", {{"why", e.what()}});
         }
@@ -546,7 +548,7 @@
         httpFrontend->shutDown([this] {
             const core::CoreCounts& c = core->counts();
             writeLog(logging::Level::Info, "stopped",
-                     {{"asked", c.asked},
+                     {{"asked", c.requested},
                       {"played", c.played},
                       {"throttled", c.throttled},
                       {"terminated", c.terminated}});
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -204,8 +204,8 @@
             if (status_ != 200) return fail(502, "the media server has no playlist");
             auto read = hls::parseMediaPlaylist(body_);
             std::string().swap(body_);
-            if (!read.got) return fail(502, "the media server's playlist is invalid: " + read.why);
-            CachedPlaylist cached{std::move(*read.got), {}, path_, ++frontend_.cacheUseCounter_};
+            if (!read.playlist) return fail(502, "the media server's playlist is invalid: " + read.why);
+            CachedPlaylist cached{std::move(*read.playlist), {}, path_, ++frontend_.cacheUseCounter_};
             for (const hls::Segment& s : cached.playlist.segments) cached.durations.push_back(s.duration);
             frontend_.cache_[{title_, rung_}] = std::move(cached);
             if (frontend_.cache_.size() > frontend_.settings_.maxCachedPlaylists) {
@@ -243,12 +243,12 @@
 
     void onFailed(upstream::RequestResult result) override {
         // The server had closed the reused connection: a GET may be repeated once, on a new connection.
-        if (result == upstream::RequestResult::BrokenOutKept && !isRetry_ && !headSent_ && exchange_) {
+        if (result == upstream::RequestResult::BrokenOnReused && !isRetry_ && !headSent_ && exchange_) {
             isRetry_ = true;
             previousRequest_ = std::move(request_);
             return start();
         }
-        if (result == upstream::RequestResult::NoRoomToSend ||
+        if (result == upstream::RequestResult::NoFreeConnection ||
             result == upstream::RequestResult::NoDescriptor)
             return fail(503, "too many requests to the media server are in progress");
         if (const Viewer* viewer = frontend_.byToken(token_))
@@ -288,7 +288,7 @@
     void endLostPlayback(upstream::RequestResult result) {
         const SubId sub = sub_;
         HttpFrontend& frontend = frontend_;
-        fail(result == upstream::RequestResult::TimedOutOut ? 504 : 502, upstream::meaningOf(result).name);
+        fail(result == upstream::RequestResult::TimedOut ? 504 : 502, upstream::meaningOf(result).name);
         frontend.core_.onPlaybackEnded(sub, result == upstream::RequestResult::BrokenAnswer
                                                 ? JoinResult::Reset
                                                 : upstream::meaningOf(result).end);
@@ -447,8 +447,8 @@
 
 void HttpFrontend::handleCmcdPost(http::Exchange& exchange) {
     hints::CmcdReader reader(hintLimits_);
-    reader.json(exchange.body());
-    const hints::Cmcd received = reader.done();
+    reader.readJson(exchange.body());
+    const hints::Cmcd received = reader.finish();
     countDropped(reader);
     if (received.sid)
         for (auto& [token, viewer] : viewers_)
@@ -641,7 +641,7 @@
         fields.add("CMSD-Static", hints::write(own));
     }
     hints::CmsdEntry entry;
-    entry.by = name_;
+    entry.server = name_;
     const RoomType& type = roomTypes_.types[viewer.room.v];
     entry.mb = static_cast<std::int64_t>(
         std::llround(ladder_.kb[static_cast<std::size_t>(viewer.rung)] * type.rateFactor * 8));
@@ -782,7 +782,7 @@
                                {"left", c.left},
                                {"broke", c.lost},
                                {"joins", c.joins},
-                               {"guarded", c.guarded},
+                               {"guarded", c.guardAnswers},
                                {"turned_away", rejected_},
                                {"playing", viewers_.size()},
                                {"unanswered", core_.unansweredCount()},
--- a/src/frontends/http/playlist_window.cpp
+++ b/src/frontends/http/playlist_window.cpp
@@ -27,8 +27,8 @@
 hls::MediaPlaylist PlaylistWindow::playlist(const std::vector<Micros>& durations) const {
     hls::MediaPlaylist out;
     std::map<int, int> mapIndexByRung;
-    for (const Micros d : durations) out.target = std::max(out.target, d);
-    if (!listed_.empty()) out.firstNo = listed_.front().no;
+    for (const Micros d : durations) out.targetDuration = std::max(out.targetDuration, d);
+    if (!listed_.empty()) out.mediaSequence = listed_.front().no;
     int last = -1;
     for (const Listed& listed : listed_) {
         hls::Segment s;
--- a/src/frontends/sip/sip_frontend.cpp
+++ b/src/frontends/sip/sip_frontend.cpp
@@ -184,9 +184,9 @@
     void onFailed(upstream::RequestResult result) override {
         Call* call = frontend_.bySub(sub_);
         if (!call) return;
-        if (result == upstream::RequestResult::NoRoomToSend ||
+        if (result == upstream::RequestResult::NoFreeConnection ||
             result == upstream::RequestResult::NoDescriptor ||
-            result == upstream::RequestResult::BrokenOutKept) {  // says nothing about the server
+            result == upstream::RequestResult::BrokenOnReused) {  // says nothing about the server
             call->probeTimer->after(frontend_.settings_.probeInterval / 4);
             return;
         }
@@ -223,7 +223,7 @@
             if (triesLeft <= 1) throw;
         }
     }
-    overloadTimer_.after(settings_.overload.every);
+    overloadTimer_.after(settings_.overload.updateInterval);
 }
 SipFrontend::~SipFrontend() {
     calls_.clear();
@@ -238,16 +238,16 @@
         mergedExpiry_.pop_front();
         const auto it = firstTransactionByMergeKey_.find(key);
         if (it == firstTransactionByMergeKey_.end()) continue;
-        if (transactions_.knows(it->second))  // the call set-up is still in progress
+        if (transactions_.contains(it->second))  // the call set-up is still in progress
             mergedExpiry_.emplace_back(net_.now() + 64 * settings_.times.t1, std::move(key));
         else
             firstTransactionByMergeKey_.erase(it);
     }
     const Micros meanQueueingDelay = std::exchange(queueingDelaySum_, 0) /
                                      std::max<std::int64_t>(1, std::exchange(queueingDelayCount_, 0));
-    overload_.look(net_.now(), fill, meanQueueingDelay, std::exchange(arrivals_, 0),
-                   std::exchange(served_, 0));
-    overloadTimer_.after(settings_.overload.every);
+    overload_.update(net_.now(), fill, meanQueueingDelay, std::exchange(arrivals_, 0),
+                     std::exchange(served_, 0));
+    overloadTimer_.after(settings_.overload.updateInterval);
 }
 
 SipFrontend::Call* SipFrontend::bySub(SubId id) {
@@ -295,16 +295,16 @@
 void SipFrontend::onMessage(std::string_view bytes, const sip::ReplyRoute& route) {
     if (bytes.find_first_not_of("\r\n \t") == std::string_view::npos) return;  // keep-alive of a NAT binding
     ++counts_.messages;
-    sip::Parsed parsed = sip::parse(bytes, settings_.limits);
-    if (!parsed.got) {
+    sip::ParseResult parsed = sip::parse(bytes, settings_.limits);
+    if (!parsed.message) {
         ++counts_.malformed;
         log_.write(logging::Level::Warning, net_.now(), net_.wallNow(), "bad-sip",
                    {{"peer", net::toString(route.peer)}, {"status", parsed.status}, {"why", parsed.why}});
-        if (parsed.enough && parsed.status) replyStateless(*parsed.enough, route, parsed.status);
+        if (parsed.partial && parsed.status) replyStateless(*parsed.partial, route, parsed.status);
         return;
     }
-    if (parsed.got->request)
-        onRequest(std::move(*parsed.got), route);
+    if (parsed.message->request)
+        onRequest(std::move(*parsed.message), route);
     else
         onAnswer(*parsed.message);
 }
@@ -336,7 +336,7 @@
     const std::string tag =
         call != callsByKey_.end() ? call->second->localTag : logging::toHex(net_.randomBits());
     const net::Endpoint* from = call != callsByKey_.end() ? &call->second->route.peer : nullptr;
-    transactions_.answer(key, status, sip::response(withControl(m), status, tag, extraFields, body, from));
+    transactions_.respond(key, status, sip::response(withControl(m), status, tag, extraFields, body, from));
 }
 
 // ---- requests ----
@@ -346,10 +346,10 @@
         if (transactions_.ack(m)) return;
         Call* call = byDialog(m);
         if (!call) return;
-        transactions_.acknowledged(call->key);
+        transactions_.onAcknowledged(call->key);
         if (std::exchange(call->answerExpectedInAck,
                           false)) {  // the ACK must answer our offer (RFC 3261, section 13.2.2.4)
-            const auto answer = sip::readOffer(m.body);
+            const auto answer = sip::parseOffer(m.body);
             if (!answer || !answer->hasVideo || !answer->wantsVideo || answer->videoPort == 0)
                 hangUp(*call, true);
         }
@@ -357,7 +357,7 @@
     }
     const std::string key = sip::Transactions::keyOf(m);
     // A new INVITE passes overload control before any state is created; retransmissions are absorbed below.
-    if (m.method == "INVITE" && m.to.tag.empty() && !transactions_.knows(key)) {
+    if (m.method == "INVITE" && m.to.tag.empty() && !transactions_.contains(key)) {
         ++counts_.invites;
         ++arrivals_;
         const auto priority = m.others.find("resource-priority");
@@ -373,7 +373,7 @@
             return;
         case sip::Transactions::RequestDisposition::Full:
             ++counts_.shed;
-            refusedRequests_.remember(inviteHash(m.vias.front().branch, m.callId, hashSalt_));
+            refusedRequests_.insert(inviteHash(m.vias.front().branch, m.callId, hashSalt_));
             return replyStateless(m, route, 503, settings_.retryAfterWhenFull);
         case sip::Transactions::RequestDisposition::New:
             break;
@@ -399,13 +399,13 @@
 // answer.
 bool SipFrontend::shouldShed(std::uint64_t hash, bool supportsOverloadControl, bool emergency,
                              const sip::ReplyRoute& route) {
-    if (refusedRequests_.knows(hash)) return true;
+    if (refusedRequests_.contains(hash)) return true;
     const double uniformDraw = static_cast<double>(hash >> 11) / 9007199254740992.0;
     const bool isShed =
-        stopping_ || (settings_.shed && (overload_.shed(uniformDraw, supportsOverloadControl, emergency,
-                                                        admission_.fillRatio()) ||
+        stopping_ || (settings_.shed && (overload_.shouldShed(uniformDraw, supportsOverloadControl, emergency,
+                                                              admission_.fillRatio()) ||
                                          (!emergency && !admission_.wouldAdmit(route.peer.ip))));
-    if (isShed) refusedRequests_.remember(hash);
+    if (isShed) refusedRequests_.insert(hash);
     return isShed;
 }
 
@@ -413,8 +413,8 @@
 // cost of a flood. Returns true if the datagram needs no further handling.
 bool SipFrontend::shedByPrefilter(const sip::PrefilteredRequest& prefiltered, const sip::ReplyRoute& route) {
     const std::uint64_t hash = inviteHash(prefiltered.branch, prefiltered.callId, hashSalt_);
-    if (prefiltered.method == "ACK") return refusedRequests_.knows(hash);
-    if (prefiltered.toHasTag || transactions_.knows(prefiltered.inviteKey())) return false;
+    if (prefiltered.method == "ACK") return refusedRequests_.contains(hash);
+    if (prefiltered.toHasTag || transactions_.contains(prefiltered.inviteKey())) return false;
     const bool supportsOverloadControl = prefiltered.via.find(";oc") != std::string_view::npos;
     if (!shouldShed(hash, supportsOverloadControl, false, route)) return false;
     ++counts_.messages;
@@ -441,7 +441,7 @@
     // Merged request (RFC 3261, section 8.2.2.2): the same call, forked upstream or sent from a second port.
     const std::string mergeKey = m.callId + "|" + m.from.tag + "|" + std::to_string(m.cseq);
     const auto first = firstTransactionByMergeKey_.find(mergeKey);
-    if (first != firstTransactionByMergeKey_.end() && transactions_.knows(first->second)) {
+    if (first != firstTransactionByMergeKey_.end() && transactions_.contains(first->second)) {
         ++counts_.merged;
         return reply(key, m, 482);
     }
@@ -475,7 +475,7 @@
                        ceilToSeconds(admission_.retryAfter(net_.now(), settings_.retryAfterWhenFull))}});
 
     const RoomType& type = roomTypes_.types[room->v];
-    double kbits = offer.mostBits ? static_cast<double>(*offer.mostBits) / 1'000 : 1e18;
+    double kbits = offer.maxBitrate ? static_cast<double>(*offer.maxBitrate) / 1'000 : 1e18;
     if (admission_.isLimitedToLowestRung(network)) kbits = 0;
     const SubscriptionRequest request =
         subscriptionRequestFor(*room, m.user, talk->second, ladder_, type, kbits);
@@ -546,7 +546,7 @@
 void SipFrontend::onCancel(const sip::Message& m, const std::string& key) {
     std::string invite = key.substr(0, key.size() - 7);  // removes "|CANCEL"
     const auto it = callsByKey_.find(invite);
-    reply(key, m, transactions_.knows(invite) ? 200 : 481);
+    reply(key, m, transactions_.contains(invite) ? 200 : 481);
     // A CANCEL after the final answer has no effect (RFC 3261, section 9.2).
     if (it == callsByKey_.end() || it->second->playing) return;
     ++counts_.cancelled;
@@ -709,7 +709,7 @@
     log_.write(logging::Level::Info, net_.now(), net_.wallNow(), "viewer-over",
                {{"trace", call.trace.trace}, {"sub", id.v}, {"face", "sip"}});
     if (std::exchange(call.admissionPending, false)) admission_.onAnswered(call.network);
-    transactions_.acknowledged(call.key);  // stops retransmission of the 200
+    transactions_.onAcknowledged(call.key);  // stops retransmission of the 200
     callsByKey_.erase(call.key);
     callsByDialog_.erase(call.dialog);
     call.sessionTimer->cancel();
@@ -747,7 +747,8 @@
     joinRequest.room = roomTypes_.types[call->room.v].name;
     // After a restart the front no longer knows this INVITE, but retransmissions continue: the media server
     // must recognise that it already set up this one.
-    if (roomTypes_.types[call->room.v].paid) joinRequest.once = logging::toHex(hashOf(call->key, 0));
+    if (roomTypes_.types[call->room.v].paid)
+        joinRequest.idempotencyToken = logging::toHex(hashOf(call->key, 0));
     logging::TraceContext trace = call->trace;
     trace.parent = logging::toHex(net_.randomBits() | 1);
     joinRequest.fields.add("traceparent", logging::write(trace));
--- a/src/frontends/sip/sip_frontend.hpp
+++ b/src/frontends/sip/sip_frontend.hpp
@@ -120,7 +120,7 @@
     sip::Transactions transactions_;
     sip::Overload overload_;
     sip::RefusedRequests refusedRequests_;
-    std::unique_ptr<net::Datagrams> datagrams_;
+    std::unique_ptr<net::DatagramSocket> datagrams_;
     std::unique_ptr<net::Listener> listener_;
     std::map<std::uint64_t, std::unique_ptr<Stream>> streams_;
     std::vector<std::unique_ptr<Stream>> retiredStreams_;
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -194,8 +194,9 @@
     EXPECT_EQ(fixture.count("answer", 200), 7);
     EXPECT_EQ(fixture.count("segment-lost"), 0);
     const auto& dropped = fixture.front->httpFrontend().hintsDropped();
-    for (const auto why : {hints::DropReason::Malformed, hints::DropReason::Twice, hints::DropReason::TooLong,
-                           hints::DropReason::Contradicts, hints::DropReason::OutOfRange})
+    for (const auto why :
+         {hints::DropReason::Malformed, hints::DropReason::Duplicate, hints::DropReason::TooLong,
+          hints::DropReason::Contradictory, hints::DropReason::OutOfRange})
         EXPECT_GT(dropped[static_cast<std::size_t>(why)], 0u) << hints::nameOf(why);
     fixture.expectNoViolations();
 }
@@ -632,7 +633,7 @@
     EXPECT_EQ((fixture.call("nowhere"), fixture.until([&] { return fixture.active == 0; }),
                fixture.callers.back()->lastFinal()),
               404);
-    EXPECT_EQ(fixture.front->core().counts().asked, 0u);
+    EXPECT_EQ(fixture.front->core().counts().requested, 0u);
 }
 
 TEST(Sip, CancelEndsACallOnlyBeforeItsAnswer) {
@@ -962,7 +963,7 @@
     }
     fixture.run(kSecond);
     EXPECT_GT(fixture.front->sipFrontend()->counts().shed, 50u);
-    EXPECT_LT(fixture.front->core().counts().asked, 200u);
+    EXPECT_LT(fixture.front->core().counts().requested, 200u);
     const std::string* refusal = fixture.raw.lastMatching("SIP/2.0 503", "Retry-After: ");
     ASSERT_TRUE(refusal);
     bool sawOverloadControl = false;
--- a/tests/manual_net.hpp
+++ b/tests/manual_net.hpp
@@ -31,8 +31,8 @@
     void advance(Micros duration) {
         const Micros end = time + duration;
         while (time < end) {
-            time = std::min(end, std::max(time + 1, wheel.next().value_or(end)));
-            while (net::TimerNode* node = wheel.due(time)) net::Timer::fire(*node);
+            time = std::min(end, std::max(time + 1, wheel.nextCheck().value_or(end)));
+            while (net::TimerNode* node = wheel.popDue(time)) net::Timer::fire(*node);
         }
     }
 };
--- a/tests/node_servers_test.cpp
+++ b/tests/node_servers_test.cpp
@@ -218,7 +218,7 @@
     servers.setCore(core);
     servers.setAddress(SfuId{0}, fixture.servers[0]->endpoint());
     SfuEntry entry;
-    entry.standing = ServerState::On;
+    entry.state = ServerState::On;
     core.onServerList(std::span(&entry, 1), false);
     const auto subscribe = [&](std::uint32_t room, int n) {
         SubscriptionRequest request;
