--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -385,10 +385,10 @@
         if (l.what == "plays") ++plays;
         if (l.what == "release" || l.what == "expired") ++given;
     }
-    audit::Terms terms;
+    audit::AuditSettings terms;
     terms.rooms["open"] = {4 * kSecond, false, 0, 0};
     terms.rooms["paid"] = {4 * kSecond, true, 0, 0};
-    const auto breaches = audit::all(ledger, terms, {});
+    const auto breaches = audit::checkAllRules(ledger, terms, {});
     const auto& c = front.sipFrontend()->counts();
     std::printf(
         "\n%d calls in weather (10%% lost each way, 5%% twice, up to 800 ms late and out of order):\n", many);
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -19,7 +19,8 @@
 }  // namespace
 
 // Rule 1. What counts is what came out of the player's own socket.
-std::vector<RuleViolation> oneAnswer(const Ledger& ledger, const Terms& terms, const Down& down) {
+std::vector<RuleViolation> oneAnswer(const Ledger& ledger, const AuditSettings& terms,
+                                     const Downtimes& down) {
     std::vector<RuleViolation> out;
     struct Ask {
         const Line* asked = nullptr;
@@ -83,7 +84,7 @@
 }
 
 // Rule 2. The trace id of an ask stands on each of its joins; a box writes "charged" when a set-up has begun.
-std::vector<RuleViolation> noSetUpTwice(const Ledger& ledger, const Terms& terms) {
+std::vector<RuleViolation> noSetUpTwice(const Ledger& ledger, const AuditSettings& terms) {
     std::vector<RuleViolation> out;
     struct Way {
         int charged = 0;
@@ -126,7 +127,7 @@
 }
 
 // Rule 3. Counted from when the list's line went out to that very front.
-std::vector<RuleViolation> drainsKept(const Ledger& ledger, const Terms& terms) {
+std::vector<RuleViolation> drainsKept(const Ledger& ledger, const AuditSettings& terms) {
     std::vector<RuleViolation> out;
     std::map<std::pair<std::string, int>, Micros> off;  // front and box: told so, at
     for (const Line& l : ledger.lines()) {
@@ -148,7 +149,7 @@
 }
 
 // Rule 4. All fronts together, in any span: what arrives at a box that is still cold.
-std::vector<RuleViolation> coldSpared(const Ledger& ledger, const Terms& terms) {
+std::vector<RuleViolation> coldSpared(const Ledger& ledger, const AuditSettings& terms) {
     std::vector<RuleViolation> out;
     struct Box {
         Micros started = 0;
@@ -185,7 +186,7 @@
 }
 
 // Rule 5. A seat is taken from the join's arrival until the box is told, or knows, that it is over.
-std::vector<RuleViolation> termsKept(const Ledger& ledger, const Terms& terms) {
+std::vector<RuleViolation> termsKept(const Ledger& ledger, const AuditSettings& terms) {
     std::vector<RuleViolation> out;
     struct Holding {
         std::set<std::string> subs;
@@ -219,7 +220,7 @@
 }
 
 // Rule 6. A front's joins with a number over 0 are its further ones; what it took is what players asked it.
-std::vector<RuleViolation> budgetKept(const Ledger& ledger, const Terms& terms) {
+std::vector<RuleViolation> budgetKept(const Ledger& ledger, const AuditSettings& terms) {
     std::vector<RuleViolation> out;
     if (!terms.budgeted) return out;
     struct Front {
@@ -249,7 +250,8 @@
     return out;
 }
 
-std::vector<RuleViolation> all(const Ledger& ledger, const Terms& terms, const Down& down) {
+std::vector<RuleViolation> checkAllRules(const Ledger& ledger, const AuditSettings& terms,
+                                         const Downtimes& down) {
     std::vector<RuleViolation> out;
     const auto put = [&](std::vector<RuleViolation> some) {
         out.insert(out.end(), some.begin(), some.end());
--- a/src/audit/audit.hpp
+++ b/src/audit/audit.hpp
@@ -11,7 +11,7 @@
 
 namespace valekeel::audit {
 
-struct Terms {
+struct AuditSettings {
     struct Room {
         Micros clientTimeout = 0;
         bool paid = false;
@@ -36,14 +36,14 @@
 };
 
 // `down`: when a front was not running, killed or standing still, by name: from and until.
-using Down = std::multimap<std::string, std::pair<Micros, Micros>>;
-
-std::vector<RuleViolation> oneAnswer(const fakes::Ledger&, const Terms&, const Down&);
-std::vector<RuleViolation> noSetUpTwice(const fakes::Ledger&, const Terms&);
-std::vector<RuleViolation> drainsKept(const fakes::Ledger&, const Terms&);
-std::vector<RuleViolation> coldSpared(const fakes::Ledger&, const Terms&);
-std::vector<RuleViolation> termsKept(const fakes::Ledger&, const Terms&);
-std::vector<RuleViolation> budgetKept(const fakes::Ledger&, const Terms&);
-std::vector<RuleViolation> all(const fakes::Ledger&, const Terms&, const Down&);
+using Downtimes = std::multimap<std::string, std::pair<Micros, Micros>>;
+
+std::vector<RuleViolation> oneAnswer(const fakes::Ledger&, const AuditSettings&, const Downtimes&);
+std::vector<RuleViolation> noSetUpTwice(const fakes::Ledger&, const AuditSettings&);
+std::vector<RuleViolation> drainsKept(const fakes::Ledger&, const AuditSettings&);
+std::vector<RuleViolation> coldSpared(const fakes::Ledger&, const AuditSettings&);
+std::vector<RuleViolation> termsKept(const fakes::Ledger&, const AuditSettings&);
+std::vector<RuleViolation> budgetKept(const fakes::Ledger&, const AuditSettings&);
+std::vector<RuleViolation> checkAllRules(const fakes::Ledger&, const AuditSettings&, const Downtimes&);
 
 }  // namespace valekeel::audit
--- a/src/fakes/box.cpp
+++ b/src/fakes/box.cpp
@@ -575,7 +575,8 @@
     return asked / (uplinkKb_ * uplinkFactor[static_cast<std::size_t>(rack)]);
 }
 
-void BoxFleet::pave(const std::vector<double>& memberKb, std::function<int(const std::string&)> memberOf) {
+void BoxFleet::useLinkModel(const std::vector<double>& memberKb,
+                            std::function<int(const std::string&)> memberOf) {
     roads_ = std::make_unique<Roads>();
     roads_->memberOf = std::move(memberOf);
     roads_->memberKb = memberKb;
--- a/src/fakes/box.hpp
+++ b/src/fakes/box.hpp
@@ -127,7 +127,8 @@
     // From now on segments take as long as a model of the links says: max-min fair over the member's link,
     // the box's and the rack's uplink, each no faster than a little over its rung. `memberOf`: by the trace
     // id of the ask; -1: of no member with a link of its own.
-    void pave(const std::vector<double>& memberKb, std::function<int(const std::string& trace)> memberOf);
+    void useLinkModel(const std::vector<double>& memberKb,
+                      std::function<int(const std::string& trace)> memberOf);
     bool paved() const { return roads_ != nullptr; }
     std::vector<double> memberFactor;  // of each member's link: a script's
 
--- a/src/simulation/drill.cpp
+++ b/src/simulation/drill.cpp
@@ -52,7 +52,7 @@
         if (!day_.members.empty()) {
             std::vector<double> links;
             for (const Member& m : day_.members) links.push_back(m.linkKb);
-            fleet_.pave(links, [this](const std::string& trace) {
+            fleet_.useLinkModel(links, [this](const std::string& trace) {
                 const auto it = memberOf_.find(trace);
                 return it == memberOf_.end() ? -1 : it->second;
             });
@@ -105,7 +105,7 @@
                 if (boxes.count(l.box)) ++result.liedTo;
             }
         }
-        result.breaches = audit::all(ledger_, day_.terms, down_);
+        result.breaches = audit::checkAllRules(ledger_, day_.terms, down_);
         for (const audit::RuleViolation& b : result.breaches)
             if (b.rule == 1 && b.what.find("no answer") != std::string::npos) ++result.never;
         return result;
@@ -497,7 +497,7 @@
     std::vector<std::unique_ptr<fakes::Caller>> callers_;
     std::deque<std::unique_ptr<net::Timer>> timers_;
     std::vector<std::tuple<Micros, Micros, std::set<int>>> lies_;
-    audit::Down down_;
+    audit::Downtimes down_;
     Micros begun_ = 0, lastSaid_ = -1;
     int active_ = 0;
     bool closing_ = false;
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -90,7 +90,7 @@
 std::vector<std::pair<double, std::string>> titlesOf(NodeReader& node, const settings::Talks& talks) {
     const workload::Zipf wanted(talks.size(), node.number("zipf", 0, 5, 0.8), 0);
     std::vector<std::pair<double, std::string>> out;
-    for (const auto& [title, talk] : talks) out.emplace_back(wanted.part(out.size()), title);
+    for (const auto& [title, talk] : talks) out.emplace_back(wanted.probability(out.size()), title);
     return out;
 }
 
--- a/src/simulation/scenario.hpp
+++ b/src/simulation/scenario.hpp
@@ -84,7 +84,7 @@
     Ladder ladder;
     settings::RoomTypes rooms;
     settings::Machines machines;
-    audit::Terms terms;
+    audit::AuditSettings terms;
     std::vector<Crowd> crowds;
     std::vector<Callers> callers;
     std::vector<Member> members;
--- a/src/workload/arrivals.cpp
+++ b/src/workload/arrivals.cpp
@@ -56,7 +56,7 @@
     const auto it = std::upper_bound(upTo_.begin(), upTo_.end(), unit(chance));
     return std::min<std::size_t>(static_cast<std::size_t>(it - upTo_.begin()), upTo_.size() - 1);
 }
-double Zipf::part(std::size_t rank) const {
+double Zipf::probability(std::size_t rank) const {
     return upTo_[rank] - (rank ? upTo_[rank - 1] : 0);
 }
 
--- a/src/workload/arrivals.hpp
+++ b/src/workload/arrivals.hpp
@@ -37,7 +37,7 @@
   public:
     Zipf(std::size_t many, double exponent, double hot);
     std::size_t draw(std::knuth_b&) const;
-    double part(std::size_t rank) const;
+    double probability(std::size_t rank) const;
 
   private:
     std::vector<double> upTo_;
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -11,8 +11,8 @@
 using fakes::Ledger;
 using fakes::Line;
 
-audit::Terms terms() {
-    audit::Terms t;
+audit::AuditSettings terms() {
+    audit::AuditSettings t;
     t.rooms["paid"] = {5 * kSecond, true, 1, 2};
     t.rooms["open"] = {3 * kSecond, false, 0, 0};
     t.warmUp = 10 * kSecond;
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -129,7 +129,7 @@
         return out;
     }
     std::vector<audit::RuleViolation> breaches() {
-        audit::Terms t;
+        audit::AuditSettings t;
         t.rooms["open"] = {1'500'000, false, 0, 0};
         t.rooms["paid"] = {1'500'000, true, 0, 3};
         t.warmUp = make.warmUp;
@@ -140,7 +140,7 @@
         t.budgetFree = 5;
         t.budgetShare = 0.1;
         t.budgetWindow = 10 * kSecond;
-        return audit::all(ledger, t, {});
+        return audit::checkAllRules(ledger, t, {});
     }
 };
 
--- a/tests/workload_test.cpp
+++ b/tests/workload_test.cpp
@@ -206,12 +206,12 @@
 
 TEST(Zipf, AHotTalkTakesItsPartOnTopOfItsRank) {
     const Zipf plain(10, 1, 0), hot(10, 1, 0.5);
-    EXPECT_NEAR(plain.part(0) / plain.part(1), 2, 1e-9);
-    EXPECT_NEAR(hot.part(0), 0.5 + 0.5 * plain.part(0), 1e-9);
+    EXPECT_NEAR(plain.probability(0) / plain.probability(1), 2, 1e-9);
+    EXPECT_NEAR(hot.probability(0), 0.5 + 0.5 * plain.probability(0), 1e-9);
     std::knuth_b chance(1);
     std::vector<int> seen(10, 0);
     for (int i = 0; i < 20'000; ++i) ++seen[hot.draw(chance)];
-    EXPECT_NEAR(seen[0] / 20'000.0, hot.part(0), 0.02);
+    EXPECT_NEAR(seen[0] / 20'000.0, hot.probability(0), 0.02);
 }
 
 TEST(Patience, HalfAreGoneAtItsHalfTimeAndStallsCount) {
