--- a/src/fakes/box.cpp
+++ b/src/fakes/box.cpp
@@ -476,7 +476,7 @@
     const int member = sub == subs_.end() ? -1 : r.memberOf(sub->second.trace);
     if (member >= 0) path.push_back(r.members[static_cast<std::size_t>(member)]);
     job.travels =
-        r.transfers.begin(fleet_.net_.now(), path, job.kb * 1000 * kPaceOver, static_cast<double>(job.left));
+        r.transfers.start(fleet_.net_.now(), path, job.kb * 1000 * kPaceOver, static_cast<double>(job.left));
     r.jobs[job.travels] = {id_, job.key};
     fleet_.arrive_.soon();
 }
@@ -592,7 +592,7 @@
     const Micros now = net_.now();
     const auto set = [&](workload::LinkNo link, double bytes) {
         if (std::abs(roads_->links.capacity(link) - bytes) > 1e-9 * bytes)
-            roads_->transfers.capacity(now, link, bytes);
+            roads_->transfers.setCapacity(now, link, bytes);
     };
     for (std::size_t i = 0; i < roads_->members.size(); ++i)
         set(roads_->members[i], roads_->memberKb[i] * memberFactor[i] * 1000);
@@ -605,14 +605,14 @@
 }
 
 void BoxFleet::arrive() {
-    for (const workload::Transfers::Id id : roads_->transfers.ended(net_.now())) {
+    for (const workload::Transfers::Id id : roads_->transfers.takeEnded(net_.now())) {
         const auto it = roads_->jobs.find(id);
         if (it == roads_->jobs.end()) continue;
         const auto [box, job] = it->second;
         roads_->jobs.erase(it);
         boxes_.at(box)->arrived(job);
     }
-    if (const auto next = roads_->transfers.next()) arrive_.at(*next);
+    if (const auto next = roads_->transfers.nextEnd()) arrive_.at(*next);
 }
 
 void BoxFleet::tick() {
--- a/src/fakes/player.cpp
+++ b/src/fakes/player.cpp
@@ -72,7 +72,7 @@
     std::int64_t top = plan_.topKbits;
     if (abr_ && abr_->throughputKb() && playout_) {
         const int now = map_.compare(0, 5, "init-") == 0 ? std::atoi(map_.c_str() + 5) : 0;
-        const int own = abr_->choose(playout_->buffered(net_.now()), plan_.bufferMost, now);
+        const int own = abr_->chooseRung(playout_->buffered(net_.now()), plan_.bufferMost, now);
         const auto kbits =
             static_cast<std::int64_t>(plan_.ownLadderKb[static_cast<std::size_t>(own)] * 8 + 0.5);
         top = top > 0 ? std::min(top, kbits) : kbits;
@@ -165,7 +165,7 @@
     Line l = line("ask");
     l.number = static_cast<double>(plan_.room.joinObjective);
     ledger_.add(l);
-    timer_.after(plan_.patience ? std::min(plan_.room.clientTimeout, plan_.patience->bears(waited_, 0))
+    timer_.after(plan_.patience ? std::min(plan_.room.clientTimeout, plan_.patience->remaining(waited_, 0))
                                 : plan_.room.clientTimeout);
     fetch("/talk/" + http::percentEncoded(plan_.title) +
           "/main.m3u8?room=" + http::percentEncoded(plan_.room.name));
@@ -178,7 +178,7 @@
     Line l = line("stall");
     l.number = static_cast<double>(stalled - std::exchange(stalledTold_, stalled));
     ledger_.add(l);
-    if (plan_.patience && plan_.patience->gone(waited_, stalled)) {
+    if (plan_.patience && plan_.patience->hasGivenUp(waited_, stalled)) {
         ledger_.add(line("abandon"));
         leave();
     }
@@ -201,7 +201,7 @@
     timer_.cancel();
     const bool timeLeft = until_ == 0 || net_.now() < until_;
     if (state_ == State::Asking) waited_ += net_.now() - askedAt_;
-    const auto wait = workload::comesAgain({plan_.returns, plan_.back, plan_.honours, plan_.atOnce}, returns_,
+    const auto wait = workload::retryDelay({plan_.returns, plan_.back, plan_.honours, plan_.atOnce}, returns_,
                                            told, std::uniform_real_distribution<double>(0, 1)(chance_));
     if (!mayRepeat || !wait || !timeLeft) return leave();
     ++returns_;
@@ -304,9 +304,9 @@
         const Micros lasts = list_.segments[nextNo_ - list_.mediaSequence].duration;
         ++segments_;
         ++nextNo_;
-        if (abr_) abr_->measured(static_cast<double>(bytes_) / 1000, net_.now() - sentAt_);
+        if (abr_) abr_->addMeasurement(static_cast<double>(bytes_) / 1000, net_.now() - sentAt_);
         if (playout_) {
-            playout_->came(net_.now(), lasts);
+            playout_->addSegment(net_.now(), lasts);
             heldOut();
             if (state_ == State::Over) return;
         }
@@ -330,7 +330,7 @@
     }
     const hls::Segment& s = list_.segments[nextNo_ - list_.mediaSequence];
     if (playout_) {
-        const Micros room = playout_->roomIn(net_.now(), s.duration);
+        const Micros room = playout_->timeUntilRoom(net_.now(), s.duration);
         if (room > 0) {
             state_ = State::Waiting;
             timer_.after(std::min(room, std::max<Micros>(1, until_ - net_.now())));
--- a/src/workload/arrivals.hpp
+++ b/src/workload/arrivals.hpp
@@ -1,5 +1,5 @@
-// When viewers come: a Poisson stream whose rate changes over the day, and trains, many together from one
-// building. Decides only: no I/O, no clock; chance by the generator that is handed in.
+// Generates the load of a simulation: viewer arrivals as a Poisson process with a rate that varies over the
+// day, Zipf popularity and lognormal durations. No I/O and no clock; the caller passes the random generator.
 #pragma once
 
 #include <optional>
@@ -10,41 +10,47 @@
 
 namespace valekeel::workload {
 
-struct Flash {  // a crowd on top: its rate rises at once and falls away evenly
-    Micros at = 0, lasts = 0;
-    double times = 1;  // of the base rate, at its height
+// A flash crowd on top of the base rate: the extra rate jumps to its peak at `at` and falls linearly to 0.
+struct Flash {
+    Micros at = 0, duration = 0;
+    double peakFactor = 1;  // extra rate at the peak, as a multiple of the base rate
 };
 
+// A non-homogeneous Poisson process of arrivals.
 class Arrivals {
   public:
-    // `rate`: a second, in the mean, between `from` and `until`. With `swing` over 0 (to 1) it goes up and
-    // down around it as a sine of that `period`, lowest at `from`.
+    // `rate`: mean arrivals per second between `from` and `until`, without the flashes. A `swing` over 0 (at
+    // most 1) makes the rate follow a sine of that `period` and relative amplitude, lowest at `from`.
     Arrivals(double rate, Micros from, Micros until, double swing, Micros period, std::vector<Flash> flashes);
+    // Returns the arrivals per second at `t`; 0 outside [from, until).
     double rateAt(Micros t) const;
-    double most() const { return most_; }  // no moment has a higher rate
-    // The next one after `t`; nothing once the time is over. By thinning of a stream of the highest rate.
+    // Returns an upper bound of rateAt() over all times.
+    double maxRate() const { return maxRate_; }
+    // Returns the first arrival after `t`, empty once `until` is reached. Thins a process of rate maxRate().
     std::optional<Micros> next(Micros t, std::knuth_b&) const;
 
   private:
     double rate_, swing_;
     Micros from_, until_, period_;
     std::vector<Flash> flashes_;
-    double most_;
+    double maxRate_;
 };
 
-// A Zipf law over so many, by their rank from 0; `hot` of them all go to the first on top of it.
+// Zipf distribution over the ranks 0 to count - 1, with an additional share `hot` for rank 0.
 class Zipf {
   public:
-    Zipf(std::size_t many, double exponent, double hot);
+    Zipf(std::size_t count, double exponent, double hot);
+    // Returns a random rank.
     std::size_t draw(std::knuth_b&) const;
     double probability(std::size_t rank) const;
 
   private:
-    std::vector<double> upTo_;
+    std::vector<double> cumulative_;
 };
 
-// Lognormal, by its median and the sigma of its logarithm; cut at so many times the median.
-Micros lognormal(Micros median, double sigma, double most, std::knuth_b&);
-double unit(std::knuth_b&);  // 0 to 1, without 1
+// Returns a lognormal duration; `sigma` is that of its logarithm, `maxFactor` limits it to so many medians.
+Micros lognormal(Micros median, double sigma, double maxFactor, std::knuth_b&);
+// Returns a uniform number in [0, 1).
+double unit(std::knuth_b&);
 
 }  // namespace valekeel::workload
--- a/src/workload/fairshare.hpp
+++ b/src/workload/fairshare.hpp
@@ -1,10 +1,10 @@
-// Links that split their rate max-min fairly among the flows that cross them, each flow capped by what it
-// asks for: no flow can get more without one that has no more than it getting less. No I/O, no clock.
+// Max-min fair sharing of link capacity among the flows that cross the links, each flow capped by its demand:
+// no flow can get more unless a flow with no higher rate gets less. No I/O, no clock.
 //
-// Flows of one path and one cap all get the same rate, so they are kept as one bundle with a count. Each link
-// has a level, the most that it gives to any flow; a change makes the levels of the links it touches be found
-// anew, lowest first, and goes on to those whose flows' rates changed, until nothing does. What is far from
-// the change is not looked at. Exact up to rounding (1e-9 of a rate), whatever the order of the changes.
+// Flows with the same path and cap get the same rate and form one bundle with a count. Each link has a level,
+// the highest rate that it gives to any flow. A change recomputes the levels of the links involved, lowest
+// first, and propagates to the links whose flows changed rate, until nothing changes; other links are not
+// visited. Exact up to rounding (1e-9 of a rate), whatever the order of the changes.
 #pragma once
 
 #include <array>
@@ -19,105 +19,115 @@
 
 namespace valekeel::workload {
 
+// Index of a link in a FairShare.
 struct LinkNo {
     std::uint32_t v = 0;
     auto operator<=>(const LinkNo&) const = default;
 };
+// Index of a bundle in a FairShare.
 struct BundleNo {
     std::uint32_t v = 0;
     auto operator<=>(const BundleNo&) const = default;
 };
 
+// Links, bundles of flows and their rates. Rates are valid after settle().
 class FairShare {
   public:
-    static constexpr std::size_t kPathMost = 4;
+    static constexpr std::size_t kMaxPathLength = 4;
 
-    LinkNo addLink(double capacity);  // any unit of rate, 0 or more
+    // Adds a link. Capacities and caps share one unit of rate, 0 or more.
+    LinkNo addLink(double capacity);
     void setCapacity(LinkNo, double);
     double capacity(LinkNo n) const { return links_[n.v].capacity; }
 
-    // One flow more, or one less, of those with this path and cap. A path names each link once. A bundle that
-    // has no flows left is gone; its number may be given again.
+    // Adds a flow to, or removes one from, the bundle of this path and cap. A path names each link once, at
+    // most kMaxPathLength links (std::invalid_argument otherwise). An empty bundle is deleted and its number
+    // reused.
     BundleNo join(std::span<const LinkNo> path, double cap);
     void leave(BundleNo);
 
-    // Brings all rates in order; called by whoever reads them after a change.
+    // Recomputes the rates after changes; must be called before reading them.
     void settle();
-    double rate(BundleNo n) const { return bundles_[n.v].rate; }  // of each of its flows
+    // Returns the rate of each flow of the bundle.
+    double rate(BundleNo n) const { return bundles_[n.v].rate; }
+    // Returns the sum of the rates of all flows over the link.
     double used(LinkNo) const;
-    // Bundles whose rate the last settle() changed, those that are new among them.
+    // Returns the bundles whose rate the last settle() changed, including new ones.
     const std::vector<BundleNo>& changed() const { return changed_; }
     std::size_t flows() const { return flows_; }
     std::size_t bundles() const { return keys_.size(); }
-    std::uint64_t looks() const { return looks_; }  // levels found since the start: the work done
+    // Returns how many link levels were computed so far: a measure of the work done.
+    std::uint64_t levelComputations() const { return levelComputations_; }
 
   private:
     struct Bundle {
-        std::array<std::uint32_t, kPathMost> links{};
-        std::array<std::uint32_t, kPathMost> places{};  // of it in each link's list
+        std::array<std::uint32_t, kMaxPathLength> links{};
+        std::array<std::uint32_t, kMaxPathLength> positions{};  // in each link's bundle list
         std::size_t length = 0, count = 0;
         double cap = 0, rate = 0;
-        bool told = false;
+        bool isChanged = false;
     };
     struct Link {
         double capacity = 0, level = 0;
         std::vector<std::uint32_t> bundles;
-        bool due = false;
+        bool isDirty = false;
     };
-    using Key = std::pair<std::array<std::uint32_t, kPathMost>, double>;
-    void mark(std::uint32_t link);
-    void findLevel(std::uint32_t link);
+    using Key = std::pair<std::array<std::uint32_t, kMaxPathLength>, double>;
+    void markDirty(std::uint32_t link);
+    void computeLevel(std::uint32_t link);
     double rateOf(const Bundle&) const;
 
     std::vector<Link> links_;
     std::vector<Bundle> bundles_;
-    std::vector<std::uint32_t> free_;
+    std::vector<std::uint32_t> freeBundles_;
     std::map<Key, std::uint32_t> keys_;
-    std::set<std::pair<double, std::uint32_t>> due_;  // by the level it had: low ones settle first
+    std::set<std::pair<double, std::uint32_t>> dirty_;  // by the previous level, lowest first
     std::vector<BundleNo> changed_;
     std::vector<std::pair<double, std::size_t>> scratch_;
     std::size_t flows_ = 0;
-    std::uint64_t looks_ = 0;
+    std::uint64_t levelComputations_ = 0;
 };
 
-// What is sent over such links: each transfer has so many bytes to go, and ends when they are through. The
-// flows of a bundle progress alike, so a bundle keeps one sum of what each of them got, and its transfers by
-// the sum at which they end: a change of rate costs the same however many there are.
+// Transfers of a given size over the links of a FairShare. The flows of a bundle progress alike, so a bundle
+// keeps one cumulative amount per flow, and its transfers sorted by the amount at which they end: the cost of
+// a rate change doesn't depend on their number. `links` must outlive it. `now` must not decrease.
 class Transfers {
   public:
     using Id = std::uint64_t;
     explicit Transfers(FairShare& links) : links_(links) {}
 
-    // `amount` in units of rate times seconds.
-    Id begin(Micros now, std::span<const LinkNo> path, double cap, double amount);
-    double cancel(Micros now, Id);  // what was left of it
-    double left(Micros now, Id);
-    void capacity(Micros now, LinkNo, double);
-    // When the next one ends, as things stand; nothing if none ever does.
-    std::optional<Micros> next();
-    // Those that have ended by now, oldest end first; each is told once.
-    std::vector<Id> ended(Micros now);
-    std::size_t size() const { return all_.size(); }
+    // Starts a transfer; `amount` is in units of rate times seconds.
+    Id start(Micros now, std::span<const LinkNo> path, double cap, double amount);
+    // Cancels a transfer and returns the remaining amount; 0 for an unknown id.
+    double cancel(Micros now, Id);
+    // Returns the remaining amount; 0 for an unknown id.
+    double remaining(Micros now, Id);
+    void setCapacity(Micros now, LinkNo, double);
+    // Returns when the next transfer ends at the current rates, empty if none does.
+    std::optional<Micros> nextEnd();
+    // Removes and returns the transfers that have ended by `now`, earliest first.
+    std::vector<Id> takeEnded(Micros now);
+    std::size_t size() const { return transfers_.size(); }
 
   private:
     struct Progress {
-        double sum = 0, rate = 0;
-        Micros at = 0;
-        std::set<std::pair<double, Id>> ends;  // by the sum at which they end
+        double sum = 0, rate = 0;  // amount that each flow has got, and its current rate
+        Micros updatedAt = 0;
+        std::set<std::pair<double, Id>> ends;  // by the sum at which each transfer ends
     };
-    struct One {
+    struct Transfer {
         BundleNo bundle;
         double end = 0;
     };
     void advance(Progress&, Micros now);
     void settle(Micros now);
-    void note(std::uint32_t bundle);
+    void scheduleEnd(std::uint32_t bundle);
     FairShare& links_;
     std::vector<Progress> progress_;
-    std::map<Id, One> all_;
-    std::set<std::pair<Micros, std::uint32_t>> due_;  // when each bundle's first one ends
+    std::map<Id, Transfer> transfers_;
+    std::set<std::pair<Micros, std::uint32_t>> due_;  // when the first transfer of each bundle ends
     std::vector<Micros> dueAt_;
-    Id next_ = 1;
+    Id nextId_ = 1;
 };
 
 }  // namespace valekeel::workload
--- a/src/workload/viewer.hpp
+++ b/src/workload/viewer.hpp
@@ -1,5 +1,5 @@
-// What a viewer and its player do, without I/O or a clock: how long it waits, what its buffer holds, which
-// rung its own measure would take, when it comes again.
+// Model of a viewer and its player, without I/O or a clock: how long it waits, the playout buffer,
+// client-side rung adaptation and retries. Times passed as `now` must not decrease.
 #pragma once
 
 #include <optional>
@@ -9,65 +9,74 @@
 
 namespace valekeel::workload {
 
-// A viewer's patience: the hazard of giving up grows with what it has waited for a start, and with each
-// second that playing stood still. Drawn once: `threshold` is exponential with mean 1, and the viewer goes
-// when the hazard's sum passes it.
+// When a viewer gives up. The hazard grows with the time waited for the start and with the time stalled. The
+// viewer gives up when the cumulative hazard reaches `threshold`, drawn once from an exponential distribution
+// with mean 1.
 class Patience {
   public:
-    // `half`: after this much waiting half of all viewers are gone. A second of stalls weighs as
+    // `half`: waiting time after which half of all viewers have given up. A second of stalling counts as
     // `stallWeight` seconds of waiting.
     Patience(Micros half, double stallWeight, double threshold);
-    bool gone(Micros waited, Micros stalled) const;
-    // How much more waiting it bears before it goes, if nothing comes.
-    Micros bears(Micros waited, Micros stalled) const;
+    bool hasGivenUp(Micros waited, Micros stalled) const;
+    // Returns how much longer the viewer waits, given the time waited and stalled so far.
+    Micros remaining(Micros waited, Micros stalled) const;
 
   private:
     double scale_, stallWeight_, threshold_;
 };
 
-// The playout buffer. Playing starts, and starts again after a stall, with `startWith` in it.
+// The playout buffer, measured in microseconds of media. Playback starts, also after a stall, once it holds
+// `startWith`.
 class Playout {
   public:
-    Playout(Micros startWith, Micros holdAtMost) : startWith_(startWith), most_(holdAtMost) {}
-    void came(Micros now, Micros duration);
+    Playout(Micros startWith, Micros maxBuffered) : startWith_(startWith), maxBuffered_(maxBuffered) {}
+    // Adds a segment of that duration.
+    void addSegment(Micros now, Micros duration);
     Micros buffered(Micros now);
-    // How long the next fetch may wait until there is room for it.
-    Micros roomIn(Micros now, Micros duration);
-    Micros stalled(Micros now);  // in all, without the start
+    // Returns how long to wait until a segment of that duration fits; 0 while not playing.
+    Micros timeUntilRoom(Micros now, Micros duration);
+    // Returns the total time stalled, without the wait before the first start.
+    Micros stalled(Micros now);
     std::uint64_t stalls() const { return stalls_; }
     std::optional<Micros> startedAt() const { return startedAt_; }
 
   private:
     void advance(Micros now);
-    Micros startWith_, most_;
-    Micros held_ = 0, at_ = 0, stalled_ = 0;
-    bool plays_ = false;
+    Micros startWith_, maxBuffered_;
+    Micros buffered_ = 0, updatedAt_ = 0, stalled_ = 0;
+    bool isPlaying_ = false;
     std::optional<Micros> startedAt_;
     std::uint64_t stalls_ = 0;
 };
 
-// The rung that a player would take of itself: by the throughput it measured, less a margin, and by its
-// buffer: one that runs low takes a lower rung, one that is full may try the next.
+// Client-side adaptive bitrate: chooses a rung by the measured throughput less a safety margin, which is
+// larger when the buffer runs low. A nearly full buffer prevents a step down.
 class Abr {
   public:
-    explicit Abr(std::vector<double> rungKb) : kb_(std::move(rungKb)) {}
-    void measured(double kilobytes, Micros took);
-    int choose(Micros buffered, Micros bufferMost, int now) const;
-    std::optional<double> throughputKb() const { return seen_; }
+    // `rungKb`: kB/s of each rung, ascending, not empty.
+    explicit Abr(std::vector<double> rungKb) : rungKb_(std::move(rungKb)) {}
+    // Adds a download of that size and duration to the throughput estimate.
+    void addMeasurement(double kilobytes, Micros took);
+    // Returns the rung to use, at most one above `current`; `current` while nothing is measured.
+    int chooseRung(Micros buffered, Micros maxBuffered, int current) const;
+    // Returns the estimate in kB/s, empty before the first measurement.
+    std::optional<double> throughputKb() const { return throughputKb_; }
 
   private:
-    std::vector<double> kb_;
-    std::optional<double> seen_;  // a harmonic mean that forgets: slow segments count most
+    std::vector<double> rungKb_;
+    std::optional<double> throughputKb_;  // exponentially smoothed harmonic mean: slow segments weigh most
 };
 
-// When one comes again that was turned away or cut off.
-struct Returning {
-    int times = 1;
-    Micros back = 500'000;  // where no time was told
-    bool honours = true;    // a time that was told
-    bool atOnce = false;    // comes again at once, whatever was told
+// How a viewer retries after it was throttled or cut off.
+struct RetryBehavior {
+    int maxRetries = 1;
+    Micros delay = 500'000;  // used without a Retry-After
+    bool honoursRetryAfter = true;
+    bool isImmediate = false;  // retries at once, whatever Retry-After says
 };
-// Nothing: it doesn't. `spread` 0 to 1: of the viewer's own delay.
-std::optional<Micros> comesAgain(const Returning&, int returned, std::optional<Micros> told, double spread);
+// Returns the delay before the next retry, empty if the viewer gives up. `retries`: made so far; `spread`: 0
+// to 1, scales the random extra delay.
+std::optional<Micros> retryDelay(const RetryBehavior&, int retries, std::optional<Micros> retryAfter,
+                                 double spread);
 
 }  // namespace valekeel::workload
