--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -12,150 +12,155 @@
 
 namespace {
 
-std::string at(const Line& l) {
+// Returns the trace id and time of an entry, appended to each description.
+std::string location(const Line& l) {
     return " (trace " + l.trace + ", at " + std::to_string(l.at) + " us)";
 }
 
 }  // namespace
 
-// Rule 1. What counts is what came out of the player's own socket.
-std::vector<RuleViolation> oneAnswer(const Ledger& ledger, const AuditSettings& terms,
-                                     const Downtimes& down) {
+// Counts only what arrived on the player's own socket.
+std::vector<RuleViolation> checkOneAnswer(const Ledger& ledger, const AuditSettings& settings,
+                                          const Downtimes& down) {
     std::vector<RuleViolation> out;
-    struct Ask {
+    struct Request {
         const Line* asked = nullptr;
         int answers = 0;
         bool excused = false;
     };
-    std::map<std::string, Ask> asks;
-    // A front that is killed breaks its connections then and there; one that stands still answers nothing
-    // until it goes on. So the moment at which nothing came must lie in that time.
+    std::map<std::string, Request> requests;  // by trace id
+    // A killed front breaks its connections at once; a paused one answers nothing until it resumes. So the
+    // missing answer must be noticed within the downtime.
     const auto wasDown = [&](const std::string& front, Micros when) {
         const auto [first, last] = down.equal_range(front);
         return std::any_of(first, last, [&](const auto& d) {
-            return d.second.first <= when && when <= d.second.second + terms.onTheWay;
+            return d.second.first <= when && when <= d.second.second + settings.transitTolerance;
         });
     };
     const auto wasDownWithin = [&](const Line& l, Micros asked) {
         const auto [first, last] = down.equal_range(l.front);
-        const auto room = terms.rooms.find(l.room);
-        const Micros had = room == terms.rooms.end() ? 0 : room->second.clientTimeout;
+        const auto room = settings.rooms.find(l.room);
+        const Micros timeout = room == settings.rooms.end() ? 0 : room->second.clientTimeout;
         return std::any_of(first, last, [&](const auto& d) {
-            return d.second.first <= asked + had && asked <= d.second.second + terms.onTheWay;
+            return d.second.first <= asked + timeout && asked <= d.second.second + settings.transitTolerance;
         });
     };
     for (const Line& l : ledger.lines()) {
         if (l.player < 0) continue;
         if (l.what == "ask") {
-            asks[l.trace].asked = &l;
+            requests[l.trace].asked = &l;
         } else if (l.what == "answer") {
-            Ask& ask = asks[l.trace];
-            ++ask.answers;
-            const auto room = terms.rooms.find(l.room);
-            if (room != terms.rooms.end() && l.number > static_cast<double>(room->second.clientTimeout))
-                out.push_back({1, "answered after the client timeout" + at(l)});
+            Request& request = requests[l.trace];
+            ++request.answers;
+            const auto room = settings.rooms.find(l.room);
+            if (room != settings.rooms.end() && l.number > static_cast<double>(room->second.clientTimeout))
+                out.push_back({1, "answered after the client timeout" + location(l)});
             const bool known = l.face == "sip"
                                    ? l.status == 200 || l.status == 486 || l.status == 487 ||
                                          l.status == 500 || l.status == 503 || l.status == 504
                                    : l.status == 200 || l.status == 502 || l.status == 503 || l.status == 504;
             if (!known)
-                out.push_back(
-                    {1, "answered " + std::to_string(l.status) + ", which is none of the answers" + at(l)});
+                out.push_back({1, "answered " + std::to_string(l.status) + ", which is not a known status" +
+                                      location(l)});
         } else if (l.what == "second-answer") {
-            out.push_back({1, "answered a second time" + at(l)});
+            out.push_back({1, "answered a second time" + location(l)});
         } else if (l.what == "no-answer") {
-            Ask& ask = asks[l.trace];
-            // What a killed front held is no longer its duty; nor was it taken where nobody listened.
-            // Over datagrams nothing breaks: the front must have been down in the time it had to answer in.
-            if (ask.asked && (l.face == "sip" ? wasDownWithin(l, ask.asked->at) : wasDown(l.front, l.at)))
-                ask.excused = true;
+            Request& request = requests[l.trace];
+            // A killed front isn't responsible for the requests it held, nor for those it never accepted.
+            // Over datagrams no connection breaks: the front must have been down before the client timeout.
+            if (request.asked &&
+                (l.face == "sip" ? wasDownWithin(l, request.asked->at) : wasDown(l.front, l.at)))
+                request.excused = true;
             else
-                out.push_back({1, std::string(l.status == 1 ? "its connection broke"
-                                                            : "no answer came by the client timeout") +
-                                      ", front " + l.front + at(l)});
+                out.push_back({1, std::string(l.status == 1 ? "connection broke before the answer"
+                                                            : "no answer within the client timeout") +
+                                      ", front " + l.front + location(l)});
         }
     }
-    for (const auto& [trace, ask] : asks) {
-        if (!ask.asked) continue;
-        if (ask.answers > 1)
-            out.push_back({1, "answered " + std::to_string(ask.answers) + " times" + at(*ask.asked)});
+    for (const auto& [trace, request] : requests) {
+        if (!request.asked) continue;
+        if (request.answers > 1)
+            out.push_back(
+                {1, "answered " + std::to_string(request.answers) + " times" + location(*request.asked)});
     }
     return out;
 }
 
-// Rule 2. The trace id of an ask stands on each of its joins; a box writes "charged" when a set-up has begun.
-std::vector<RuleViolation> noSetUpTwice(const Ledger& ledger, const AuditSettings& terms) {
+// All joins of a request carry its trace id; a box writes "charged" when a set-up starts.
+std::vector<RuleViolation> checkNoRepeatedSetUp(const Ledger& ledger, const AuditSettings& settings) {
     std::vector<RuleViolation> out;
-    struct Way {
+    struct Joins {
         int charged = 0;
-        std::map<int, Micros>
-            open;  // joins out, by number: since when another was out beside it; 0: none was
+        // Open joins by number, with the time since which another one was open as well; 0: none was.
+        std::map<int, Micros> open;
     };
-    std::map<std::string, Way> ways;
+    std::map<std::string, Joins> joins;  // by trace id
     for (const Line& l : ledger.lines()) {
         if (l.trace.empty()) continue;
-        const auto room = terms.rooms.find(l.room);
-        const bool paid = room != terms.rooms.end() && room->second.paid;
+        const auto room = settings.rooms.find(l.room);
+        const bool paid = room != settings.rooms.end() && room->second.paid;
         if (l.box >= 0) {
-            Way& way = ways[l.trace];
+            Joins& request = joins[l.trace];
             if (l.what == "arrive") {
-                for (auto& [join, beside] : way.open)
+                for (auto& [join, beside] : request.open)
                     if (join != l.join && beside == 0) beside = l.at;
-                way.open[l.join] = 0;
-                if (paid && way.charged > 0)
-                    out.push_back({2, "a paid set-up is sent again after one that ran" + at(l)});
+                request.open[l.join] = 0;
+                if (paid && request.charged > 0)
+                    out.push_back({2, "a paid set-up was sent again after one that ran" + location(l)});
             } else if (l.what == "charged") {
-                ++way.charged;
-                if (paid && way.charged > 1) out.push_back({2, "a paid set-up ran twice" + at(l)});
+                ++request.charged;
+                if (paid && request.charged > 1) out.push_back({2, "a paid set-up ran twice" + location(l)});
             } else if (l.what == "unseen" || l.what == "plays" || l.what == "answer-lost" ||
                        l.what == "error" || l.what == "called-off") {
-                // What is called off is still on its way to the box when the next one arrives elsewhere.
-                const auto open = way.open.find(l.join);
-                if (open != way.open.end()) {
-                    if (open->second > 0 && l.at - open->second > terms.onTheWay)
-                        out.push_back({2, "two joins out at once" + at(l)});
-                    way.open.erase(open);
+                // A cancellation may still be in transit to the box when the next join arrives elsewhere.
+                const auto open = request.open.find(l.join);
+                if (open != request.open.end()) {
+                    if (open->second > 0 && l.at - open->second > settings.transitTolerance)
+                        out.push_back({2, "two joins open at once" + location(l)});
+                    request.open.erase(open);
                 }
             }
         } else if (l.what == "answer" && (l.status == 503 || l.status == 486) && paid) {
-            const auto way = ways.find(l.trace);
-            if (way != ways.end() && way->second.charged > 0)
-                out.push_back({2, "a paid set-up that ran is throttled" + at(l)});
+            const auto request = joins.find(l.trace);
+            if (request != joins.end() && request->second.charged > 0)
+                out.push_back({2, "a subscription was throttled although its paid set-up ran" + location(l)});
         }
     }
     return out;
 }
 
-// Rule 3. Counted from when the list's line went out to that very front.
-std::vector<RuleViolation> drainsKept(const Ledger& ledger, const AuditSettings& terms) {
+// The grace starts when the list entry was sent to the front in question.
+std::vector<RuleViolation> checkDraining(const Ledger& ledger, const AuditSettings& settings) {
     std::vector<RuleViolation> out;
-    std::map<std::pair<std::string, int>, Micros> off;  // front and box: told so, at
+    // When a front was notified that a box is off or fading, by front and box.
+    std::map<std::pair<std::string, int>, Micros> notified;
     for (const Line& l : ledger.lines()) {
         if (l.what == "told") {
             const auto key = std::pair{l.front, l.box};
             if (l.status == 0)
-                off.erase(key);
+                notified.erase(key);
             else
-                off.try_emplace(key, l.at);
+                notified.try_emplace(key, l.at);
         } else if (l.what == "arrive") {
-            const auto told = off.find({l.front, l.box});
-            if (told != off.end() && l.at > told->second + terms.drainGrace + terms.onTheWay)
-                out.push_back({3, "front " + l.front + " sends to box " + std::to_string(l.box) + " " +
-                                      std::to_string((l.at - told->second) / 1000) + " ms after it was told" +
-                                      at(l)});
+            const auto notice = notified.find({l.front, l.box});
+            if (notice != notified.end() &&
+                l.at > notice->second + settings.drainGrace + settings.transitTolerance)
+                out.push_back({3, "front " + l.front + " sent a join to box " + std::to_string(l.box) + " " +
+                                      std::to_string((l.at - notice->second) / 1000) +
+                                      " ms after it was notified" + location(l)});
         }
     }
     return out;
 }
 
-// Rule 4. All fronts together, in any span: what arrives at a box that is still cold.
-std::vector<RuleViolation> coldSpared(const Ledger& ledger, const AuditSettings& terms) {
+// Counts the joins of all fronts together that arrive at a cold box within any span of tipAfter.
+std::vector<RuleViolation> checkColdStart(const Ledger& ledger, const AuditSettings& settings) {
     std::vector<RuleViolation> out;
     struct Box {
         Micros started = 0;
         double places = 0;
-        std::deque<Micros> arrived;
-        bool told = false;
+        std::deque<Micros> arrivals;
+        bool isReported = false;
     };
     std::map<int, Box> boxes;
     for (const Line& l : ledger.lines()) {
@@ -164,104 +169,111 @@
         if (l.what == "started") {
             box = Box{l.at, l.number, {}, false};
         } else if (l.what == "fell") {
-            out.push_back({4, "box " + std::to_string(l.box) + " was pushed over" + at(l)});
-        } else if (l.what == "arrive" && box.places > 0 && terms.warmUp > 0) {
+            out.push_back({4, "box " + std::to_string(l.box) + " fell over under its set-ups" + location(l)});
+        } else if (l.what == "arrive" && box.places > 0 && settings.warmUp > 0) {
             const Micros age = l.at - box.started;
-            if (age >= terms.warmUp) continue;
-            box.arrived.push_back(l.at);
-            while (box.arrived.front() <= l.at - terms.tipAfter) box.arrived.pop_front();
+            if (age >= settings.warmUp) continue;
+            box.arrivals.push_back(l.at);
+            while (box.arrivals.front() <= l.at - settings.tipAfter) box.arrivals.pop_front();
             const double share =
-                terms.firstShare + (1 - terms.firstShare) * seconds(age) / seconds(terms.warmUp);
-            const double bears =
-                terms.fallMultiple * box.places / seconds(terms.warmUp) * share * seconds(terms.tipAfter);
-            if (static_cast<double>(box.arrived.size()) > bears + 1 && !box.told) {
-                box.told = true;
-                out.push_back({4, "box " + std::to_string(l.box) + ", cold, is sent " +
-                                      std::to_string(box.arrived.size()) + " set-ups in a span that bears " +
-                                      std::to_string(static_cast<int>(bears)) + at(l)});
+                settings.firstShare + (1 - settings.firstShare) * seconds(age) / seconds(settings.warmUp);
+            const double capacity = settings.fallMultiple * box.places / seconds(settings.warmUp) * share *
+                                    seconds(settings.tipAfter);
+            if (static_cast<double>(box.arrivals.size()) > capacity + 1 && !box.isReported) {
+                box.isReported = true;
+                out.push_back({4, "box " + std::to_string(l.box) + ", cold, was sent " +
+                                      std::to_string(box.arrivals.size()) +
+                                      " set-ups within tipAfter, but can take " +
+                                      std::to_string(static_cast<int>(capacity)) + location(l)});
             }
         }
     }
     return out;
 }
 
-// Rule 5. A seat is taken from the join's arrival until the box is told, or knows, that it is over.
-std::vector<RuleViolation> termsKept(const Ledger& ledger, const AuditSettings& terms) {
+// A seat is taken from the arrival of the join until the box learns or decides that the subscription ended.
+std::vector<RuleViolation> checkRoomLimits(const Ledger& ledger, const AuditSettings& settings) {
     std::vector<RuleViolation> out;
-    struct Holding {
+    struct Seats {
         std::set<std::string> subs;
         Micros overSince = 0;
-        bool told = false;
+        bool isReported = false;
     };
-    std::map<std::tuple<std::string, std::string, std::string>, Holding> held;
+    // By front, title and room.
+    std::map<std::tuple<std::string, std::string, std::string>, Seats> taken;
     for (const Line& l : ledger.lines()) {
         if (l.box < 0) continue;
-        const auto room = terms.rooms.find(l.room);
-        if (room == terms.rooms.end()) continue;
+        const auto room = settings.rooms.find(l.room);
+        if (room == settings.rooms.end()) continue;
         if ((l.what == "arrive" || l.what == "segment") && l.rung >= 0 && l.rung < room->second.floor)
-            out.push_back({5, "rung " + std::to_string(l.rung) + " is under the floor of " + l.room + at(l)});
+            out.push_back({5, "rung " + std::to_string(l.rung) + " is below the lowest rung of " + l.room +
+                                  location(l)});
         if (room->second.seats <= 0) continue;
-        Holding& holding = held[{l.front, l.title, l.room}];
-        const auto tooMany = [&] { return static_cast<int>(holding.subs.size()) > room->second.seats; };
-        // What a front gave back a moment ago may still be on its way to the box: only what lasts counts.
-        if (tooMany() && l.at - holding.overSince > terms.onTheWay && !std::exchange(holding.told, true))
-            out.push_back({5, "front " + l.front + " holds " + std::to_string(holding.subs.size()) + " of " +
+        Seats& seats = taken[{l.front, l.title, l.room}];
+        const auto tooMany = [&] { return static_cast<int>(seats.subs.size()) > room->second.seats; };
+        // A release may still be in transit to the box: only an excess that lasts longer counts.
+        if (tooMany() && l.at - seats.overSince > settings.transitTolerance &&
+            !std::exchange(seats.isReported, true))
+            out.push_back({5, "front " + l.front + " holds " + std::to_string(seats.subs.size()) + " of " +
                                   std::to_string(room->second.seats) + " seats of '" + l.title + "'" +
-                                  at(l)});
+                                  location(l)});
         const bool before = tooMany();
         if (l.what == "arrive")
-            holding.subs.insert(l.sub);
+            seats.subs.insert(l.sub);
         else if (l.what == "unseen" || l.what == "error" || l.what == "called-off" ||
                  l.what == "answer-lost" || l.what == "release" || l.what == "expired" || l.what == "gone")
-            holding.subs.erase(l.sub);
-        if (tooMany() && !before) holding.overSince = l.at;
+            seats.subs.erase(l.sub);
+        if (tooMany() && !before) seats.overSince = l.at;
     }
     return out;
 }
 
-// Rule 6. A front's joins with a number over 0 are its further ones; what it took is what players asked it.
-std::vector<RuleViolation> budgetKept(const Ledger& ledger, const AuditSettings& terms) {
+// Joins of a front with a number over 0 are its further ones; its requests are counted where players sent
+// them.
+std::vector<RuleViolation> checkJoinBudget(const Ledger& ledger, const AuditSettings& settings) {
     std::vector<RuleViolation> out;
-    if (!terms.budgeted) return out;
+    if (!settings.budgeted) return out;
     struct Front {
-        std::deque<Micros> asked, further;
-        bool told = false;
+        std::deque<Micros> requests, furtherJoins;
+        bool isReported = false;
     };
     std::map<std::string, Front> fronts;
     for (const Line& l : ledger.lines()) {
         if (l.what == "ask") {
-            fronts[l.front].asked.push_back(l.at);
+            fronts[l.front].requests.push_back(l.at);
         } else if (l.what == "arrive" && l.join > 0) {
             Front& f = fronts[l.front];
-            f.further.push_back(l.at);
-            while (!f.further.empty() && f.further.front() <= l.at - terms.budgetWindow)
-                f.further.pop_front();
-            while (!f.asked.empty() && f.asked.front() <= l.at - terms.budgetWindow - terms.onTheWay)
-                f.asked.pop_front();
-            const double most = terms.budgetFree + terms.budgetShare * static_cast<double>(f.asked.size());
-            if (static_cast<double>(f.further.size()) > most + 0.5 && !f.told) {
-                f.told = true;
-                out.push_back({6, "front " + l.front + " sends " + std::to_string(f.further.size()) +
-                                      " further joins where " + std::to_string(most) + " are allowed" +
-                                      at(l)});
+            f.furtherJoins.push_back(l.at);
+            while (!f.furtherJoins.empty() && f.furtherJoins.front() <= l.at - settings.budgetWindow)
+                f.furtherJoins.pop_front();
+            while (!f.requests.empty() &&
+                   f.requests.front() <= l.at - settings.budgetWindow - settings.transitTolerance)
+                f.requests.pop_front();
+            const double allowed =
+                settings.budgetFree + settings.budgetShare * static_cast<double>(f.requests.size());
+            if (static_cast<double>(f.furtherJoins.size()) > allowed + 0.5 && !f.isReported) {
+                f.isReported = true;
+                out.push_back({6, "front " + l.front + " sent " + std::to_string(f.furtherJoins.size()) +
+                                      " further joins where " + std::to_string(allowed) + " are allowed" +
+                                      location(l)});
             }
         }
     }
     return out;
 }
 
-std::vector<RuleViolation> checkAllRules(const Ledger& ledger, const AuditSettings& terms,
+std::vector<RuleViolation> checkAllRules(const Ledger& ledger, const AuditSettings& settings,
                                          const Downtimes& down) {
     std::vector<RuleViolation> out;
-    const auto put = [&](std::vector<RuleViolation> some) {
-        out.insert(out.end(), some.begin(), some.end());
+    const auto append = [&](std::vector<RuleViolation> violations) {
+        out.insert(out.end(), violations.begin(), violations.end());
     };
-    put(oneAnswer(ledger, terms, down));
-    put(noSetUpTwice(ledger, terms));
-    put(drainsKept(ledger, terms));
-    put(coldSpared(ledger, terms));
-    put(termsKept(ledger, terms));
-    put(budgetKept(ledger, terms));
+    append(checkOneAnswer(ledger, settings, down));
+    append(checkNoRepeatedSetUp(ledger, settings));
+    append(checkDraining(ledger, settings));
+    append(checkColdStart(ledger, settings));
+    append(checkRoomLimits(ledger, settings));
+    append(checkJoinBudget(ledger, settings));
     return out;
 }
 
--- a/src/fakes/box.cpp
+++ b/src/fakes/box.cpp
@@ -7,9 +7,9 @@
 namespace valekeel::fakes {
 namespace {
 
-constexpr Micros kTick = 20'000;
-constexpr double kPaceOver = 1.15;  // a segment comes a little faster than it plays, where there is room
-constexpr std::size_t kUnsentMost = 64'000;
+constexpr Micros kTickInterval = 20'000;
+constexpr double kPaceFactor = 1.15;  // a segment is sent a little faster than it plays if capacity allows
+constexpr std::size_t kMaxUnsentBytes = 64'000;
 
 const std::string& filler() {
     static const std::string kBytes(65'536, '\x5a');
@@ -27,7 +27,7 @@
     for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(v >> shift & 0xff);
     return out;
 }
-// The head of a fragment: a styp box, and an mdat box that holds all the rest.
+// Returns the head of a fragment: a styp box, and the header of an mdat box that holds the rest.
 std::string fragmentHead(std::uint64_t bytes) {
     return be32(16) + "stypmsdh" + be32(0) + be32(bytes - 16) + "mdat";
 }
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-// One request that is being worked on.
+// One request in progress.
 class Box::Job final : public http::ExchangeHandler {
   public:
     Job(Box& box, std::uint64_t key, http::Exchange& exchange)
@@ -54,10 +54,10 @@
     }
     ~Job() override {
         if (exchange) exchange->setHandler(nullptr);
-        if (travels) {
-            box.fleet_.roads_->jobs.erase(travels);
-            box.fleet_.roads_->transfers.cancel(box.fleet_.net_.now(), travels);
-            box.fleet_.arrive_.soon();
+        if (transfer) {
+            box.fleet_.linkModel_->jobs.erase(transfer);
+            box.fleet_.linkModel_->transfers.cancel(box.fleet_.net_.now(), transfer);
+            box.fleet_.transferEnd_.soon();
         }
     }
     void onConnectionLost() override {
@@ -68,12 +68,12 @@
             l.what = "called-off";
             box.fleet_.ledger_.add(l);
             if (working) {
-                --box.setUpsNow_;
+                --box.runningSetUps_;
                 working = false;
             }
             std::erase(box.setUpQueue_, key);
         }
-        box.drop(key);
+        box.removeJob(key);
     }
     enum class Kind { Held, SetUp, Transfer } kind = Kind::Held;
     Box& box;
@@ -87,7 +87,7 @@
     double kb = 0;
     double credit = 0;
     std::uint64_t left = 0;
-    workload::Transfers::Id travels = 0;
+    workload::Transfers::Id transfer = 0;
 };
 
 Box::Box(BoxFleet& fleet, int id, int cell, int rack, double linkKb, int places, const net::Endpoint& at)
@@ -97,14 +97,14 @@
       rack_(rack),
       linkKb_(linkKb),
       places_(places),
-      at_(at),
-      bury_(fleet.net_, [this] {
-          dead_.clear();
+      endpoint_(at),
+      cleanup_(fleet.net_, [this] {
+          closedJobs_.clear();
           dying_.reset();
       }) {}
 Box::~Box() {
     jobs_.clear();
-    dead_.clear();
+    closedJobs_.clear();
 }
 
 Line Box::line(const char* what) const {
@@ -119,8 +119,8 @@
     if (server_) return;
     http::HttpLimits limits;
     limits.idleTimeout = 30 * kSecond;
-    server_ = std::make_unique<http::Server>(fleet_.net_, at_, limits, *this);
-    at_ = server_->endpoint();
+    server_ = std::make_unique<http::Server>(fleet_.net_, endpoint_, limits, *this);
+    endpoint_ = server_->endpoint();
     startedAt_ = fleet_.net_.now();
     cold_ = cold;
     arrivals_.clear();
@@ -133,7 +133,7 @@
 void Box::die(const std::string& why) {
     if (!server_) return;
     fleet_.ledger_.add(line(why.c_str()));
-    for (const auto& [key, sub] : subs_) {
+    for (const auto& [key, sub] : subscriptions_) {
         Line l = line("gone");
         l.sub = key;
         l.trace = sub.trace;
@@ -142,40 +142,40 @@
         l.front = sub.front;
         fleet_.ledger_.add(l);
     }
-    subs_.clear();
+    subscriptions_.clear();
     setUpQueue_.clear();
-    setUpsNow_ = 0;
+    runningSetUps_ = 0;
     server_->stopListening();
     dying_ = std::move(server_);
     dying_->resetAll();
-    bury_.soon();
+    cleanup_.soon();
 }
 
-void Box::drop(std::uint64_t key) {
+void Box::removeJob(std::uint64_t key) {
     const auto it = jobs_.find(key);
     if (it == jobs_.end()) return;
     it->second->due.cancel();
-    dead_.push_back(std::move(it->second));
+    closedJobs_.push_back(std::move(it->second));
     jobs_.erase(it);
-    bury_.soon();
+    cleanup_.soon();
 }
 
-double Box::warmShare() const {
+double Box::warmUpShare() const {
     const Micros age = fleet_.net_.now() - startedAt_;
-    const BoxConfig& m = fleet_.make_;
+    const BoxConfig& m = fleet_.config_;
     if (!cold_ || m.warmUp <= 0 || age >= m.warmUp) return 1;
     return m.firstShare + (1 - m.firstShare) * seconds(age) / seconds(m.warmUp);
 }
-double Box::askedKb() const {
+double Box::requestedKb() const {
     double sum = 0;
-    for (const auto& [key, sub] : subs_) sum += sub.kb;
+    for (const auto& [key, sub] : subscriptions_) sum += sub.kb;
     return sum;
 }
-double Box::givenKb() const {
-    return std::max(1e-3, linkKb_ * trouble.linkFactor * warmShare());
+double Box::availableKb() const {
+    return std::max(1e-3, linkKb_ * trouble.linkFactor * warmUpShare());
 }
 double Box::linkUse() const {
-    return askedKb() / givenKb();
+    return requestedKb() / availableKb();
 }
 
 http::Fields Box::fields(const char* ot, int rung, bool unseen) {
@@ -191,11 +191,11 @@
     if (trouble.liesIdle) link = 0.01;
     char text[256];
     std::snprintf(text, sizeof text, "\"box-%d\";etp=%lld%s;org.valekeel-lu=%.3f;org.valekeel-uu=%.3f%s", id_,
-                  std::llround(givenKb() * 8), link > 1 ? ";du" : "", std::min(link, 900.0),
+                  std::llround(availableKb() * 8), link > 1 ? ";du" : "", std::min(link, 900.0),
                   std::min(uplink, 900.0), unseen ? ";org.valekeel-unseen" : "");
     out.add("CMSD-Static",
             std::string("ot=") + ot + ", sf=h, st=v, n=\"box-" + std::to_string(id_) + "\", br=" +
-                std::to_string(std::llround(fleet_.make_.rungKb[static_cast<std::size_t>(rung)] * 8)));
+                std::to_string(std::llround(fleet_.config_.rungKb[static_cast<std::size_t>(rung)] * 8)));
     out.add("CMSD-Dynamic", text);
     return out;
 }
@@ -204,11 +204,11 @@
 
 void Box::onRequest(http::Exchange& exchange) {
     const Micros now = fleet_.net_.now();
-    const bool stands = trouble.silent || now < trouble.pausedUntil;
-    if (!stands && trouble.answersLate == 0) return serve(exchange);
+    const bool isUnresponsive = trouble.silent || now < trouble.pausedUntil;
+    if (!isUnresponsive && trouble.answersLate == 0) return serve(exchange);
     const std::uint64_t key = nextJob_++;
     auto& job = jobs_[key] = std::make_unique<Job>(*this, key, exchange);
-    if (!stands) {
+    if (!isUnresponsive) {
         job->due.after(trouble.answersLate);
     }
 }
@@ -224,12 +224,12 @@
         if (it == jobs_.end() || !it->second->exchange) continue;
         http::Exchange* exchange = std::exchange(it->second->exchange, nullptr);
         exchange->setHandler(nullptr);
-        drop(key);
+        removeJob(key);
         serve(*exchange);
     }
 }
 
-void Box::giveBack(std::map<std::string, Sub>::iterator it) {
+void Box::release(std::map<std::string, Subscription>::iterator it) {
     Line l = line("release");
     l.sub = it->first;
     l.trace = it->second.trace;
@@ -237,30 +237,31 @@
     l.title = it->second.title;
     l.front = it->second.front;
     fleet_.ledger_.add(l);
-    subs_.erase(it);
+    subscriptions_.erase(it);
 }
 
 void Box::serve(http::Exchange& exchange) {
     const http::RequestHead& head = exchange.head();
     const std::string path = head.path(), query = head.query();
     if (head.method == "DELETE" && path.compare(0, 5, "/sub/") == 0) {
-        const auto it = subs_.find(path.substr(5));
-        if (it != subs_.end()) giveBack(it);
+        const auto it = subscriptions_.find(path.substr(5));
+        if (it != subscriptions_.end()) release(it);
         return exchange.respond(204, {}, "");
     }
     if (head.method == "DELETE" && path.compare(0, 9, "/earlier/") == 0) {
-        // A life of a front, as NAME.LIFE: what other lives of that name hold here is over.
-        const std::string life = path.substr(9) + ".", front = life.substr(0, life.find('.'));
-        for (auto it = subs_.begin(); it != subs_.end();) {
-            const auto one = it++;
-            if (one->second.front == front && one->first.compare(0, life.size(), life) != 0) giveBack(one);
+        // NAME.LIFE names one run of a front: releases what other runs of that front hold here.
+        const std::string run = path.substr(9) + ".", front = run.substr(0, run.find('.'));
+        for (auto it = subscriptions_.begin(); it != subscriptions_.end();) {
+            const auto current = it++;
+            if (current->second.front == front && current->first.compare(0, run.size(), run) != 0)
+                release(current);
         }
         return exchange.respond(204, {}, "");
     }
-    if (path.compare(0, 5, "/sub/") == 0) {  // still held?
-        const auto it = subs_.find(path.substr(5));
-        if (it == subs_.end()) return exchange.respond(410, fields("m", 0, false), "");
-        it->second.heardAt = fleet_.net_.now();
+    if (path.compare(0, 5, "/sub/") == 0) {  // keep-alive: is it still held?
+        const auto it = subscriptions_.find(path.substr(5));
+        if (it == subscriptions_.end()) return exchange.respond(410, fields("m", 0, false), "");
+        it->second.lastSeenAt = fleet_.net_.now();
         return exchange.respond(204, fields("m", it->second.rung, false), "");
     }
     if (path.compare(0, 6, "/talk/") != 0) return exchange.respond(404, {}, "");
@@ -270,12 +271,12 @@
     if (rest == "main.m3u8") return setUp(exchange, title, query);
     const auto next = rest.find('/');
     const int rung = next == std::string::npos ? -1 : std::atoi(rest.c_str());
-    if (rung < 0 || rung >= static_cast<int>(fleet_.make_.rungKb.size()))
+    if (rung < 0 || rung >= static_cast<int>(fleet_.config_.rungKb.size()))
         return exchange.respond(404, {}, "");
     segment(exchange, title, rung, rest.substr(next + 1), query);
 }
 
-void Box::unseen(http::Exchange& exchange, const Line& arrived) {
+void Box::rejectUnseen(http::Exchange& exchange, const Line& arrived) {
     Line l = arrived;
     l.what = "unseen";
     fleet_.ledger_.add(l);
@@ -283,7 +284,7 @@
 }
 
 void Box::setUp(http::Exchange& exchange, const std::string& title, const std::string& query) {
-    const BoxConfig& make = fleet_.make_;
+    const BoxConfig& config = fleet_.config_;
     const Micros now = fleet_.net_.now();
     Line l = line("arrive");
     l.trace = traceOf(exchange.head());
@@ -295,24 +296,26 @@
     l.join = std::atoi(http::queryValue(query, "join").value_or("0").c_str());
     fleet_.ledger_.add(l);
     arrivals_.push_back(now);
-    while (!arrivals_.empty() && arrivals_.front() <= now - make.tipAfter) arrivals_.pop_front();
-    if (cold_ && warmShare() < 1) {
-        const double pace = static_cast<double>(places_) / seconds(make.warmUp) * warmShare();
-        if (static_cast<double>(arrivals_.size()) > make.fallMultiple * pace * seconds(make.tipAfter) + 1) {
+    while (!arrivals_.empty() && arrivals_.front() <= now - config.tipAfter) arrivals_.pop_front();
+    if (cold_ && warmUpShare() < 1) {
+        const double pace = static_cast<double>(places_) / seconds(config.warmUp) * warmUpShare();
+        if (static_cast<double>(arrivals_.size()) >
+            config.fallMultiple * pace * seconds(config.tipAfter) + 1) {
             die("fell");
             return;
         }
     }
-    if (trouble.draining || static_cast<int>(subs_.size() + setUpQueue_.size()) + setUpsNow_ >= places_)
-        return unseen(exchange, l);
-    if (std::uniform_real_distribution<double>(0, 1)(fleet_.chance_) < trouble.failPart) {
+    if (trouble.draining ||
+        static_cast<int>(subscriptions_.size() + setUpQueue_.size()) + runningSetUps_ >= places_)
+        return rejectUnseen(exchange, l);
+    if (std::uniform_real_distribution<double>(0, 1)(fleet_.random_) < trouble.failPart) {
         l.what = "error";
         fleet_.ledger_.add(l);
         return exchange.respond(500, fields("m", 0, false), "");
     }
     if (const std::string once = http::queryValue(query, "once").value_or(""); !once.empty()) {
-        std::erase_if(begun_, [&](const auto& b) { return now - b.second > 60 * kSecond; });
-        if (!begun_.emplace(once, now).second) {
+        std::erase_if(startedOnce_, [&](const auto& b) { return now - b.second > 60 * kSecond; });
+        if (!startedOnce_.emplace(once, now).second) {
             l.what = "once";
             fleet_.ledger_.add(l);
             return exchange.respond(409, fields("m", 0, false), "");
@@ -327,61 +330,61 @@
     setUpQueue_.push_back(key);
     l.what = "charged";
     fleet_.ledger_.add(l);
-    beginSetUps();
+    startSetUps();
 }
 
-void Box::beginSetUps() {
-    while (setUpsNow_ < fleet_.make_.setUpsAtOnce && !setUpQueue_.empty()) {
+void Box::startSetUps() {
+    while (runningSetUps_ < fleet_.config_.setUpsAtOnce && !setUpQueue_.empty()) {
         const auto it = jobs_.find(setUpQueue_.front());
         setUpQueue_.pop_front();
         if (it == jobs_.end()) continue;
-        ++setUpsNow_;
+        ++runningSetUps_;
         it->second->working = true;
-        const double spread = std::uniform_real_distribution<double>(0.7, 1.5)(fleet_.chance_);
-        it->second->due.after(static_cast<Micros>(static_cast<double>(fleet_.make_.setUp) * spread *
-                                                  trouble.setUpFactor / warmShare()));
+        const double spread = std::uniform_real_distribution<double>(0.7, 1.5)(fleet_.random_);
+        it->second->due.after(static_cast<Micros>(static_cast<double>(fleet_.config_.setUp) * spread *
+                                                  trouble.setUpFactor / warmUpShare()));
     }
 }
 
 void Box::finishSetUp(Job& job) {
-    if (job.kind == Job::Kind::Held) {  // it was only answered late
+    if (job.kind == Job::Kind::Held) {  // only its answer was delayed
         http::Exchange* exchange = std::exchange(job.exchange, nullptr);
         if (exchange) exchange->setHandler(nullptr);
-        drop(job.key);
+        removeJob(job.key);
         if (exchange) serve(*exchange);
         return;
     }
-    if (trouble.silent || fleet_.net_.now() < trouble.pausedUntil) {  // it stands still, this one too
+    if (trouble.silent || fleet_.net_.now() < trouble.pausedUntil) {  // not responsive: try again later
         job.due.after(50'000);
         return;
     }
-    --setUpsNow_;
+    --runningSetUps_;
     job.working = false;
     http::Exchange* exchange = std::exchange(job.exchange, nullptr);
     if (exchange) exchange->setHandler(nullptr);
     Line l = job.line;
     l.at = fleet_.net_.now();
-    drop(job.key);
-    beginSetUps();
+    removeJob(job.key);
+    startSetUps();
     if (!exchange) return;
-    if (std::uniform_real_distribution<double>(0, 1)(fleet_.chance_) < trouble.losePart) {
+    if (std::uniform_real_distribution<double>(0, 1)(fleet_.random_) < trouble.losePart) {
         l.what = "answer-lost";
         fleet_.ledger_.add(l);
         exchange->abort();
         return;
     }
-    const BoxConfig& make = fleet_.make_;
-    const auto factor = make.rateFactors.find(l.room);
-    const int rung = std::clamp(l.rung, 0, static_cast<int>(make.rungKb.size()) - 1);
-    Sub& sub = subs_[l.sub];
-    sub = Sub{l.room, l.title, l.front, l.trace, rung, 0, fleet_.net_.now()};
-    sub.kb =
-        make.rungKb[static_cast<std::size_t>(rung)] * (factor == make.rateFactors.end() ? 1 : factor->second);
+    const BoxConfig& config = fleet_.config_;
+    const auto factor = config.rateFactors.find(l.room);
+    const int rung = std::clamp(l.rung, 0, static_cast<int>(config.rungKb.size()) - 1);
+    Subscription& sub = subscriptions_[l.sub];
+    sub = Subscription{l.room, l.title, l.front, l.trace, rung, 0, fleet_.net_.now()};
+    sub.kb = config.rungKb[static_cast<std::size_t>(rung)] *
+             (factor == config.rateFactors.end() ? 1 : factor->second);
     l.what = "plays";
     fleet_.ledger_.add(l);
     std::string list = "#EXTM3U\n#EXT-X-VERSION:7\n";
-    for (std::size_t r = 0; r < make.rungKb.size(); ++r)
-        list += "#EXT-X-STREAM-INF:BANDWIDTH=" + std::to_string(std::llround(make.rungKb[r] * 8'000)) +
+    for (std::size_t r = 0; r < config.rungKb.size(); ++r)
+        list += "#EXT-X-STREAM-INF:BANDWIDTH=" + std::to_string(std::llround(config.rungKb[r] * 8'000)) +
                 ",CODECS=\"avc1.640028,mp4a.40.2\"\n" + std::to_string(r) + "/media.m3u8\n";
     http::Fields f = fields("m", rung, false);
     f.add("Content-Type", "application/vnd.apple.mpegurl");
@@ -390,28 +393,28 @@
 
 void Box::segment(http::Exchange& exchange, const std::string&, int rung, const std::string& file,
                   const std::string& query) {
-    const BoxConfig& make = fleet_.make_;
+    const BoxConfig& config = fleet_.config_;
     const std::string key = http::queryValue(query, "sub").value_or("");
-    const auto it = subs_.find(key);
-    if (it == subs_.end()) return exchange.respond(410, fields("m", 0, false), "");
-    Sub& sub = it->second;
-    sub.heardAt = fleet_.net_.now();
-    const auto factor = make.rateFactors.find(sub.room);
-    const double kb =
-        make.rungKb[static_cast<std::size_t>(rung)] * (factor == make.rateFactors.end() ? 1 : factor->second);
-    const auto bytes = static_cast<std::uint64_t>(std::max(64.0, kb * 1000 * seconds(make.segment)));
+    const auto it = subscriptions_.find(key);
+    if (it == subscriptions_.end()) return exchange.respond(410, fields("m", 0, false), "");
+    Subscription& sub = it->second;
+    sub.lastSeenAt = fleet_.net_.now();
+    const auto factor = config.rateFactors.find(sub.room);
+    const double kb = config.rungKb[static_cast<std::size_t>(rung)] *
+                      (factor == config.rateFactors.end() ? 1 : factor->second);
+    const auto bytes = static_cast<std::uint64_t>(std::max(64.0, kb * 1000 * seconds(config.segment)));
     if (file == "media.m3u8") {
         std::string list = "#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-PLAYLIST-TYPE:VOD\n#EXT-X-TARGETDURATION:" +
-                           std::to_string((make.segment + kSecond - 1) / kSecond) +
+                           std::to_string((config.segment + kSecond - 1) / kSecond) +
                            "\n#EXT-X-MAP:URI=\"init.mp4\"\n";
         char inf[64];
-        std::snprintf(inf, sizeof inf, "#EXTINF:%.3f,\n", seconds(make.segment));
-        for (int n = 0; n < make.segments; ++n) {
-            if (make.byteRanges)
+        std::snprintf(inf, sizeof inf, "#EXTINF:%.3f,\n", seconds(config.segment));
+        for (int n = 0; n < config.segments; ++n) {
+            if (config.byteRanges)
                 list += "#EXT-X-BYTERANGE:" + std::to_string(bytes) + "@" +
                         std::to_string(static_cast<std::uint64_t>(n) * bytes) + "\n";
             list += inf;
-            list += make.byteRanges ? std::string("all.mp4\n") : std::to_string(n) + ".m4s\n";
+            list += config.byteRanges ? std::string("all.mp4\n") : std::to_string(n) + ".m4s\n";
         }
         list += "#EXT-X-ENDLIST\n";
         http::Fields f = fields("m", rung, false);
@@ -433,7 +436,7 @@
         number = static_cast<int>(first / bytes);
         status = 206;
     }
-    if (number < 0 || number >= make.segments) return exchange.respond(404, {}, "");
+    if (number < 0 || number >= config.segments) return exchange.respond(404, {}, "");
     sub.rung = rung;
     sub.kb = kb;
     Line l = line("segment");
@@ -456,7 +459,7 @@
     if (unpaced) {
         http::Exchange* out = std::exchange(job->exchange, nullptr);
         out->setHandler(nullptr);
-        drop(jobKey);
+        removeJob(jobKey);
         out->begin(status, f, bytes);
         out->send(head);
         sendFiller(*out, bytes - head.size());
@@ -465,30 +468,30 @@
     job->left = bytes - head.size();
     exchange.begin(status, f, bytes);
     exchange.send(head);
-    if (fleet_.paved() && jobs_.count(jobKey)) travel(*jobs_.at(jobKey));
+    if (fleet_.hasLinkModel() && jobs_.count(jobKey)) startTransfer(*jobs_.at(jobKey));
 }
 
-void Box::travel(Job& job) {
-    BoxFleet::Roads& r = *fleet_.roads_;
-    std::vector<workload::LinkNo> path{r.boxes.at(id_)};
-    if (!r.racks.empty()) path.push_back(r.racks[static_cast<std::size_t>(rack_)]);
-    const auto sub = subs_.find(job.sub);
-    const int member = sub == subs_.end() ? -1 : r.memberOf(sub->second.trace);
-    if (member >= 0) path.push_back(r.members[static_cast<std::size_t>(member)]);
-    job.travels =
-        r.transfers.start(fleet_.net_.now(), path, job.kb * 1000 * kPaceOver, static_cast<double>(job.left));
-    r.jobs[job.travels] = {id_, job.key};
-    fleet_.arrive_.soon();
+void Box::startTransfer(Job& job) {
+    BoxFleet::LinkModel& model = *fleet_.linkModel_;
+    std::vector<workload::LinkNo> path{model.boxes.at(id_)};
+    if (!model.racks.empty()) path.push_back(model.racks[static_cast<std::size_t>(rack_)]);
+    const auto sub = subscriptions_.find(job.sub);
+    const int member = sub == subscriptions_.end() ? -1 : model.memberOf(sub->second.trace);
+    if (member >= 0) path.push_back(model.members[static_cast<std::size_t>(member)]);
+    job.transfer = model.transfers.start(fleet_.net_.now(), path, job.kb * 1000 * kPaceFactor,
+                                         static_cast<double>(job.left));
+    model.jobs[job.transfer] = {id_, job.key};
+    fleet_.transferEnd_.soon();
 }
 
-void Box::arrived(std::uint64_t key) {
+void Box::finishTransfer(std::uint64_t key) {
     const auto it = jobs_.find(key);
     if (it == jobs_.end()) return;
-    it->second->travels = 0;
+    it->second->transfer = 0;
     http::Exchange* exchange = std::exchange(it->second->exchange, nullptr);
     const std::uint64_t left = it->second->left;
     if (exchange) exchange->setHandler(nullptr);
-    drop(key);
+    removeJob(key);
     if (!exchange) return;
     fleet_.sentBytes += left;
     sendFiller(*exchange, left);
@@ -502,8 +505,8 @@
     const Micros now = fleet_.net_.now();
     reports_.emplace_back(now, linkUse(), fleet_.uplinkUse(rack_));
     while (reports_.size() > 400) reports_.pop_front();
-    for (auto it = subs_.begin(); it != subs_.end();) {
-        if (now - it->second.heardAt < fleet_.make_.forgetAfter) {
+    for (auto it = subscriptions_.begin(); it != subscriptions_.end();) {
+        if (now - it->second.lastSeenAt < fleet_.config_.forgetAfter) {
             ++it;
             continue;
         }
@@ -514,10 +517,10 @@
         l.title = it->second.title;
         l.front = it->second.front;
         fleet_.ledger_.add(l);
-        it = subs_.erase(it);
+        it = subscriptions_.erase(it);
     }
-    if (fleet_.paved() || trouble.silent || now < trouble.pausedUntil) return;
-    // All that play here get the same share of their rates, by the narrower of link and uplink.
+    if (fleet_.hasLinkModel() || trouble.silent || now < trouble.pausedUntil) return;
+    // All transfers get the same share of their rates, limited by the narrower of link and uplink.
     const double share =
         std::min({1.0, 1 / std::max(1e-9, linkUse()), 1 / std::max(1e-9, fleet_.uplinkUse(rack_))});
     std::vector<std::uint64_t> transfers;
@@ -527,8 +530,8 @@
         const auto it = jobs_.find(key);
         if (it == jobs_.end() || !it->second->exchange) continue;
         Job& job = *it->second;
-        job.credit = std::min(job.credit + job.kb * 1000 * share * kPaceOver * dt, job.kb * 1000);
-        while (job.left > 0 && job.credit >= 1 && job.exchange && job.exchange->unsent() < kUnsentMost) {
+        job.credit = std::min(job.credit + job.kb * 1000 * share * kPaceFactor * dt, job.kb * 1000);
+        while (job.left > 0 && job.credit >= 1 && job.exchange && job.exchange->unsent() < kMaxUnsentBytes) {
             const auto part = static_cast<std::size_t>(
                 std::min({static_cast<double>(job.left), job.credit, static_cast<double>(filler().size())}));
             job.credit -= static_cast<double>(part);
@@ -540,86 +543,87 @@
         if (!jobs_.count(key) || job.left > 0 || !job.exchange) continue;
         http::Exchange* exchange = std::exchange(job.exchange, nullptr);
         exchange->setHandler(nullptr);
-        drop(key);
+        removeJob(key);
         exchange->finish();
     }
 }
 
-BoxFleet::BoxFleet(net::Net& net, const BoxConfig& make, int racks, double uplinkKb, std::uint64_t seed,
+BoxFleet::BoxFleet(net::Net& net, const BoxConfig& config, int racks, double uplinkKb, std::uint64_t seed,
                    Ledger& ledger)
     : uplinkFactor(static_cast<std::size_t>(racks), 1.0),
       net_(net),
-      make_(make),
+      config_(config),
       racks_(racks),
       uplinkKb_(uplinkKb),
-      chance_(seed),
+      random_(seed),
       ledger_(ledger),
       tick_(net, [this] { tick(); }),
-      arrive_(net, [this] { arrive(); }),
+      transferEnd_(net, [this] { finishTransfers(); }),
       lastTick_(net.now()) {
-    tick_.after(kTick);
+    tick_.after(kTickInterval);
 }
 
 Box& BoxFleet::add(int id, int cell, double linkKb, int places, const net::Endpoint& at) {
     auto& box = boxes_[id] = std::make_unique<Box>(*this, id, cell, cell % racks_, linkKb, places, at);
     box->start(false);
-    if (roads_) roads_->boxes[id] = roads_->links.addLink(linkKb * 1000);
+    if (linkModel_) linkModel_->boxes[id] = linkModel_->links.addLink(linkKb * 1000);
     return *box;
 }
 
 double BoxFleet::uplinkUse(int rack) const {
     if (uplinkKb_ <= 0) return 0;
-    double asked = 0;
+    double demand = 0;
     for (const auto& [id, box] : boxes_)
-        if (box->rack() == rack) asked += std::min(box->askedKb(), box->givenKb());
-    return asked / (uplinkKb_ * uplinkFactor[static_cast<std::size_t>(rack)]);
+        if (box->rack() == rack) demand += std::min(box->requestedKb(), box->availableKb());
+    return demand / (uplinkKb_ * uplinkFactor[static_cast<std::size_t>(rack)]);
 }
 
 void BoxFleet::useLinkModel(const std::vector<double>& memberKb,
                             std::function<int(const std::string&)> memberOf) {
-    roads_ = std::make_unique<Roads>();
-    roads_->memberOf = std::move(memberOf);
-    roads_->memberKb = memberKb;
+    linkModel_ = std::make_unique<LinkModel>();
+    linkModel_->memberOf = std::move(memberOf);
+    linkModel_->memberKb = memberKb;
     memberFactor.assign(memberKb.size(), 1.0);
-    for (const double kb : memberKb) roads_->members.push_back(roads_->links.addLink(kb * 1000));
+    for (const double kb : memberKb) linkModel_->members.push_back(linkModel_->links.addLink(kb * 1000));
     if (uplinkKb_ > 0)
         for (int rack = 0; rack < racks_; ++rack)
-            roads_->racks.push_back(roads_->links.addLink(uplinkKb_ * 1000));
-    for (const auto& [id, box] : boxes_) roads_->boxes[id] = roads_->links.addLink(box->linkKb() * 1000);
+            linkModel_->racks.push_back(linkModel_->links.addLink(uplinkKb_ * 1000));
+    for (const auto& [id, box] : boxes_)
+        linkModel_->boxes[id] = linkModel_->links.addLink(box->linkKb() * 1000);
 }
 
-void BoxFleet::capacities() {
+void BoxFleet::updateCapacities() {
     const Micros now = net_.now();
     const auto set = [&](workload::LinkNo link, double bytes) {
-        if (std::abs(roads_->links.capacity(link) - bytes) > 1e-9 * bytes)
-            roads_->transfers.setCapacity(now, link, bytes);
+        if (std::abs(linkModel_->links.capacity(link) - bytes) > 1e-9 * bytes)
+            linkModel_->transfers.setCapacity(now, link, bytes);
     };
-    for (std::size_t i = 0; i < roads_->members.size(); ++i)
-        set(roads_->members[i], roads_->memberKb[i] * memberFactor[i] * 1000);
-    for (std::size_t i = 0; i < roads_->racks.size(); ++i)
-        set(roads_->racks[i], uplinkKb_ * uplinkFactor[i] * 1000);
+    for (std::size_t i = 0; i < linkModel_->members.size(); ++i)
+        set(linkModel_->members[i], linkModel_->memberKb[i] * memberFactor[i] * 1000);
+    for (std::size_t i = 0; i < linkModel_->racks.size(); ++i)
+        set(linkModel_->racks[i], uplinkKb_ * uplinkFactor[i] * 1000);
     for (const auto& [id, box] : boxes_) {
-        const bool stands = !box->up() || box->trouble.silent || now < box->trouble.pausedUntil;
-        set(roads_->boxes.at(id), stands ? 0 : box->givenKb() * 1000);
+        const bool isStopped = !box->up() || box->trouble.silent || now < box->trouble.pausedUntil;
+        set(linkModel_->boxes.at(id), isStopped ? 0 : box->availableKb() * 1000);
     }
 }
 
-void BoxFleet::arrive() {
-    for (const workload::Transfers::Id id : roads_->transfers.takeEnded(net_.now())) {
-        const auto it = roads_->jobs.find(id);
-        if (it == roads_->jobs.end()) continue;
+void BoxFleet::finishTransfers() {
+    for (const workload::Transfers::Id id : linkModel_->transfers.takeEnded(net_.now())) {
+        const auto it = linkModel_->jobs.find(id);
+        if (it == linkModel_->jobs.end()) continue;
         const auto [box, job] = it->second;
-        roads_->jobs.erase(it);
-        boxes_.at(box)->arrived(job);
+        linkModel_->jobs.erase(it);
+        boxes_.at(box)->finishTransfer(job);
     }
-    if (const auto next = roads_->transfers.nextEnd()) arrive_.at(*next);
+    if (const auto next = linkModel_->transfers.nextEnd()) transferEnd_.at(*next);
 }
 
 void BoxFleet::tick() {
-    tick_.after(roads_ ? 10 * kTick : kTick);
-    if (roads_) {
-        capacities();
-        arrive();
+    tick_.after(linkModel_ ? 10 * kTickInterval : kTickInterval);
+    if (linkModel_) {
+        updateCapacities();
+        finishTransfers();
     }
     const double dt = seconds(net_.now() - lastTick_);
     lastTick_ = net_.now();
--- a/src/fakes/ledger.cpp
+++ b/src/fakes/ledger.cpp
@@ -48,7 +48,8 @@
     for (std::size_t number = 1; std::getline(in, text); ++number) {
         const auto j = nlohmann::json::parse(text, nullptr, false);
         if (!j.is_object())
-            throw std::runtime_error("line " + std::to_string(number) + " of the ledger is no object");
+            throw std::runtime_error("line " + std::to_string(number) +
+                                     " of the ledger is not a JSON object");
         Line l;
         l.at = j.value("at", Micros{0});
         l.what = j.value("what", "");
--- a/src/fakes/list_server.cpp
+++ b/src/fakes/list_server.cpp
@@ -15,12 +15,13 @@
         exchange = nullptr;
         const auto it = list.streams_.find(key);
         if (it == list.streams_.end()) return;
-        list.dead_.push_back(std::move(it->second));
+        list.closed_.push_back(std::move(it->second));
         list.streams_.erase(it);
-        list.bury_.soon();
+        list.cleanup_.soon();
     }
-    void event(const std::string& type, std::int64_t version, const std::string& data,
-               const std::vector<ListedBox>& boxes) {
+    // Sends one event and records each of its boxes in the ledger.
+    void sendEvent(const std::string& type, std::int64_t version, const std::string& data,
+                   const std::vector<ListedBox>& boxes) {
         if (!exchange) return;
         std::string out = "event: " + type + "\nid: " + std::to_string(version) + "\n";
         std::size_t start = 0;
@@ -49,25 +50,25 @@
 ListServer::ListServer(net::Net& net, const net::Endpoint& at, Ledger& ledger)
     : net_(net),
       ledger_(ledger),
-      beat_(net,
-            [this] {
-                // One whose front is gone leaves the table as it is written to.
-                std::vector<Stream*> all;
-                for (auto& [key, stream] : streams_) all.push_back(stream.get());
-                for (Stream* stream : all)
-                    if (stream->exchange) stream->exchange->send(": still here\n\n");
-                beat_.after(kSecond);
-            }),
-      bury_(net, [this] { dead_.clear(); }) {
+      keepAlive_(net,
+                 [this] {
+                     // Writing to a closed connection removes its stream from streams_.
+                     std::vector<Stream*> all;
+                     for (auto& [key, stream] : streams_) all.push_back(stream.get());
+                     for (Stream* stream : all)
+                         if (stream->exchange) stream->exchange->send(": still here\n\n");
+                     keepAlive_.after(kSecond);
+                 }),
+      cleanup_(net, [this] { closed_.clear(); }) {
     server_ = std::make_unique<http::Server>(net, at, http::HttpLimits{}, *this);
-    beat_.after(kSecond);
+    keepAlive_.after(kSecond);
 }
 ListServer::~ListServer() {
     streams_.clear();
-    dead_.clear();
+    closed_.clear();
 }
 
-std::string ListServer::text(const std::vector<ListedBox>& boxes) const {
+std::string ListServer::format(const std::vector<ListedBox>& boxes) const {
     std::string out;
     for (const ListedBox& b : boxes) {
         out += "box " + std::to_string(b.id) + " at=\"" + b.at + "\" standing=\"" + b.standing +
@@ -86,43 +87,44 @@
     fields.add("Cache-Control", "no-store");
     const std::string front = http::queryValue(exchange.head().query(), "front").value_or("");
     const std::string* last = exchange.head().fields.find("Last-Event-ID");
-    const std::uint64_t key = next_++;
+    const std::uint64_t key = nextKey_++;
     auto& stream = streams_[key] = std::make_unique<Stream>(*this, key, front, exchange);
     exchange.beginChunked(200, fields);
-    // Whoever is up to date hears of what comes next; all others get the whole.
+    // A client that is up to date gets only further changes, any other one the whole list.
     if (last && *last == std::to_string(version_)) return;
     std::vector<ListedBox> all;
     for (const auto& [id, box] : boxes_)
         if (box.standing != "off") all.push_back(box);
-    stream->event("list", version_, text(all), all);
+    stream->sendEvent("list", version_, format(all), all);
 }
 
-void ListServer::send(const std::string& type, std::int64_t version, const std::vector<ListedBox>& boxes) {
+void ListServer::broadcast(const std::string& type, std::int64_t version,
+                           const std::vector<ListedBox>& boxes) {
     std::vector<Stream*> all;
     for (auto& [key, stream] : streams_) all.push_back(stream.get());
-    const std::string data = text(boxes);
-    for (Stream* stream : all) stream->event(type, version, data, boxes);
+    const std::string data = format(boxes);
+    for (Stream* stream : all) stream->sendEvent(type, version, data, boxes);
 }
 
 void ListServer::put(const std::vector<ListedBox>& boxes) {
     for (const ListedBox& box : boxes) boxes_[box.id] = box;
     const std::int64_t version = ++version_;
     if (skips && version % 2 == 0) return;
-    const auto laterBy = [&](Micros wait) {
-        std::erase_if(later_, [](const auto& t) { return !t->isSet(); });
-        later_.push_back(
-            std::make_unique<net::Timer>(net_, [this, version, boxes] { send("change", version, boxes); }));
-        later_.back()->after(wait);
+    const auto sendAfter = [&](Micros wait) {
+        std::erase_if(delayed_, [](const auto& t) { return !t->isSet(); });
+        delayed_.push_back(std::make_unique<net::Timer>(
+            net_, [this, version, boxes] { broadcast("change", version, boxes); }));
+        delayed_.back()->after(wait);
     };
     if (late > 0)
-        laterBy(late);
+        sendAfter(late);
     else
-        send("change", version, boxes);
-    if (repeats) laterBy(late + 300'000);
+        broadcast("change", version, boxes);
+    if (repeats) sendAfter(late + 300'000);
 }
 
-void ListServer::unreachable(bool is) {
-    if (is) {
+void ListServer::unreachable(bool isUnreachable) {
+    if (isUnreachable) {
         server_->stopListening();
         server_->resetAll();
     } else {
--- a/src/fakes/player.cpp
+++ b/src/fakes/player.cpp
@@ -4,30 +4,31 @@
 #include <cstdio>
 
 namespace valekeel::fakes {
+
 Player::Player(net::Net& net, int number, const PlayerPlan& plan, Pick pick, std::uint64_t seed,
                const std::vector<double>& worth, Ledger& ledger, std::function<void(Player&)> done)
     : net_(net),
       number_(number),
       plan_(plan),
       pick_(std::move(pick)),
-      chance_(seed),
+      random_(seed),
       worth_(worth),
       ledger_(ledger),
       done_(std::move(done)),
       timer_(net,
              [this] {
                  if (state_ == State::Asking)
-                     gaveUp();
+                     handleRequestTimeout();
                  else if (state_ == State::Waiting)
-                     next();
+                     fetchNext();
                  else if (state_ == State::Idle)
-                     ask();
-                 else if (state_ != State::Over) {  // a fetch that hangs
+                     sendRequest();
+                 else if (state_ != State::Over) {  // a fetch timed out
                      ledger_.add(line("segment-lost"));
-                     comeAgain(true, std::nullopt);  // it played, and hangs
+                     scheduleRetry(true, std::nullopt);  // it had played, so it may retry
                  }
              }),
-      bury_(net, [this] { dead_.reset(); }) {}
+      cleanup_(net, [this] { closedConn_.reset(); }) {}
 Player::~Player() = default;
 
 Line Player::line(const char* what) const {
@@ -45,7 +46,7 @@
 }
 
 void Player::start() {
-    ask();
+    sendRequest();
 }
 
 void Player::endSoon() {
@@ -56,22 +57,22 @@
 void Player::closeConnection() {
     if (conn_ && conn_->receivedUnsolicitedBytes()) ledger_.add(line("second-answer"));
     if (conn_) conn_->abandon();
-    dead_ = std::move(conn_);
-    bury_.soon();
+    closedConn_ = std::move(conn_);
+    cleanup_.soon();
 }
 
 http::Fields Player::fields(const char* ot, std::string& target) {
     http::Fields out;
-    out.add("traceparent", "00-" + trace_ + "-" + hex(chance_() | 1) + "-01");
+    out.add("traceparent", "00-" + trace_ + "-" + hex(random_() | 1) + "-01");
     out.add("User-Agent", "valekeel-play");
-    const auto queried = [&](const std::string& cmcd) {
+    const auto addToQuery = [&](const std::string& cmcd) {
         target += (target.find('?') == std::string::npos ? "?" : "&") + std::string("CMCD=") +
                   http::percentEncoded(cmcd);
     };
     const std::string sid = "sid=\"" + sid_ + "\"", cid = "cid=\"" + plan_.title + "\"";
     std::int64_t top = plan_.topKbits;
     if (abr_ && abr_->throughputKb() && playout_) {
-        const int now = map_.compare(0, 5, "init-") == 0 ? std::atoi(map_.c_str() + 5) : 0;
+        const int now = initUrl_.compare(0, 5, "init-") == 0 ? std::atoi(initUrl_.c_str() + 5) : 0;
         const int own = abr_->chooseRung(playout_->buffered(net_.now()), plan_.bufferMost, now);
         const auto kbits =
             static_cast<std::int64_t>(plan_.ownLadderKb[static_cast<std::size_t>(own)] * 8 + 0.5);
@@ -87,7 +88,8 @@
             out.add("CMCD-Session", cid + ",sf=h," + sid + ",st=v");
             break;
         case HintStyle::Query:
-            queried(bl + "," + cid + ",ot=" + ot + ",sf=h," + sid + ",st=v" + (tb.empty() ? "" : "," + tb));
+            addToQuery(bl + "," + cid + ",ot=" + ot + ",sf=h," + sid + ",st=v" +
+                       (tb.empty() ? "" : "," + tb));
             break;
         case HintStyle::None:
             break;
@@ -127,16 +129,16 @@
                                   target);
     if (!conn_ || !conn_->isIdle()) {
         closeConnection();
-        conn_ = std::make_unique<http::Connection>(net_, at_, http::HttpLimits{}, 2 * kSecond);
+        conn_ = std::make_unique<http::Connection>(net_, endpoint_, http::HttpLimits{}, 2 * kSecond);
     }
     head_ = {};
     body_.clear();
     bytes_ = 0;
     sentAt_ = net_.now();
-    conn_->fetch(http::requestBytes("GET", target, at_, f), false, *this);
+    conn_->fetch(http::requestBytes("GET", target, endpoint_, f), false, *this);
 }
 
-void Player::ask() {
+void Player::sendRequest() {
     const auto front = pick_();
     if (!front) {
         state_ = State::Idle;
@@ -146,16 +148,16 @@
     closeConnection();
     ++attempt_;
     if (sid_.empty() || plan_.hints != HintStyle::Headers || attempt_ > 1)
-        sid_ = hex(chance_()).substr(0, 8) + "-" + std::to_string(number_) + "-" + std::to_string(attempt_);
-    trace_ = hex(chance_()) + hex(chance_() | 1);
+        sid_ = hex(random_()).substr(0, 8) + "-" + std::to_string(number_) + "-" + std::to_string(attempt_);
+    trace_ = hex(random_()) + hex(random_() | 1);
     if (plan_.asking) plan_.asking(trace_);
     front_ = front->name;
-    at_ = front->at;
+    endpoint_ = front->at;
     state_ = State::Asking;
     segments_ = 0;
     buffered_ = 0;
-    haveNo_ = false;
-    map_.clear();
+    hasSequence_ = false;
+    initUrl_.clear();
     askedAt_ = net_.now();
     if (attempt_ == 1) {
         Line wants = line("wants");
@@ -171,12 +173,12 @@
           "/main.m3u8?room=" + http::percentEncoded(plan_.room.name));
 }
 
-void Player::heldOut() {
+void Player::recordStall() {
     if (!playout_) return;
     const Micros stalled = playout_->stalled(net_.now());
-    if (stalled <= stalledTold_) return;
+    if (stalled <= reportedStall_) return;
     Line l = line("stall");
-    l.number = static_cast<double>(stalled - std::exchange(stalledTold_, stalled));
+    l.number = static_cast<double>(stalled - std::exchange(reportedStall_, stalled));
     ledger_.add(l);
     if (plan_.patience && plan_.patience->hasGivenUp(waited_, stalled)) {
         ledger_.add(line("abandon"));
@@ -184,27 +186,27 @@
     }
 }
 
-void Player::gaveUp() {
-    if (net_.now() - askedAt_ < plan_.room.clientTimeout) {  // of its own will: nobody owes it an answer now
+void Player::handleRequestTimeout() {
+    if (net_.now() - askedAt_ < plan_.room.clientTimeout) {  // the viewer left before the client timeout
         ledger_.add(line("abandon"));
-        return comeAgain(!plan_.room.paid, std::nullopt);
+        return scheduleRetry(!plan_.room.paid, std::nullopt);
     }
     Line l = line("no-answer");
     l.status = 2;
     l.number = static_cast<double>(net_.now() - askedAt_);
     ledger_.add(l);
-    comeAgain(!plan_.room.paid, std::nullopt);
+    scheduleRetry(!plan_.room.paid, std::nullopt);
 }
 
-void Player::comeAgain(bool mayRepeat, std::optional<Micros> told) {
+void Player::scheduleRetry(bool mayRetry, std::optional<Micros> retryAfter) {
     closeConnection();
     timer_.cancel();
-    const bool timeLeft = until_ == 0 || net_.now() < until_;
+    const bool hasTimeLeft = until_ == 0 || net_.now() < until_;
     if (state_ == State::Asking) waited_ += net_.now() - askedAt_;
-    const auto wait = workload::retryDelay({plan_.returns, plan_.back, plan_.honours, plan_.atOnce}, returns_,
-                                           told, std::uniform_real_distribution<double>(0, 1)(chance_));
-    if (!mayRepeat || !wait || !timeLeft) return leave();
-    ++returns_;
+    const auto wait = workload::retryDelay({plan_.returns, plan_.back, plan_.honours, plan_.atOnce}, retries_,
+                                           retryAfter, std::uniform_real_distribution<double>(0, 1)(random_));
+    if (!mayRetry || !wait || !hasTimeLeft) return leave();
+    ++retries_;
     state_ = State::Idle;
     ledger_.add(line("return"));
     timer_.after(*wait);
@@ -230,17 +232,17 @@
 }
 
 void Player::onFailed(http::FetchError) {
-    const State was = state_;
-    if (was == State::Asking) {
+    const State previous = state_;
+    if (previous == State::Asking) {
         Line l = line("no-answer");
         l.status = 1;
         l.number = static_cast<double>(net_.now() - askedAt_);
         ledger_.add(l);
-        return comeAgain(!plan_.room.paid, std::nullopt);
+        return scheduleRetry(!plan_.room.paid, std::nullopt);
     }
-    if (was == State::Over || was == State::Idle) return;
+    if (previous == State::Over || previous == State::Idle) return;
     ledger_.add(line("segment-lost"));
-    comeAgain(true, std::nullopt);  // it played, and broke: it may come again
+    scheduleRetry(true, std::nullopt);  // it had played, so it may retry
 }
 
 void Player::onFetched(bool kept) {
@@ -254,26 +256,26 @@
         l.told = head_.fields.find("Retry-After") != nullptr;
         ledger_.add(l);
         if (status == 200) {
-            const auto read = hls::parseMultivariantPlaylist(body_);
-            if (!read.playlist) return leave();
-            media_ =
-                hls::resolveReference("/talk/x/main.m3u8", read.playlist->variants.front().uri).value_or("");
-            base_ = media_;
+            const auto parsed = hls::parseMultivariantPlaylist(body_);
+            if (!parsed.playlist) return leave();
+            mediaUrl_ = hls::resolveReference("/talk/x/main.m3u8", parsed.playlist->variants.front().uri)
+                            .value_or("");
+            baseUrl_ = mediaUrl_;
             if (until_ == 0) until_ = net_.now() + plan_.watch;
             waited_ = 0;
-            stalledTold_ = 0;
+            reportedStall_ = 0;
             if (plan_.bufferMost > 0) playout_.emplace(plan_.startWith, plan_.bufferMost);
             if (!plan_.ownLadderKb.empty()) abr_.emplace(plan_.ownLadderKb);
             startedAt_ = net_.now();
             state_ = State::Playlist;
             timer_.after(15 * kSecond);
-            fetch(media_);
+            fetch(mediaUrl_);
             return;
         }
-        std::optional<Micros> told;
+        std::optional<Micros> retryAfter;
         if (const std::string* after = head_.fields.find("Retry-After"))
-            told = std::atoll(after->c_str()) * kSecond;
-        return comeAgain(status == 503 || !plan_.room.paid, told);
+            retryAfter = std::atoll(after->c_str()) * kSecond;
+        return scheduleRetry(status == 503 || !plan_.room.paid, retryAfter);
     }
     if (status != 200) {
         if (status == 429) {
@@ -282,53 +284,53 @@
             return;
         }
         ledger_.add(line("segment-lost"));
-        return comeAgain(true, std::nullopt);
+        return scheduleRetry(true, std::nullopt);
     }
     timer_.cancel();
     if (state_ == State::Playlist) {
-        auto read = hls::parseMediaPlaylist(body_);
-        if (!read.playlist) {
+        auto parsed = hls::parseMediaPlaylist(body_);
+        if (!parsed.playlist) {
             ledger_.add(line("segment-lost"));
-            return comeAgain(true, std::nullopt);
+            return scheduleRetry(true, std::nullopt);
         }
-        list_ = std::move(*read.playlist);
-        // What was shown once must be shown alike: a sequence that goes back is a broken playlist.
-        if (haveNo_ && list_.mediaSequence > nextNo_) ledger_.add(line("gap"));
-        if (!haveNo_ || list_.mediaSequence > nextNo_) nextNo_ = list_.mediaSequence;
-        haveNo_ = true;
+        playlist_ = std::move(*parsed.playlist);
+        // A media sequence beyond the next segment means that segments were skipped.
+        if (hasSequence_ && playlist_.mediaSequence > nextSequence_) ledger_.add(line("gap"));
+        if (!hasSequence_ || playlist_.mediaSequence > nextSequence_) nextSequence_ = playlist_.mediaSequence;
+        hasSequence_ = true;
     } else if (state_ == State::Segment) {
         Line l = line("segment");
         l.number = static_cast<double>(net_.now() - sentAt_);
-        if (map_.compare(0, 5, "init-") == 0) l.rung = std::atoi(map_.c_str() + 5);
+        if (initUrl_.compare(0, 5, "init-") == 0) l.rung = std::atoi(initUrl_.c_str() + 5);
         ledger_.add(l);
-        const Micros lasts = list_.segments[nextNo_ - list_.mediaSequence].duration;
+        const Micros duration = playlist_.segments[nextSequence_ - playlist_.mediaSequence].duration;
         ++segments_;
-        ++nextNo_;
+        ++nextSequence_;
         if (abr_) abr_->addMeasurement(static_cast<double>(bytes_) / 1000, net_.now() - sentAt_);
         if (playout_) {
-            playout_->addSegment(net_.now(), lasts);
-            heldOut();
+            playout_->addSegment(net_.now(), duration);
+            recordStall();
             if (state_ == State::Over) return;
         }
     }
-    next();
+    fetchNext();
 }
 
-void Player::next() {
+void Player::fetchNext() {
     if (net_.now() >= until_) return leave();
-    const std::uint64_t end = list_.mediaSequence + list_.segments.size();
-    if (nextNo_ >= end) {
-        if (list_.ended) return leave();
+    const std::uint64_t end = playlist_.mediaSequence + playlist_.segments.size();
+    if (nextSequence_ >= end) {
+        if (playlist_.ended) return leave();
         if (state_ != State::Waiting) {
             state_ = State::Waiting;
-            timer_.after(std::max<Micros>(100'000, list_.targetDuration / 2));
+            timer_.after(std::max<Micros>(100'000, playlist_.targetDuration / 2));
             return;
         }
         state_ = State::Playlist;
         timer_.after(15 * kSecond);
-        return fetch(media_);
+        return fetch(mediaUrl_);
     }
-    const hls::Segment& s = list_.segments[nextNo_ - list_.mediaSequence];
+    const hls::Segment& s = playlist_.segments[nextSequence_ - playlist_.mediaSequence];
     if (playout_) {
         const Micros room = playout_->timeUntilRoom(net_.now(), s.duration);
         if (room > 0) {
@@ -338,16 +340,16 @@
         }
     }
     timer_.after(15 * kSecond);
-    if (s.map >= 0 && list_.maps[static_cast<std::size_t>(s.map)].uri != map_) {
-        if (!map_.empty()) ledger_.add(line("switch"));
-        map_ = list_.maps[static_cast<std::size_t>(s.map)].uri;
+    if (s.map >= 0 && playlist_.maps[static_cast<std::size_t>(s.map)].uri != initUrl_) {
+        if (!initUrl_.empty()) ledger_.add(line("switch"));
+        initUrl_ = playlist_.maps[static_cast<std::size_t>(s.map)].uri;
         state_ = State::Init;
-        return fetch(hls::resolveReference(base_, map_).value_or("/"));
+        return fetch(hls::resolveReference(baseUrl_, initUrl_).value_or("/"));
     }
     buffered_ = std::max(
         0.0, seconds(s.duration) * static_cast<double>(segments_) - seconds(net_.now() - startedAt_));
     state_ = State::Segment;
-    fetch(hls::resolveReference(base_, s.uri).value_or("/"));
+    fetch(hls::resolveReference(baseUrl_, s.uri).value_or("/"));
 }
 
 }  // namespace valekeel::fakes
--- a/src/fakes/player.hpp
+++ b/src/fakes/player.hpp
@@ -1,10 +1,11 @@
-// Scripted players: a standard HLS client each, with give-up times, returns and hints good and bad. Thin on
-// purpose; whole crowds are src/simulation's.
+// Fake players: each is a standard HLS client with a timeout, retries and valid or malformed hints.
+// src/simulation creates crowds of them.
 //
-// Ledger lines of a player: "ask" (status 0; number: join objective in us), "answer" (status as it came;
-// number: us since the ask), "no-answer" (the connection broke, or nothing came by the client timeout: status
-// 1 or 2), "second-answer", "segment" (number: us it took), "segment-lost", "leave" (number: mean worth
-// delivered).
+// Ledger lines of a player: "wants" (at the first request; number: time to watch in us), "ask" (number: join
+// objective in us), "answer" (status: as received; number: us since the request), "no-answer" (status 1: the
+// connection broke, 2: nothing arrived within the client timeout), "second-answer", "segment" (number: us it
+// took), "segment-lost", "gap" (segments skipped in the playlist), "switch" (of the rung), "stall" (number:
+// us), "abandon" (the viewer gave up), "return" (it will retry), "leave" (number: segments played).
 #pragma once
 
 #include <functional>
@@ -23,6 +24,7 @@
 
 namespace valekeel::fakes {
 
+// The room type that a player requests. Times in microseconds.
 struct PlayerRoom {
     std::string name;
     Micros clientTimeout = 0, joinObjective = 0;
@@ -30,52 +32,57 @@
     double benefit = 1;
 };
 
+// How a player sends its CMCD hints: in headers, in the query, not at all, or malformed in some way.
 enum class HintStyle { Headers, Query, None, Broken, Doubled, Oversized, Contradicting, Json };
 
+// What a player does. Times in microseconds.
 struct PlayerPlan {
     std::string title;
     PlayerRoom room;
-    Micros watch = 0;
+    Micros watch = 0;  // time to watch, from the first answer that plays
     HintStyle hints = HintStyle::Headers;
-    int returns = 1;            // times it comes again after a 503 or a break
-    Micros back = 500'000;      // and after how long, where no time is told
-    bool honours = true;        // Retry-After
-    std::int64_t topKbits = 0;  // of its device
-    // What a modelled viewer has beyond a scripted one.
-    bool atOnce = false;                         // comes again at once, whatever it was told
-    int member = -1;                             // whose link it watches through
-    std::optional<workload::Patience> patience;  // none: it waits as long as its client timeout
-    Micros startWith = 0, bufferMost = 0;        // of its playout buffer; 0: it fetches without a pause
-    std::vector<double> ownLadderKb;             // with it, its own measure lowers what it says it can use
-    std::function<void(const std::string& trace)> asking;  // called with each ask
+    int returns = 1;            // retries at most, after a 503 or a broken connection
+    Micros back = 500'000;      // delay of a retry without a Retry-After
+    bool honours = true;        // waits as long as Retry-After says
+    std::int64_t topKbits = 0;  // limit of its device in kbit/s; 0: none
+    // For modelled viewers only.
+    bool atOnce = false;                         // retries at once, whatever Retry-After says
+    int member = -1;                             // index of the member whose link it uses; -1: none
+    std::optional<workload::Patience> patience;  // empty: it waits for the client timeout
+    Micros startWith = 0, bufferMost = 0;        // playout buffer; 0: fetches without pausing
+    std::vector<double> ownLadderKb;             // kB/s; not empty: its own rate adaptation limits tb
+    std::function<void(const std::string& trace)> asking;  // called before each request
 };
 
+// One player. net and ledger must outlive it.
 class Player final : http::FetchHandler {
   public:
-    // `pick`: a front to ask now, by name and place.
+    // A front by name and address.
     struct FrontAt {
         std::string name;
         net::Endpoint at;
     };
+    // Chooses the front of the next request, empty if none is available.
     using Pick = std::function<std::optional<FrontAt>()>;
+    // `done` is called once, when the player leaves.
     Player(net::Net&, int number, const PlayerPlan&, Pick, std::uint64_t seed,
            const std::vector<double>& worth, Ledger&, std::function<void(Player&)> done);
     ~Player() override;
     void start();
-    void endSoon();  // it goes, once what it asked for is answered
+    void endSoon();  // leaves, at the latest after the pending request is answered
     int number() const { return number_; }
     bool over() const { return state_ == State::Over; }
     std::uint64_t segments() const { return segments_; }
 
   private:
     enum class State { Idle, Asking, Playlist, Init, Segment, Waiting, Over };
-    void ask();
+    void sendRequest();
     void fetch(const std::string& target);
-    void next();
+    void fetchNext();
     void leave();
-    void comeAgain(bool mayRepeat, std::optional<Micros> told);
-    void gaveUp();
-    void heldOut();  // what the buffer bore, and whether the viewer still does
+    void scheduleRetry(bool mayRetry, std::optional<Micros> retryAfter);
+    void handleRequestTimeout();
+    void recordStall();  // and leaves if the viewer has lost patience
     http::Fields fields(const char* ot, std::string& target);
     Line line(const char* what) const;
     void closeConnection();
@@ -89,29 +96,29 @@
     int number_;
     PlayerPlan plan_;
     Pick pick_;
-    std::mt19937_64 chance_;
+    std::mt19937_64 random_;
     std::vector<double> worth_;
     Ledger& ledger_;
     std::function<void(Player&)> done_;
-    std::unique_ptr<http::Connection> conn_, dead_;
-    net::Timer timer_, bury_;
+    std::unique_ptr<http::Connection> conn_, closedConn_;
+    net::Timer timer_, cleanup_;
     State state_ = State::Idle;
-    int attempt_ = 0, returns_ = 0;
-    std::string sid_, trace_, front_, media_, base_;
-    net::Endpoint at_;
+    int attempt_ = 0, retries_ = 0;
+    std::string sid_, trace_, front_, mediaUrl_, baseUrl_;
+    net::Endpoint endpoint_;
     Micros askedAt_ = 0, sentAt_ = 0, startedAt_ = 0, until_ = 0;
     http::ResponseHead head_;
     std::string body_;
-    hls::MediaPlaylist list_;
-    std::uint64_t nextNo_ = 0;
-    std::string map_;
+    hls::MediaPlaylist playlist_;
+    std::uint64_t nextSequence_ = 0;
+    std::string initUrl_;
     double buffered_ = 0;
     std::optional<workload::Playout> playout_;
     std::optional<workload::Abr> abr_;
-    Micros waited_ = 0, stalledTold_ = 0;
+    Micros waited_ = 0, reportedStall_ = 0;
     std::uint64_t bytes_ = 0;
     std::uint64_t segments_ = 0;
-    bool haveNo_ = false;
+    bool hasSequence_ = false;
 };
 
 }  // namespace valekeel::fakes
