--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -145,7 +145,7 @@
         t.budgetFree = 5;
         t.budgetShare = 0.1;
         t.budgetWindow = 10 * kSecond;
-        return audit::all(ledger, t, {});
+        return audit::checkAllRules(ledger, t, {});
     }
 };
 
