--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -89,11 +89,11 @@
             return "admitted";
         case Decision::Full:
         case Decision::OverFairShare:
-            return "too many requests at once";
+            return "too many ask at once";
         case Decision::PathSaturated:
-            return "the path to your network is saturated";
+            return "the way to your network is full";
         case Decision::TooManyRetries:
-            return "no capacity at present";
+            return "no room for it now";
     }
     return "";
 }
--- a/src/frontends/http/http_frontend.cpp
+++ b/src/frontends/http/http_frontend.cpp
@@ -83,16 +83,16 @@
     }
     void start() {
         Viewer* viewer = frontend_.byToken(token_);
-        if (!viewer) return fail(410, "the subscription has ended");
+        if (!viewer) return fail(410, "the subscription is over");
         const auto found = frontend_.cache_.find({title_, rung_});
         if (found == frontend_.cache_.end()) {
             const auto* answer = frontend_.joinClient_.responseOf(sub_);
-            if (!answer) return fail(410, "the subscription has ended");
+            if (!answer) return fail(410, "the subscription is over");
             fetchingPlaylist_ = true;
             path_ = hls::resolveReference(answer->path,
                                           answer->variants.variants[static_cast<std::size_t>(rung_)].uri)
                         .value_or("");
-            if (path_.empty()) return fail(502, "the media server's playlist refers to another host");
+            if (path_.empty()) return fail(502, "the box's playlist leads elsewhere");
             send(path_, std::nullopt);
             return;
         }
@@ -114,13 +114,12 @@
             range = segment->range;
             segmentDuration_ = segment->duration;
         } else {
-            if (cached.playlist.maps.empty())
-                return fail(404, "the talk has no media initialization section");
+            if (cached.playlist.maps.empty()) return fail(404, "the talk has no such map");
             uri = cached.playlist.maps.front().uri;
             range = cached.playlist.maps.front().range;
         }
         const auto path = hls::resolveReference(cached.path, uri);
-        if (!path) return fail(502, "the media server's playlist refers to another host");
+        if (!path) return fail(502, "the box's playlist leads elsewhere");
         send(*path, range);
     }
 
@@ -201,10 +200,10 @@
         if (fetchingPlaylist_) {
             fetchingPlaylist_ = false;
             if (status_ == 410) return endLostPlayback(upstream::RequestResult::BrokenAnswer);
-            if (status_ != 200) return fail(502, "the media server has no playlist");
+            if (status_ != 200) return fail(502, "the box has no playlist");
             auto read = hls::parseMediaPlaylist(body_);
             std::string().swap(body_);
-            if (!read.playlist) return fail(502, "the media server's playlist is invalid: " + read.why);
+            if (!read.playlist) return fail(502, "the box's playlist is broken: " + read.why);
             CachedPlaylist cached{std::move(*read.playlist), {}, path_, ++frontend_.cacheUseCounter_};
             for (const hls::Segment& s : cached.playlist.segments) cached.durations.push_back(s.duration);
             frontend_.cache_[{title_, rung_}] = std::move(cached);
@@ -218,7 +217,7 @@
             return start();
         }
         if (status_ == 410) return endLostPlayback(upstream::RequestResult::BrokenAnswer);
-        if (!headSent_) return fail(502, "the media server answered " + std::to_string(status_));
+        if (!headSent_) return fail(502, "the box answered " + std::to_string(status_));
         if (receivedBytes_ < length_) return abortResponse();
         const Micros now = frontend_.net_.now();
         if (kind_ == ObjectKind::Segment) frontend_.core_.delivery().finish(now, core::FetchId{key_});
@@ -250,7 +249,7 @@
         }
         if (result == upstream::RequestResult::NoFreeConnection ||
             result == upstream::RequestResult::NoDescriptor)
-            return fail(503, "too many requests to the media server are in progress");
+            return fail(503, "too much is being fetched from the box");
         if (const Viewer* viewer = frontend_.byToken(token_))
             reportPathDelivery(*viewer, frontend_.net_.now());
         endLostPlayback(result);
@@ -417,7 +416,7 @@
                              ? nullptr
                              : byToken(path.substr(kSubscription.size(), slash - kSubscription.size()));
         if (!viewer || !viewer->playing)
-            return refuse(exchange, 410, "the subscription has ended; request the talk again");
+            return refuse(exchange, 410, "the subscription is over: ask for the talk again");
         updateHints(*viewer, hintsOf(head));
         const std::string file = path.substr(slash + 1);
         if (file == "media.m3u8") return handleMediaPlaylistRequest(exchange, *viewer);
@@ -428,7 +427,7 @@
         fields.add("Content-Type", "application/json");
         return exchange.respond(200, fields, statusText());
     }
-    refuse(exchange, 404, "not found");
+    refuse(exchange, 404, "nothing lies here");
 }
 
 void HttpFrontend::countDropped(const hints::CmcdReader& reader) {
@@ -491,8 +490,7 @@
                 viewer.waiters.push_back(std::make_unique<Waiter>(*this, viewer.token, exchange));
                 return;
             }
-            return refuse(exchange, 503, "this session has too many pending requests",
-                          settings_.retryAfterWhenFull);
+            return refuse(exchange, 503, "this session is asked for already", settings_.retryAfterWhenFull);
         }
     }
     if (stopping_) return refuse(exchange, 503, "this front is stopping", settings_.retryAfterWhenFull);
@@ -523,7 +521,7 @@
     if (!id) {
         admission_.onAnswered(network);
         ++rejected_;
-        return refuse(exchange, 503, "this front is at its subscription limit", settings_.retryAfterWhenFull);
+        return refuse(exchange, 503, "this front holds all that it can", settings_.retryAfterWhenFull);
     }
     auto created = std::make_unique<Viewer>(settings_.window);
     Viewer& viewer = *created;
@@ -569,7 +567,7 @@
 void HttpFrontend::handleMediaPlaylistRequest(http::Exchange& exchange, Viewer& viewer) {
     if (cache_.count({viewer.title, viewer.rung})) return sendWindow(exchange, viewer);
     if (viewer.fetches >= settings_.maxFetchesPerViewer)
-        return refuse(exchange, 429, "too many concurrent fetches");
+        return refuse(exchange, 429, "too many fetches at once");
     const std::uint64_t key = nextFetchId_++;
     auto& relay = relays_[key] =
         std::make_unique<Relay>(*this, key, viewer, exchange, Relay::ObjectKind::Playlist, 0, viewer.rung);
@@ -599,15 +597,15 @@
         kind = Relay::ObjectKind::Init;
         number.remove_prefix(kInitPrefix.size());
     } else if (extension != ".m4s") {
-        return refuse(exchange, 404, "not found");
+        return refuse(exchange, 404, "nothing lies here");
     }
     std::uint64_t value = 0;
     const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), value);
     if (error != std::errc{} || end != number.data() + number.size())
-        return refuse(exchange, 404, "not found");
+        return refuse(exchange, 404, "nothing lies here");
     int rung = 0;
     if (kind == Relay::ObjectKind::Init) {
-        if (value >= ladder_.kb.size()) return refuse(exchange, 404, "not found");
+        if (value >= ladder_.kb.size()) return refuse(exchange, 404, "nothing lies here");
         rung = static_cast<int>(value);
     } else {
         const PlaylistWindow::Listed* listed = viewer.window.find(value);
@@ -615,7 +613,7 @@
         rung = listed->rung;
     }
     if (viewer.fetches >= settings_.maxFetchesPerViewer)
-        return refuse(exchange, 429, "too many concurrent fetches");
+        return refuse(exchange, 429, "too many fetches at once");
     const std::uint64_t key = nextFetchId_++;
     auto& relay = relays_[key] = std::make_unique<Relay>(*this, key, viewer, exchange, kind, value, rung);
     if (kind == Relay::ObjectKind::Segment) viewer.window.fetched(value);
@@ -683,7 +681,7 @@
 
 void HttpFrontend::answerPlaying(Viewer& viewer, http::Exchange& exchange) {
     const upstream::JoinResponse* answer = joinClient_.responseOf(viewer.sub);
-    if (!answer) return refuse(exchange, 410, "the subscription has ended");
+    if (!answer) return refuse(exchange, 410, "the subscription is over");
     // A single variant: the front chooses the rung, and the window's EXT-X-MAP entries signal each change.
     hls::Variant best;
     for (const hls::Variant& v : answer->variants.variants) {
@@ -702,7 +700,7 @@
     if (!viewer) return;
     const Micros advertisedRetryAfter = retryAfter > 0 ? admission_.retryAfter(net_.now(), retryAfter) : 0;
     answerWaiters(*viewer,
-                  [&](http::Exchange& e) { refuse(e, 503, "no capacity at present", advertisedRetryAfter); });
+                  [&](http::Exchange& e) { refuse(e, 503, "no room for it now", advertisedRetryAfter); });
     endViewer(*viewer, false);
 }
 
@@ -710,7 +708,7 @@
     Viewer* viewer = bySub(id);
     if (!viewer) return;
     answerWaiters(*viewer, [&](http::Exchange& e) {
-        refuse(e, reason == core::TerminationReason::TimedOut ? 504 : 502, "the set-up failed");
+        refuse(e, reason == core::TerminationReason::TimedOut ? 504 : 502, "its set-up failed");
     });
     endViewer(*viewer, false);
 }
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -59,8 +59,7 @@
 // that text with the line number, an error about the playlist as a whole, or an empty string.
 template <class LineHandler>
 std::string forEachLine(std::string_view text, const PlaylistLimits& limits, LineHandler&& handleLine) {
-    if (text.size() > limits.bytes)
-        return "the playlist is longer than " + std::to_string(limits.bytes) + " bytes";
+    if (text.size() > limits.bytes) return "it is longer than " + std::to_string(limits.bytes) + " bytes";
     bool first = true;
     std::size_t number = 0;
     while (!text.empty()) {
@@ -70,14 +69,14 @@
         if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
         ++number;
         if (std::exchange(first, false)) {
-            if (line != "#EXTM3U") return "the first line is not #EXTM3U";
+            if (line != "#EXTM3U") return "its first line is not #EXTM3U";
             continue;
         }
         if (line.empty()) continue;
         const std::string why = handleLine(line);
         if (!why.empty()) return "line " + std::to_string(number) + ": " + why;
     }
-    return first ? "the playlist is empty" : "";
+    return first ? "it is empty" : "";
 }
 
 std::string formatSeconds(Micros t) {
@@ -103,11 +102,11 @@
         };
         if (line.front() != '#') {
             if (!hasDuration) return "a segment without #EXTINF";
-            if (out.segments.size() >= limits.entries) return "too many segments";
+            if (out.segments.size() >= limits.entries) return "more segments than are read";
             nextSegment.uri = line;
             if (byteRange) {
                 nextSegment.range = parseRange(*byteRange, lastUri == nextSegment.uri ? nextOffset : 0);
-                if (!nextSegment.range) return "#EXT-X-BYTERANGE is malformed";
+                if (!nextSegment.range) return "#EXT-X-BYTERANGE is broken";
                 nextOffset = nextSegment.range->offset + nextSegment.range->length;
                 lastUri = nextSegment.uri;
             }
@@ -120,30 +119,30 @@
         }
         if (const auto v = tag("#EXTINF:")) {
             const auto duration = parseNumber<double>(v->substr(0, v->find(',')));
-            if (!duration || !(*duration >= 0 && *duration < 86'400)) return "#EXTINF is malformed";
+            if (!duration || !(*duration >= 0 && *duration < 86'400)) return "#EXTINF is broken";
             nextSegment.duration = std::llround(*duration * 1e6);
             hasDuration = true;
         } else if (const auto t = tag("#EXT-X-TARGETDURATION:")) {
             const auto duration = parseNumber<std::int64_t>(*t);
-            if (!duration || *duration < 0 || *duration > 86'400) return "#EXT-X-TARGETDURATION is malformed";
+            if (!duration || *duration < 0 || *duration > 86'400) return "#EXT-X-TARGETDURATION is broken";
             out.targetDuration = *duration * kSecond;
             hasTargetDuration = true;
         } else if (const auto s = tag("#EXT-X-MEDIA-SEQUENCE:")) {
             const auto number = parseNumber<std::uint64_t>(*s);
-            if (!number) return "#EXT-X-MEDIA-SEQUENCE is malformed";
+            if (!number) return "#EXT-X-MEDIA-SEQUENCE is broken";
             out.mediaSequence = *number;
         } else if (const auto r = tag("#EXT-X-BYTERANGE:")) {
             byteRange = *r;
         } else if (const auto m = tag("#EXT-X-MAP:")) {
             Map newMap;
             const auto uri = attribute(*m, "URI");
-            if (!uri) return "#EXT-X-MAP has no URI";
+            if (!uri) return "#EXT-X-MAP names no URI";
             newMap.uri = *uri;
             if (const auto bytes = attribute(*m, "BYTERANGE")) {
                 newMap.range = parseRange(*bytes, 0);
-                if (!newMap.range) return "the BYTERANGE of #EXT-X-MAP is malformed";
+                if (!newMap.range) return "the BYTERANGE of #EXT-X-MAP is broken";
             }
-            if (out.maps.size() >= limits.entries) return "too many maps";
+            if (out.maps.size() >= limits.entries) return "more maps than are read";
             out.maps.push_back(std::move(newMap));
             map = static_cast<int>(out.maps.size()) - 1;
         } else if (line == "#EXT-X-DISCONTINUITY") {
@@ -164,7 +163,7 @@
     const std::string why = forEachLine(text, limits, [&](std::string_view line) -> std::string {
         if (line.front() != '#') {
             if (!next) return "a variant without #EXT-X-STREAM-INF";
-            if (out.variants.size() >= limits.entries) return "too many variants";
+            if (out.variants.size() >= limits.entries) return "more variants than are read";
             next->uri = line;
             out.variants.push_back(std::move(*next));
             next.reset();
@@ -176,7 +175,7 @@
         Variant variant;
         const auto bandwidth = attribute(list, "BANDWIDTH");
         const auto number = bandwidth ? parseNumber<std::uint64_t>(*bandwidth) : std::nullopt;
-        if (!number) return "#EXT-X-STREAM-INF has no valid BANDWIDTH";
+        if (!number) return "#EXT-X-STREAM-INF names no BANDWIDTH";
         variant.bandwidth = *number;
         if (const auto average = attribute(list, "AVERAGE-BANDWIDTH"))
             variant.average = parseNumber<std::uint64_t>(*average);
@@ -186,7 +185,7 @@
         return "";
     });
     if (!why.empty()) return {std::nullopt, why};
-    if (out.variants.empty()) return {std::nullopt, "the playlist has no variants"};
+    if (out.variants.empty()) return {std::nullopt, "it names no variant"};
     return {std::move(out), ""};
 }
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -272,7 +272,7 @@
     void onTimeout() {
         if (isClosed()) return;
         if (state_ == State::Reading && requestStarted_) {
-            reject(408, "the request was not complete in time");
+            reject(408, "the request was not whole in time");
             process();
             return;
         }
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -134,7 +134,7 @@
         return out;
     }
     std::vector<audit::RuleViolation> violations() {
-        audit::Terms t;
+        audit::AuditSettings t;
         t.rooms["open"] = {1'500'000, false, 0, 0};
         t.rooms["paid"] = {1'500'000, true, 0, 3};
         t.warmUp = boxConfig.warmUp;
--- a/tests/hls_test.cpp
+++ b/tests/hls_test.cpp
@@ -31,15 +31,15 @@
 }
 
 TEST(Hls, RejectsMalformedPlaylistsWithLineNumber) {
-    EXPECT_EQ(hls::parseMediaPlaylist("").why, "the playlist is empty");
-    EXPECT_EQ(hls::parseMediaPlaylist("<html>").why, "the first line is not #EXTM3U");
+    EXPECT_EQ(hls::parseMediaPlaylist("").why, "it is empty");
+    EXPECT_EQ(hls::parseMediaPlaylist("<html>").why, "its first line is not #EXTM3U");
     EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\na.mp4").why, "line 2: a segment without #EXTINF");
-    EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\n#EXTINF:x,\na").why, "line 2: #EXTINF is malformed");
-    EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\n#EXTINF:nan,\na").why, "line 2: #EXTINF is malformed");
+    EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\n#EXTINF:x,\na").why, "line 2: #EXTINF is broken");
+    EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\n#EXTINF:nan,\na").why, "line 2: #EXTINF is broken");
     EXPECT_EQ(hls::parseMediaPlaylist("#EXTM3U\n#EXTINF:1,\na").why, "#EXT-X-TARGETDURATION is missing");
     EXPECT_EQ(hls::parseMultivariantPlaylist("#EXTM3U\n#EXT-X-STREAM-INF:X=1\na").why,
-              "line 2: #EXT-X-STREAM-INF has no valid BANDWIDTH");
-    EXPECT_EQ(hls::parseMultivariantPlaylist("#EXTM3U\n").why, "the playlist has no variants");
+              "line 2: #EXT-X-STREAM-INF names no BANDWIDTH");
+    EXPECT_EQ(hls::parseMultivariantPlaylist("#EXTM3U\n").why, "it names no variant");
     hls::PlaylistLimits small{100, 1};
     EXPECT_FALSE(
         hls::parseMediaPlaylist("#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\na\n#EXTINF:1,\nb\n", small)
